--- a/daemon/src/answers.rs
+++ b/daemon/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of calls with an idempotency key, kept for repeats of the key.
+//! Answers to calls with an idempotency key, kept for repeats of the key.
 
 use std::collections::BTreeMap;
 
@@ -6,19 +6,19 @@
 
 use crate::frame::Chunk;
 
-/// Largest answer that is kept; a repeat of a larger one gets `unknown`.
+/// Maximum size of a kept answer, in bytes. A repeat of a call with a larger one gets `unknown`.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
-/// Most bytes of all answers that are kept.
+/// Maximum total size of all kept answers, in bytes.
 const MAX_KEPT_BYTES: usize = 64 << 20;
 
 #[derive(Debug, Default)]
 struct KeptAnswer {
-    pieces: Vec<(u32, Chunk)>,
+    chunks: Vec<(u32, Chunk)>,
     bytes: usize,
     truncated: bool,
 }
 
-/// Answers kept for repeats, within bounds.
+/// Answers kept for repeats, limited in size one by one and in total.
 #[derive(Debug, Default)]
 pub struct AnswerStore {
     answers: BTreeMap<CallId, KeptAnswer>,
@@ -26,22 +26,23 @@
 }
 
 impl AnswerStore {
-    /// Answers kept now.
+    /// Number of calls whose answers are kept.
     pub fn len(&self) -> usize {
         self.answers.len()
     }
 
-    /// Whether none is kept.
+    /// Whether no answer is kept.
     pub fn is_empty(&self) -> bool {
         self.answers.is_empty()
     }
 
-    /// Begins to keep a call's answer.
+    /// Starts keeping a call's answer. Has no effect if it is already kept.
     pub fn begin(&mut self, call: CallId) {
         self.answers.entry(call).or_default();
     }
 
-    /// Keeps a piece, if the call's answer is kept and there is room.
+    /// Adds a chunk if the call's answer is kept. An answer that exceeds a limit is emptied and gets
+    /// no further chunks.
     pub fn add(&mut self, call: CallId, index: u32, chunk: &Chunk) {
         let Some(answer) = self.answers.get_mut(&call) else {
             return;
@@ -56,18 +57,18 @@
             };
             return;
         }
-        answer.pieces.push((index, chunk.clone()));
+        answer.chunks.push((index, chunk.clone()));
         answer.bytes += bytes;
         self.bytes += bytes;
     }
 
-    /// The pieces kept of a call's answer.
-    pub fn pieces(&self, call: CallId) -> Vec<(u32, Chunk)> {
+    /// Kept chunks of a call's answer with their indices; empty if none are kept.
+    pub fn chunks(&self, call: CallId) -> Vec<(u32, Chunk)> {
         let answer = self.answers.get(&call);
-        answer.map_or_else(Vec::new, |answer| answer.pieces.clone())
+        answer.map_or_else(Vec::new, |answer| answer.chunks.clone())
     }
 
-    /// Forgets a call's answer.
+    /// Removes a call's answer.
     pub fn forget(&mut self, call: CallId) {
         if let Some(answer) = self.answers.remove(&call) {
             self.bytes -= answer.bytes;
--- a/daemon/src/body.rs
+++ b/daemon/src/body.rs
@@ -1,4 +1,4 @@
-//! Reads request bodies within a bound.
+//! Reads request bodies up to a size limit.
 
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
@@ -8,11 +8,11 @@
 use crate::refusal::CallerError;
 use crate::shared::NodeShared;
 
-/// Bytes beyond the bound that are read and thrown away, so that a client which writes its whole
-/// request before it reads gets to see the error; past them the connection is closed.
+/// Maximum number of bytes beyond the limit that are read and discarded, so that a client which reads
+/// only after writing its whole request receives the error. After them the connection is closed.
 const DISCARDED_BYTES: usize = 64 << 20;
 
-/// Reads a request's body, up to the bound of the settings.
+/// Reads a request's body, up to the `body_bytes` limit of the settings.
 pub async fn read_body(shared: &NodeShared, request: &mut Request) -> Result<Bytes, CallerError> {
     let bound = shared.settings.bounds.body_bytes;
     let mut body = request.take_body();
--- a/daemon/src/boot.rs
+++ b/daemon/src/boot.rs
@@ -1,11 +1,12 @@
-//! A clock that goes on while the host is suspended, as others' clocks do.
+//! A monotonic clock that includes the time for which the host is suspended.
 
 use std::time::Duration;
 
 use monsoonbank_kernel::clock::Clock;
 use nix::time::{ClockId, clock_gettime};
 
-/// The time since the host's boot, with the time that it was suspended.
+/// Clock of the time since the host's boot (`CLOCK_BOOTTIME`), including suspended time. While a host
+/// is suspended, the clocks of other hosts keep running.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BootClock;
 
@@ -14,8 +15,9 @@
         match clock_gettime(ClockId::CLOCK_BOOTTIME) {
             Ok(time) => Duration::from(time),
             Err(error) => {
-                // Every Linux has it; without it no lease holds, as time stands still at zero.
-                log::error!("no clock that goes on while suspended: {error}");
+                // Every Linux system has this clock. Without it the time is always zero, so that no
+                // lease is valid.
+                log::error!("cannot read CLOCK_BOOTTIME: {error}");
                 Duration::ZERO
             }
         }
--- a/daemon/src/callers.rs
+++ b/daemon/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' interface: completions, plain services, models, addresses.
+//! HTTP interface for callers: completions, plain services, models and addresses.
 
 use std::sync::Arc;
 
@@ -14,12 +14,12 @@
 use crate::services::ServiceApi;
 use crate::shared::NodeShared;
 
-/// Most idempotency keys in one answer.
+/// Maximum number of idempotency keys in one response.
 const MAX_KEYS: usize = 64;
-/// Most addresses in one answer.
+/// Maximum number of node addresses in one response.
 const MAX_ADDRESSES: usize = 4;
 
-/// The routes.
+/// Creates the routes of the callers' listen address.
 pub fn router(shared: &Arc<NodeShared>) -> Router {
     let completions = |kind| CompletionApi {
         shared: Arc::clone(shared),
@@ -84,7 +84,7 @@
 }
 
 impl AddressesApi {
-    /// Fresh keys for a workspace that asks for some.
+    /// Mints the idempotency keys that an authenticated request asks for; empty for any other.
     fn keys(&self, request: &mut Request) -> Vec<Box<str>> {
         let wanted = request.query::<usize>("keys").unwrap_or(0);
         let Ok(caller) = intake::identify(&self.shared, request) else {
--- a/daemon/src/calls.rs
+++ b/daemon/src/calls.rs
@@ -1,4 +1,4 @@
-//! The entry node's open calls: their request bodies, and the way back to their callers.
+//! Open calls at their entry node: request bodies, attempts, and forwarding of answers to callers.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,10 +10,10 @@
 use crate::frame::{Chunk, Frame, RequestParts};
 use crate::sink::{CallReceiver, CallSink, Intake};
 
-/// Most pieces of a newer attempt that are held until it is accepted.
-const MAX_EARLY_PIECES: usize = 64;
+/// Maximum number of chunks per call that are buffered for attempts not accepted yet.
+const MAX_EARLY_CHUNKS: usize = 64;
 
-/// An offer of a call to an owner.
+/// An attempt that was offered to the owner of an upstream.
 #[derive(Clone, Copy, Debug)]
 struct OpenOffer {
     number: u32,
@@ -22,7 +22,7 @@
 }
 
 #[derive(Debug)]
-struct EarlyPiece {
+struct EarlyChunk {
     number: u32,
     index: u32,
     chunk: Chunk,
@@ -33,39 +33,41 @@
     parts: Arc<RequestParts>,
     sink: CallSink,
     offers: Vec<OpenOffer>,
-    /// The attempt whose pieces go on; 0 for none.
+    /// Number of the attempt whose chunks are forwarded; 0 for none.
     accepted: u32,
-    /// Index of the accepted attempt's first piece.
+    /// Index of the accepted attempt's first chunk.
     base_index: u32,
     next_index: u32,
-    early: Vec<EarlyPiece>,
-    /// Repeats of this call that get the same answer.
+    early: Vec<EarlyChunk>,
+    /// Repeats of this call, under the same idempotency key, that get the same answer.
     followers: Vec<CallId>,
 }
 
-/// What became of a piece.
+/// What was done with a chunk of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// Passed on.
+    /// Forwarded to the caller, or discarded because the caller has disconnected.
     Passed,
-    /// Held until its attempt is accepted.
+    /// Buffered until its attempt is accepted.
     Held,
-    /// Of an older attempt, doubled, or of a call that is over.
+    /// Dropped: it belongs to an attempt that is no longer accepted or to a call that has ended, or
+    /// is a duplicate.
     Dropped,
-    /// Pieces before it are missing.
+    /// Dropped: chunks before it are missing.
     Gap,
-    /// The caller takes its answer too slowly.
+    /// Forwarded, but the caller reads its answer too slowly: more than the limit is unread.
     Stalled,
 }
 
-/// An attempt of which nothing more goes on to the caller.
+/// An attempt whose further chunks are not forwarded to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LostAttempt {
-    /// The attempt.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
-    /// Pieces of it that went on.
+    /// Number of its chunks that were forwarded.
     pub tokens: u32,
-    /// Whether any byte of the offer left the socket.
+    /// Whether the offer may have reached the owner, because it was written to the socket or the
+    /// owner is this node.
     pub sent: bool,
 }
 
@@ -75,7 +77,7 @@
     answers: AnswerStore,
 }
 
-/// The entry node's open calls.
+/// Open calls at their entry node, and the answers kept for repeats.
 #[derive(Debug)]
 pub struct CallTable {
     state: Mutex<TableState>,
@@ -83,7 +85,7 @@
 }
 
 impl CallTable {
-    /// An empty table; a caller may leave at most `waiting_limit` bytes untaken.
+    /// Creates an empty table. An answer with more than `waiting_limit` unread bytes is stalled.
     pub fn new(waiting_limit: usize) -> Self {
         Self {
             state: Mutex::default(),
@@ -95,7 +97,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Calls open now.
+    /// Number of open calls.
     pub fn len(&self) -> usize {
         self.lock().calls.len()
     }
@@ -105,19 +107,19 @@
         self.len() == 0
     }
 
-    /// Answers kept for repeats now.
+    /// Number of answers kept for repeats.
     pub fn answers_kept(&self) -> usize {
         self.lock().answers.len()
     }
 
-    /// Adds a caller's call.
+    /// Adds a call from a caller and returns the receiving end of its answer.
     pub fn open(&self, call: CallId, parts: RequestParts) -> CallReceiver {
         let (sink, receiver) = CallSink::caller(self.waiting_limit);
         self.insert(call, parts, sink);
         receiver
     }
 
-    /// Adds a call that another node relayed here; a doubled one changes nothing.
+    /// Adds a call that another node relayed to this one. Has no effect if the call is already open.
     pub fn open_relayed(&self, call: CallId, parts: RequestParts, from: NodeId) {
         if !self.lock().calls.contains_key(&call) {
             self.insert(call, parts, CallSink::Peer(from));
@@ -142,7 +144,7 @@
         state.calls.insert(call, open);
     }
 
-    /// The request of a call.
+    /// The request of a call; `None` if the call is not open.
     pub fn parts(&self, call: CallId) -> Option<Arc<RequestParts>> {
         self.lock()
             .calls
@@ -150,7 +152,7 @@
             .map(|open| Arc::clone(&open.parts))
     }
 
-    /// Remembers an offer to another node.
+    /// Records that an attempt is being offered to an owner. Replaces an earlier offer of it.
     pub fn offered(&self, attempt: AttemptId, owner: NodeId) {
         if let Some(open) = self.lock().calls.get_mut(&attempt.call) {
             let number = attempt.number;
@@ -164,7 +166,7 @@
         }
     }
 
-    /// The offer is about to leave the socket.
+    /// Records that an attempt's offer is being written to the socket.
     pub fn sending(&self, attempt: AttemptId) {
         let mut state = self.lock();
         let Some(open) = state.calls.get_mut(&attempt.call) else {
@@ -176,7 +178,8 @@
         }
     }
 
-    /// From now on only this attempt may answer.
+    /// Accepts an attempt: forwards its buffered chunks and drops those of all others. Its first chunk
+    /// has the index `resume_from`.
     pub fn accept(
         &self,
         attempt: AttemptId,
@@ -190,14 +193,14 @@
         open.accepted = attempt.number;
         open.base_index = resume_from;
         let early = std::mem::take(&mut open.early);
-        for piece in early {
-            if piece.number == attempt.number {
-                pass(&mut state, attempt, piece.index, piece.chunk, send);
+        for buffered in early {
+            if buffered.number == attempt.number {
+                forward(&mut state, attempt, buffered.index, buffered.chunk, send);
             }
         }
     }
 
-    /// Passes a piece on to the caller, if it is the next one of the accepted attempt.
+    /// Forwards a chunk to the caller if it is the next one of the accepted attempt.
     pub fn deliver(
         &self,
         attempt: AttemptId,
@@ -205,23 +208,23 @@
         chunk: Chunk,
         send: &mut dyn FnMut(NodeId, Frame),
     ) -> Delivery {
-        pass(&mut self.lock(), attempt, index, chunk, send)
+        forward(&mut self.lock(), attempt, index, chunk, send)
     }
 
-    /// Passes on a piece of a call that this node relayed to another.
+    /// Forwards a chunk of a call that this node relayed to another node.
     pub fn deliver_relayed(&self, call: CallId, index: u32, chunk: Chunk) -> Delivery {
         let mut state = self.lock();
         let Some(open) = state.calls.get_mut(&call) else {
             return Delivery::Dropped;
         };
         if index != open.next_index {
-            return misplaced(index, open.next_index);
+            return out_of_order(index, open.next_index);
         }
         open.next_index += u32::from(chunk.counts());
         intake_delivery(open.sink.put(call, index, chunk, &mut |_, _| {}))
     }
 
-    /// Nothing more of this attempt goes on.
+    /// Stops forwarding an attempt. `None` if its call is not open.
     pub fn withdraw(&self, attempt: AttemptId, own: NodeId) -> Option<LostAttempt> {
         let mut state = self.lock();
         let open = state.calls.get_mut(&attempt.call)?;
@@ -230,10 +233,10 @@
             .iter()
             .position(|offer| offer.number == attempt.number)
             .map(|place| open.offers.remove(place));
-        Some(open.lose(attempt, offer, own))
+        Some(open.withdraw(attempt, offer, own))
     }
 
-    /// Nothing more goes on of any attempt that lies with `owner`.
+    /// Stops forwarding every attempt that was offered to `owner`.
     pub fn lose_owner(&self, owner: NodeId) -> Vec<LostAttempt> {
         let mut lost = Vec::new();
         for (call, open) in &mut self.lock().calls {
@@ -243,16 +246,17 @@
                     call: *call,
                     number: offer.number,
                 };
-                lost.push(open.lose(attempt, Some(offer), owner));
+                lost.push(open.withdraw(attempt, Some(offer), owner));
             }
         }
         lost
     }
 
-    /// Gives the answer of `original`, so far and from now on, to a repeat of it.
+    /// Forwards the answer of `original` to its repeat `call`: first the kept chunks, then the new
+    /// ones as they arrive.
     pub fn attach(&self, call: CallId, original: CallId, send: &mut dyn FnMut(NodeId, Frame)) {
         let mut state = self.lock();
-        let pieces = state.answers.pieces(original);
+        let chunks = state.answers.chunks(original);
         if let Some(open) = state.calls.get_mut(&original) {
             open.followers.push(call);
         }
@@ -260,18 +264,18 @@
         let Some(open) = state.calls.get_mut(&call) else {
             return;
         };
-        for (index, chunk) in pieces {
+        for (index, chunk) in chunks {
             open.next_index += u32::from(chunk.counts());
             open.sink.put(call, index, chunk, send);
         }
     }
 
-    /// The answer need not be kept any longer.
+    /// Removes the kept answer of a call.
     pub fn forget_answer(&self, call: CallId) {
         self.lock().answers.forget(call);
     }
 
-    /// Ends a call. An answer counts as whole only if every piece of it was passed on.
+    /// Ends a call. A whole answer of which some chunks were not forwarded is reported as unknown.
     pub fn finish(&self, call: CallId, outcome: CallOutcome) {
         let Some(mut open) = self.lock().calls.remove(&call) else {
             return;
@@ -291,7 +295,12 @@
 }
 
 impl OpenCall {
-    fn lose(&mut self, attempt: AttemptId, offer: Option<OpenOffer>, own: NodeId) -> LostAttempt {
+    fn withdraw(
+        &mut self,
+        attempt: AttemptId,
+        offer: Option<OpenOffer>,
+        own: NodeId,
+    ) -> LostAttempt {
         let accepted = self.accepted == attempt.number;
         let tokens = if accepted {
             self.next_index - self.base_index
@@ -301,7 +310,7 @@
         if accepted {
             self.accepted = 0;
         }
-        self.early.retain(|piece| piece.number != attempt.number);
+        self.early.retain(|early| early.number != attempt.number);
         let sent = offer.is_none_or(|offer| offer.sent || offer.owner == own);
         LostAttempt {
             attempt,
@@ -311,7 +320,7 @@
     }
 }
 
-fn pass(
+fn forward(
     state: &mut TableState,
     attempt: AttemptId,
     index: u32,
@@ -322,9 +331,9 @@
     let Some(open) = state.calls.get_mut(&call) else {
         return Delivery::Dropped;
     };
-    if attempt.number > open.accepted && open.early.len() < MAX_EARLY_PIECES {
+    if attempt.number > open.accepted && open.early.len() < MAX_EARLY_CHUNKS {
         let number = attempt.number;
-        open.early.push(EarlyPiece {
+        open.early.push(EarlyChunk {
             number,
             index,
             chunk,
@@ -335,7 +344,7 @@
         return Delivery::Dropped;
     }
     if index != open.next_index {
-        return misplaced(index, open.next_index);
+        return out_of_order(index, open.next_index);
     }
     open.next_index += u32::from(chunk.counts());
     let followers = open.followers.clone();
@@ -350,7 +359,7 @@
     delivery
 }
 
-fn misplaced(index: u32, next: u32) -> Delivery {
+fn out_of_order(index: u32, next: u32) -> Delivery {
     if index < next {
         Delivery::Dropped
     } else {
--- a/daemon/src/changes.rs
+++ b/daemon/src/changes.rs
@@ -1,4 +1,5 @@
-//! Operators' changes of configuration, from the request until the kernel's answer.
+//! Configuration changes by operators: requests that wait for the kernel's answer, and the status of
+//! recent changes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,8 +11,8 @@
 use monsoonbank_kernel::record::PublishResult;
 use tokio::sync::oneshot;
 
-/// Changes whose progress is kept for operators to look at.
-const KEPT_CHANGES: usize = 256;
+/// Maximum number of publish requests whose changes' status is kept.
+const MAX_CHANGES: usize = 256;
 
 #[derive(Default)]
 struct ChangeState {
@@ -22,7 +23,7 @@
     kept: VecDeque<RequestTicket>,
 }
 
-/// Requests that wait for the kernel, and the changes that it answered last.
+/// Requests that wait for the kernel's answer, and the status of recent changes.
 #[derive(Default)]
 pub struct ChangeTable {
     sequence: AtomicU64,
@@ -38,7 +39,7 @@
         RequestTicket(self.sequence.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// A ticket for a publisher, and where its answer will come.
+    /// Adds a request to publish a change. Returns its ticket and the receiver of the result.
     pub fn publish(&self) -> (RequestTicket, oneshot::Receiver<PublishResult>) {
         let (sender, receiver) = oneshot::channel();
         let ticket = self.ticket();
@@ -46,7 +47,7 @@
         (ticket, receiver)
     }
 
-    /// A ticket for a reader of all documents, and where they will come.
+    /// Adds a request to read all documents. Returns its ticket and the receiver of the documents.
     pub fn read(&self) -> (RequestTicket, oneshot::Receiver<DocumentList>) {
         let (sender, receiver) = oneshot::channel();
         let ticket = self.ticket();
@@ -54,11 +55,11 @@
         (ticket, receiver)
     }
 
-    /// The kernel answered a publisher.
+    /// Ends a request to publish the change `id` with the kernel's result.
     pub fn answered(&self, request: RequestTicket, id: Box<str>, result: PublishResult) {
         let mut state = self.state();
         if let Some(sender) = state.publishers.remove(&request) {
-            // Whoever asked may be gone by now.
+            // Sending fails if the requester has given up, which is no error.
             let _ = sender.send(result.clone());
         }
         state.kept.push_back(request);
@@ -68,10 +69,11 @@
             progress: None,
         });
         status.result = result;
-        state.forget_oldest();
+        state.evict_oldest();
     }
 
-    /// The kernel told how far an accepted change has come.
+    /// Records how many nodes an accepted change has reached. Has no effect if its status is no longer
+    /// kept.
     pub fn progressed(&self, request: RequestTicket, progress: PublishProgress) {
         let mut state = self.state();
         let Some(id) = state.ids.get(&request).cloned() else {
@@ -82,23 +84,23 @@
         }
     }
 
-    /// The kernel gave a reader the documents.
+    /// Ends a request to read all documents.
     pub fn documents(&self, request: RequestTicket, list: DocumentList) {
         if let Some(sender) = self.state().readers.remove(&request) {
-            // Whoever asked may be gone by now.
+            // Sending fails if the requester has given up, which is no error.
             let _ = sender.send(list);
         }
     }
 
-    /// What became of a change that this node answered lately.
+    /// Status of a recent change; `None` if this node did not publish it or no longer keeps its status.
     pub fn status(&self, id: &str) -> Option<ChangeStatus> {
         self.state().statuses.get(id).cloned()
     }
 }
 
 impl ChangeState {
-    fn forget_oldest(&mut self) {
-        while self.kept.len() > KEPT_CHANGES {
+    fn evict_oldest(&mut self) {
+        while self.kept.len() > MAX_CHANGES {
             let Some(request) = self.kept.pop_front() else {
                 return;
             };
--- a/daemon/src/completions.rs
+++ b/daemon/src/completions.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions` and `/v1/completions`, whole and streamed.
+//! Handlers of `POST /v1/chat/completions` and `/v1/completions`, whole and streamed.
 
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -19,10 +19,10 @@
 use crate::shared::NodeShared;
 use crate::sink::CallerEvent;
 
-/// Bytes of a prompt that decide its cache affinity.
+/// Length of the prompt prefix that determines cache affinity, in bytes.
 const PREFIX_BYTES: usize = 256;
 
-/// Which of the two completion interfaces a request speaks.
+/// One of the two completion endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompletionKind {
     /// `/v1/chat/completions`.
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The `object` field of an answer or of a piece of one.
+    /// Value of the `object` field in an answer, or in a chunk of a streamed one.
     pub fn object(self, streamed: bool) -> &'static str {
         match (self, streamed) {
             (Self::Chat, true) => "chat.completion.chunk",
@@ -49,27 +49,27 @@
     }
 }
 
-/// Handles one of the two completion interfaces.
+/// Handler of one of the two completion endpoints.
 pub struct CompletionApi {
-    /// The node.
+    /// State of the node.
     pub shared: Arc<NodeShared>,
-    /// The interface.
+    /// Endpoint that this handler serves.
     pub kind: CompletionKind,
 }
 
-/// What every piece of one answer has in common.
+/// Fields that all chunks of one answer have in common.
 #[derive(Debug)]
 pub struct AnswerFrame {
-    /// The interface that it speaks.
+    /// Endpoint of the request.
     pub kind: CompletionKind,
-    /// Its identifier.
+    /// Value of the `id` field.
     pub id: Box<str>,
-    /// The model that the caller named.
+    /// Model name from the request.
     pub model: Box<str>,
-    /// Second of the Unix epoch at which it began.
+    /// Value of the `created` field: Unix time of the request, in seconds.
     pub created: u64,
     class: Box<str>,
-    usage_wanted: bool,
+    include_usage: bool,
 }
 
 #[handler]
@@ -105,7 +105,7 @@
             body,
         };
         let answer = intake::open(&self.shared, &caller, found, &shape, parts)?;
-        let usage_wanted = fields
+        let include_usage = fields
             .get("stream_options")
             .and_then(|options| options.get("include_usage"))
             .and_then(Value::as_bool)
@@ -116,7 +116,7 @@
             model: shape.model.into(),
             created: unix_seconds(),
             class: class.unwrap_or_default(),
-            usage_wanted,
+            include_usage,
         };
         if shape.streamed {
             self.stream(answer, frame, response).await
@@ -131,7 +131,7 @@
         frame: AnswerFrame,
         response: &mut Response,
     ) -> Result<(), CallerError> {
-        let first = first_piece(&self.shared, &mut answer, &frame).await?;
+        let first = first_event(&self.shared, &mut answer, &frame).await?;
         let first = match first {
             CallerEvent::Chunk(Chunk::Head {
                 status,
@@ -161,7 +161,7 @@
         response: &mut Response,
     ) -> Result<(), CallerError> {
         let mut message = WholeMessage::default();
-        let mut event = first_piece(&self.shared, &mut answer, frame).await?;
+        let mut event = first_event(&self.shared, &mut answer, frame).await?;
         loop {
             match event {
                 CallerEvent::Chunk(Chunk::Head {
@@ -191,7 +191,7 @@
     }
 }
 
-async fn first_piece(
+async fn first_event(
     shared: &NodeShared,
     answer: &mut OpenAnswer,
     frame: &AnswerFrame,
@@ -240,7 +240,7 @@
 fn event_text(frame: &AnswerFrame, chunk: &Chunk) -> String {
     let (choices, usage) = match chunk {
         Chunk::Choices { json, .. } => (&**json, None),
-        Chunk::Usage(json) if frame.usage_wanted => ("[]", Some(json)),
+        Chunk::Usage(json) if frame.include_usage => ("[]", Some(json)),
         Chunk::Usage(_) | Chunk::Head { .. } | Chunk::Data(_) => return String::new(),
     };
     let object = frame.kind.object(true);
@@ -277,17 +277,17 @@
     fields: &Map<String, Value>,
 ) -> Result<RequestShape<'_>, CallerError> {
     let model = fields.get("model").and_then(Value::as_str);
-    let model = model.ok_or_else(|| wrong_field("model", "a string"))?;
+    let model = model.ok_or_else(|| invalid_field("model", "a string"))?;
     let streamed = match fields.get("stream") {
         None | Some(Value::Null) => false,
         Some(Value::Bool(streamed)) => *streamed,
-        Some(_) => return Err(wrong_field("stream", "a boolean")),
+        Some(_) => return Err(invalid_field("stream", "a boolean")),
     };
     if fields
         .get("n")
         .is_some_and(|n| !n.is_null() && n.as_u64() != Some(1))
     {
-        return Err(wrong_field("n", "1 (one answer a call)"));
+        return Err(invalid_field("n", "1 (one answer a call)"));
     }
     let bound = fields
         .get("max_completion_tokens")
@@ -296,7 +296,7 @@
         None | Some(Value::Null) => 0,
         Some(bound) => {
             let bound = bound.as_u64().and_then(|bound| u32::try_from(bound).ok());
-            bound.ok_or_else(|| wrong_field("max_tokens", "a whole number"))?
+            bound.ok_or_else(|| invalid_field("max_tokens", "a whole number"))?
         }
     };
     Ok(RequestShape {
@@ -307,30 +307,35 @@
     })
 }
 
-/// Engines name prefixes by the hash of the first bytes of the prompt's text.
+/// Hash of the first bytes of the prompt's text, by which engines identify cached prefixes.
 fn prefix(kind: CompletionKind, fields: &Map<String, Value>) -> Result<u64, CallerError> {
     let text = match kind {
         CompletionKind::Chat => match fields.get("messages").and_then(Value::as_array) {
-            Some(messages) if !messages.is_empty() => joined_contents(messages),
-            _ => return Err(wrong_field("messages", "a list with at least one message")),
+            Some(messages) if !messages.is_empty() => join_contents(messages),
+            _ => {
+                return Err(invalid_field(
+                    "messages",
+                    "a list with at least one message",
+                ));
+            }
         },
         CompletionKind::Text => match fields.get("prompt").and_then(Value::as_str) {
             Some(prompt) => prompt.to_owned(),
-            None => return Err(wrong_field("prompt", "a string")),
+            None => return Err(invalid_field("prompt", "a string")),
         },
     };
     let bytes = text.as_bytes();
     Ok(xxh3_64(&bytes[..bytes.len().min(PREFIX_BYTES)]))
 }
 
-fn joined_contents(messages: &[Value]) -> String {
+fn join_contents(messages: &[Value]) -> String {
     let contents = messages
         .iter()
         .filter_map(|message| message.get("content")?.as_str());
     contents.collect::<Vec<_>>().join("\n")
 }
 
-fn wrong_field(field: &str, expected: &str) -> CallerError {
+fn invalid_field(field: &str, expected: &str) -> CallerError {
     CallerError::not_run(
         StatusCode::BAD_REQUEST,
         "invalid_field",
@@ -338,7 +343,7 @@
     )
 }
 
-/// The bytes of an answer that is passed on as it is.
+/// Collects the body of an answer that is forwarded unchanged.
 pub async fn rest_of_body(answer: &mut OpenAnswer) -> Vec<u8> {
     let mut body = Vec::new();
     while let Some(CallerEvent::Chunk(chunk)) = answer.next().await {
@@ -349,7 +354,7 @@
     body
 }
 
-/// Writes an answer that is passed on as it is.
+/// Writes an answer that is forwarded unchanged. An invalid status becomes 502.
 pub fn render_raw(response: &mut Response, status: u16, content_type: Option<&str>, body: Vec<u8>) {
     response.status_code(StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY));
     if let Some(value) = content_type.and_then(|text| HeaderValue::from_str(text).ok()) {
--- a/daemon/src/counters.rs
+++ b/daemon/src/counters.rs
@@ -1,28 +1,28 @@
-//! Counters of one node, for the metrics page.
+//! Metrics counted by the daemon, for the metrics endpoint.
 
 use prometheus::{IntCounter, IntCounterVec, Opts, Registry};
 
-/// Prefix of every metric.
+/// Prefix of every metric name.
 pub const METRIC_PREFIX: &str = "monsoonbank";
 
-/// Counters of one node.
+/// Metrics of one node, counted since its start.
 #[derive(Debug)]
 pub struct NodeCounters {
-    /// All of them.
+    /// Registry of all the metrics below, for export.
     pub registry: Registry,
-    /// Calls by class and outcome.
+    /// Ended calls, by class and outcome.
     pub calls: IntCounterVec,
     /// Bytes sent to other nodes as control messages, frame headers included.
     pub control_sent_bytes: IntCounter,
     /// Bytes received from other nodes as control messages, frame headers included.
     pub control_received_bytes: IntCounter,
-    /// Bytes sent to other nodes with calls and answers.
+    /// Bytes sent to other nodes with calls and answers, frame headers included.
     pub data_sent_bytes: IntCounter,
-    /// Bytes received from other nodes with calls and answers.
+    /// Bytes received from other nodes with calls and answers, frame headers included.
     pub data_received_bytes: IntCounter,
-    /// Frames from other nodes that could not be decoded.
+    /// Frames received from other nodes that could not be decoded.
     pub bad_frames: IntCounter,
-    /// Answer pieces that were dropped as late or doubled.
+    /// Answer chunks that were dropped because they were late or duplicates.
     pub dropped_chunks: IntCounter,
 }
 
--- a/daemon/src/driver.rs
+++ b/daemon/src/driver.rs
@@ -1,4 +1,4 @@
-//! The one task that owns the kernel: feeds it events in order and carries out its actions.
+//! The task that owns the kernel: passes it events in order of arrival and executes its actions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,10 +15,10 @@
 use crate::shared::{Input, NodeShared};
 use crate::{links, orders, platform, upstreams};
 
-/// Time between two ticks of the kernel.
+/// Interval of the kernel's tick events.
 pub const TICK: Duration = Duration::from_millis(20);
 
-/// Runs the kernel until the node is killed or has finished.
+/// Runs the kernel until the node is killed or the input queue is closed.
 pub async fn run(
     shared: Arc<NodeShared>,
     mut kernel: Kernel,
@@ -38,7 +38,7 @@
         };
         handle(&shared, &mut kernel, input, &mut actions);
         for action in actions.drain(..) {
-            carry_out(&shared, action);
+            execute(&shared, action);
         }
     }
 }
@@ -55,7 +55,7 @@
                 kernel.handle(now, lost_event(lost), actions);
             }
         }
-        // Whoever asked may be gone by now.
+        // Sending fails if the requester has given up, which is no error.
         Input::Dump(section, reply) => drop(reply.send(kernel.dump(section.as_deref()))),
         Input::Gauges(reply) => drop(reply.send(kernel.gauges())),
     }
@@ -92,12 +92,12 @@
         }
         Frame::Relayed(call, index, chunk) => {
             let delivery = shared.calls.deliver_relayed(call, index, chunk);
-            judge(shared, call, index, delivery);
+            record_delivery(shared, call, index, delivery);
         }
     }
 }
 
-fn carry_out(shared: &Arc<NodeShared>, action: Action) {
+fn execute(shared: &Arc<NodeShared>, action: Action) {
     match action {
         Action::Send { to, message } => send(shared, to, message),
         Action::StartAttempt(start) => upstreams::start(shared, start),
@@ -178,7 +178,7 @@
     }
 }
 
-/// Sends a piece of an answer to the entry node, which may be this one.
+/// Sends a chunk of an answer to the entry node, which may be this node.
 pub fn send_chunk(
     shared: &Arc<NodeShared>,
     entry: NodeId,
@@ -196,11 +196,11 @@
 fn deliver(shared: &Arc<NodeShared>, attempt: AttemptId, index: u32, chunk: Chunk) -> Delivery {
     let mut send = |node, frame| links::send(shared, node, frame);
     let delivery = shared.calls.deliver(attempt, index, chunk, &mut send);
-    judge(shared, attempt.call, index, delivery);
+    record_delivery(shared, attempt.call, index, delivery);
     delivery
 }
 
-fn judge(shared: &NodeShared, call: CallId, index: u32, delivery: Delivery) {
+fn record_delivery(shared: &NodeShared, call: CallId, index: u32, delivery: Delivery) {
     match delivery {
         Delivery::Dropped => shared.counters.dropped_chunks.inc(),
         Delivery::Gap => log::error!("call={call} event=gap index={index}"),
--- a/daemon/src/exit_codes.rs
+++ b/daemon/src/exit_codes.rs
@@ -2,14 +2,14 @@
 
 use crate::error::NodeError;
 
-/// How the daemon ended.
+/// Exit status of the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitCode {
-    /// It left as planned.
+    /// Graceful shutdown, or valid settings with `--check`: code 0.
     Success,
-    /// The settings are wrong.
+    /// The settings cannot be read or are invalid: code 2.
     Settings,
-    /// It could not start.
+    /// The node could not start for any other reason: code 1.
     Start,
 }
 
--- a/daemon/src/frame.rs
+++ b/daemon/src/frame.rs
@@ -1,4 +1,4 @@
-//! What travels on a link between two nodes: kernel messages, request bodies, answer chunks.
+//! Frames on a link between two nodes: kernel messages, request bodies and answer chunks, encoded as
 //! CBOR (RFC 8949) in binary WebSocket messages (RFC 6455).
 
 use bytes::Bytes;
@@ -10,36 +10,37 @@
 /// The parts of a caller's request that an upstream needs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestParts {
-    /// The HTTP method.
+    /// HTTP method.
     pub method: Box<str>,
-    /// Path and query at the upstream.
+    /// Path and query, as sent to the upstream.
     pub path: Box<str>,
-    /// The content type, if the caller named one.
+    /// Value of the `Content-Type` header; `None` if the caller sent none.
     pub content_type: Option<Box<str>>,
-    /// The caller's idempotency key, if any.
+    /// The caller's idempotency key; `None` if it sent none.
     pub key: Option<Box<str>>,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// A piece of an answer.
+/// A part of an answer, as forwarded from the upstream to the caller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Chunk {
-    /// Status and content type, for answers that are passed on as they are.
+    /// Status and content type of an answer that is forwarded unchanged.
     Head {
-        /// The HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// The content type.
+        /// Value of the `Content-Type` header; `None` if the upstream sent none.
         content_type: Option<Box<str>>,
     },
-    /// Body bytes of an answer that is passed on as it is.
+    /// Body bytes of an answer that is forwarded unchanged.
     Data(Bytes),
     /// The `choices` array of one completion chunk, as JSON text.
     Choices {
-        /// The JSON text.
+        /// JSON text of the array.
         json: Box<str>,
-        /// Whether it carries a token; the others do not count for resuming.
+        /// Whether it carries a token. Chunks without one do not count as progress when a stream is
+        /// resumed.
         token: bool,
     },
     /// The `usage` object of a completion, as JSON text.
@@ -47,7 +48,7 @@
 }
 
 impl Chunk {
-    /// Whether the chunk moves the answer's index on.
+    /// Whether the next chunk of the answer has a higher index than this one.
     pub fn counts(&self) -> bool {
         match self {
             Self::Head { .. } | Self::Data(_) => true,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Bytes that the chunk keeps in memory, roughly.
+    /// Approximate memory use of the chunk, in bytes.
     pub fn bytes(&self) -> usize {
         match self {
             Self::Head { .. } => 64,
@@ -66,35 +67,36 @@
     }
 }
 
-/// One message on a link.
+/// A message on a link between two nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// A kernel message.
+    /// A kernel message without a request body.
     #[serde(rename = "m")]
     Message(Message),
-    /// A kernel message with the body of the request that it is about.
+    /// A kernel message together with the request that it refers to.
     #[serde(rename = "b")]
     Request(Message, RequestParts),
-    /// Owner to entry: a piece of an attempt's answer.
+    /// Owner to entry: a chunk of an attempt's answer, with its index.
     #[serde(rename = "c")]
     Chunk(AttemptId, u32, Chunk),
-    /// Minter to relaying node: a piece of a relayed call's answer.
+    /// Minter of the idempotency key to relaying node: a chunk of a relayed call's answer, with its
+    /// index.
     #[serde(rename = "r")]
     Relayed(CallId, u32, Chunk),
 }
 
-/// A frame that cannot be read or written.
+/// Error of encoding or decoding a frame.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// Not CBOR, or not a frame that this version knows.
+    /// The bytes are not CBOR, or not a frame of this version.
     #[error("undecodable frame: {0}")]
     Decode(Box<str>),
-    /// Cannot be encoded.
+    /// The frame cannot be encoded.
     #[error("unencodable frame: {0}")]
     Encode(Box<str>),
 }
 
-/// Encodes a frame.
+/// Encodes a frame as CBOR.
 pub fn encode(frame: &Frame) -> Result<Bytes, FrameError> {
     let mut buffer = Vec::with_capacity(128);
     ciborium::into_writer(frame, &mut buffer)
@@ -102,7 +104,7 @@
     Ok(buffer.into())
 }
 
-/// Decodes a frame.
+/// Decodes a frame from CBOR.
 pub fn decode(bytes: &[u8]) -> Result<Frame, FrameError> {
     ciborium::from_reader(bytes).map_err(|error| FrameError::Decode(error.to_string().into()))
 }
--- a/daemon/src/intake.rs
+++ b/daemon/src/intake.rs
@@ -1,4 +1,5 @@
-//! Takes a caller's request in: who it is from, what the rules say, and the open call.
+//! Processes a caller's request: authenticates the workspace, classifies the request by the
+//! configured rules, and opens the call.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -18,44 +19,45 @@
 use crate::shared::NodeShared;
 use crate::sink::{CallReceiver, CallerEvent};
 
-/// Bytes of a prompt that count as one token when the prompt's size is estimated.
+/// Bytes per token for estimating the size of a prompt.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// The workspace that sent a request.
+/// An authenticated caller: the workspace that sent a request.
 #[derive(Clone, Debug)]
 pub struct KnownCaller {
-    /// The configuration that the request is judged by.
+    /// Configuration that was in force when the request was authenticated; it applies to the whole
+    /// request.
     pub config: Arc<Config>,
-    /// The workspace.
+    /// Identifier of the workspace.
     pub workspace: WorkspaceId,
-    /// Its settings.
+    /// Configuration of the workspace.
     pub spec: Arc<WorkspaceSpec>,
 }
 
-/// What a request is, beyond its head.
+/// Properties of a request that are read from its body or path.
 #[derive(Clone, Debug, Default)]
 pub struct RequestShape<'a> {
-    /// The model or service named.
+    /// Name of the requested model or plain service.
     pub model: &'a str,
-    /// Whether the answer is streamed.
+    /// Whether the caller asked for a streamed answer.
     pub streamed: bool,
-    /// Most tokens that the caller takes; 0 for no bound.
+    /// Maximum number of tokens in the answer; 0 for no limit.
     pub max_tokens: u32,
-    /// Hash of the beginning of the prompt.
+    /// Hash of the beginning of the prompt, for cache affinity; 0 for plain services.
     pub prefix: u64,
 }
 
-/// A call on its way; cancels itself when it is dropped before its end.
+/// Handle of an open call. Dropping it before the call has ended cancels the call.
 pub struct OpenAnswer {
     shared: Arc<NodeShared>,
-    /// The call.
+    /// Identifier of the call.
     pub call: CallId,
     receiver: CallReceiver,
     finished: bool,
 }
 
 impl OpenAnswer {
-    /// The next piece or the end.
+    /// Waits for the next chunk or the end. `None` if the call was dropped without an outcome.
     pub async fn next(&mut self) -> Option<CallerEvent> {
         let event = self.receiver.next().await?;
         self.finished |= matches!(event, CallerEvent::Finished(_));
@@ -71,7 +73,8 @@
     }
 }
 
-/// Finds the workspace by the request's bearer token.
+/// Authenticates a request by its bearer token. An error means that no configuration is in force yet,
+/// or that the token is missing or unknown.
 pub fn identify(shared: &NodeShared, request: &Request) -> Result<KnownCaller, CallerError> {
     let config = shared.config();
     if config.classes.is_empty() {
@@ -98,7 +101,7 @@
     })
 }
 
-/// SHA-256 of a workspace's token, in hexadecimal, as the configuration keeps it.
+/// SHA-256 hash of a workspace's token in hexadecimal, as stored in the configuration.
 pub fn token_hash(token: &[u8]) -> String {
     let mut text = String::with_capacity(64);
     for byte in Sha256::digest(token) {
@@ -116,7 +119,7 @@
     )
 }
 
-/// The bearer token of a request (RFC 6750).
+/// The bearer token of a request (RFC 6750); `None` if it has none.
 pub fn bearer(request: &Request) -> Option<&[u8]> {
     let value = request.headers().get("authorization")?.as_bytes();
     let (scheme, token) = value.split_at_checked("bearer ".len())?;
@@ -125,7 +128,8 @@
         .then(|| token.trim_ascii())
 }
 
-/// What the rules say of a request.
+/// Classifies a request by the configured rules. An error means that no rule matches, or that the
+/// model or service is unknown. `bytes` is the size of the body.
 pub fn classify(
     caller: &KnownCaller,
     request: &Request,
@@ -158,7 +162,8 @@
     })
 }
 
-/// Opens the call.
+/// Opens a call for a classified request. An error means that the class is unknown or the node has
+/// reached its limit of open calls.
 pub fn open(
     shared: &Arc<NodeShared>,
     caller: &KnownCaller,
@@ -213,7 +218,7 @@
     })
 }
 
-/// Hash of what a key answers for: another request under the same key is a caller's mistake.
+/// Hash of method, path and body. It detects a different request under the same idempotency key.
 fn fingerprint(parts: &RequestParts) -> u64 {
     let mut hasher = Xxh3Default::new();
     for field in [parts.method.as_bytes(), parts.path.as_bytes(), &parts.body] {
@@ -223,7 +228,7 @@
     hasher.digest()
 }
 
-/// Counts a call's end.
+/// Counts an ended call by class and outcome; no error means a whole answer.
 pub fn count(shared: &NodeShared, class: &str, error: Option<&CallerError>) {
     let outcome = error.map_or("whole", |error| error.outcome);
     shared
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! A monsoonbank node: the edges between the kernel and callers, upstreams, the platform, other
-//! nodes and operators.
+//! A monsoonbank node: the network interfaces that connect the kernel to callers, upstreams, the
+//! platform, other nodes and operators.
 
 pub mod answers;
 pub mod body;
--- a/daemon/src/links.rs
+++ b/daemon/src/links.rs
@@ -1,4 +1,5 @@
-//! Links to other nodes. Each node dials the nodes that it sends to; a link carries frames one way.
+//! Links to other nodes: WebSocket connections that carry frames in one direction, from the node that
+//! dialled to the node that accepted.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -25,18 +26,19 @@
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 const REDIAL_PAUSE: Duration = Duration::from_millis(200);
 const MAX_REDIAL_PAUSE: Duration = Duration::from_secs(2);
-/// How long a link to a node that the host list does not show yet is waited for.
-const UNKNOWN_PATIENCE: Duration = Duration::from_secs(3);
-const UNKNOWN_PAUSE: Duration = Duration::from_millis(50);
+/// How long a dial waits for a node that is not in the host list yet.
+const MEMBER_WAIT: Duration = Duration::from_secs(3);
+const MEMBER_POLL: Duration = Duration::from_millis(50);
 const BUFFER_BYTES: usize = 8 * 1024;
 const MAX_FRAME_BYTES: usize = 8 << 20;
-/// Frames that wait for one link; more mean that the other side does not read.
-const MAX_WAITING_FRAMES: usize = 65_536;
-/// Bytes of an IP and a TCP header (RFC 791, RFC 9293 with timestamps) and of a masked WebSocket
-/// frame header (RFC 6455), counted for each message.
+/// Capacity of a link's send queue, in frames. A full queue means that the peer does not read; the
+/// link then counts as lost.
+const MAX_QUEUED_FRAMES: usize = 65_536;
+/// Overhead that is counted for each message, in bytes: an IP header (RFC 791), a TCP header with
+/// timestamps (RFC 9293) and the header of a masked WebSocket frame (RFC 6455).
 const HEADER_BYTES: u64 = 20 + 32 + 8;
 
-/// Why a link ended.
+/// Why a link failed.
 #[derive(Debug, Error)]
 enum LinkError {
     #[error("{0}")]
@@ -45,16 +47,16 @@
     Protocol(Box<tokio_tungstenite::tungstenite::Error>),
     #[error("{0}")]
     Frame(#[from] FrameError),
-    #[error("the other side did not prove the key")]
+    #[error("the peer did not prove that it has the shared key")]
     Proof,
-    #[error("no handshake in time")]
+    #[error("the handshake timed out")]
     Timeout,
-    #[error("no random bytes: {0}")]
+    #[error("cannot get random bytes: {0}")]
     Random(#[from] getrandom::Error),
-    #[error("closed")]
+    #[error("connection closed by the peer")]
     Closed,
-    #[error("the host list does not show the node")]
-    Stranger,
+    #[error("the node is not in the host list")]
+    UnknownNode,
 }
 
 impl From<tokio_tungstenite::tungstenite::Error> for LinkError {
@@ -63,15 +65,15 @@
     }
 }
 
-/// The sending end of a link.
+/// Sending end of a link.
 #[derive(Clone, Debug)]
 struct LinkEnd {
     sender: mpsc::Sender<Frame>,
-    /// Set while the other node cannot be reached; frames are lost then.
+    /// Set while the peer is unreachable; queued frames are discarded then.
     broken: Arc<AtomicBool>,
 }
 
-/// The sending ends of the links to other nodes.
+/// Sending ends of the links to other nodes.
 #[derive(Debug, Default)]
 pub struct LinkTable {
     ends: Mutex<BTreeMap<NodeId, LinkEnd>>,
@@ -83,8 +85,9 @@
     }
 }
 
-/// Sends a frame to another node, dialling it first when there is no link. A call's frame that
-/// cannot be sent counts as a lost link; control messages are sent again by their own rules.
+/// Queues a frame for another node and dials the node if there is no link. If the frame belongs to a
+/// call and cannot be queued, the link is reported as lost. A control message is dropped instead, as
+/// the kernel resends it.
 pub fn send(shared: &Arc<NodeShared>, to: NodeId, frame: Frame) {
     let control = is_control(&frame);
     let end = {
@@ -98,7 +101,7 @@
 }
 
 fn open(shared: &Arc<NodeShared>, to: NodeId) -> LinkEnd {
-    let (sender, frames) = mpsc::channel(MAX_WAITING_FRAMES);
+    let (sender, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
     let end = LinkEnd {
         sender,
         broken: Arc::default(),
@@ -106,36 +109,36 @@
     let broken = Arc::clone(&end.broken);
     let own = Arc::clone(shared);
     shared.spawn(async move {
-        keep_link(&own, to, frames, &broken).await;
+        maintain_link(&own, to, frames, &broken).await;
         own.links.lock().remove(&to);
     });
     end
 }
 
-/// Keeps a link up for as long as the node exists. Frames were lost each time that it broke: the
-/// other node is told so when the link stands again.
-async fn keep_link(
+/// Dials a node and redials it whenever the link breaks, until the node is dead. Frames may be lost at
+/// each break, so the handshake of the next link reports it to the peer.
+async fn maintain_link(
     shared: &Arc<NodeShared>,
     to: NodeId,
     mut frames: mpsc::Receiver<Frame>,
     broken: &AtomicBool,
 ) {
     let mut pause = REDIAL_PAUSE;
-    let mut lost = false;
+    let mut frames_lost = false;
     loop {
-        match dial(shared, to, lost).await {
+        match dial(shared, to, frames_lost).await {
             Ok(socket) => {
                 broken.store(false, Ordering::Release);
                 pause = REDIAL_PAUSE;
                 shared.event(Event::LinkUp(to));
-                if let Err(error) = pump(shared, &mut frames, socket).await {
+                if let Err(error) = send_queued(shared, &mut frames, socket).await {
                     log::debug!("event=link_lost node={to} reason=\"{error}\"");
                 }
             }
             Err(error) => log::debug!("event=dial_failed node={to} reason=\"{error}\""),
         }
         broken.store(true, Ordering::Release);
-        lost = true;
+        frames_lost = true;
         while frames.try_recv().is_ok() {}
         shared.input(Input::LinkLost(to));
         tokio::time::sleep(pause).await;
@@ -155,27 +158,28 @@
 async fn dial(
     shared: &NodeShared,
     to: NodeId,
-    lost: bool,
+    frames_lost: bool,
 ) -> Result<WebSocketStream<TcpStream>, LinkError> {
     let member = find_member(shared, to).await?;
-    tokio::time::timeout(HANDSHAKE_TIMEOUT, connect(shared, &member, lost))
+    tokio::time::timeout(HANDSHAKE_TIMEOUT, connect(shared, &member, frames_lost))
         .await
         .map_err(|_| LinkError::Timeout)?
 }
 
-/// A node may have sent something before the host list shows it here.
+/// Waits for a node to appear in the member list: a node may send frames to this one before this one
+/// has read the host list that contains it.
 async fn find_member(shared: &NodeShared, node: NodeId) -> Result<Member, LinkError> {
-    let looks = UNKNOWN_PATIENCE.as_millis() / UNKNOWN_PAUSE.as_millis();
-    for _ in 0..looks {
+    let attempts = MEMBER_WAIT.as_millis() / MEMBER_POLL.as_millis();
+    for _ in 0..attempts {
         if let Some(member) = shared.members().members.get(&node) {
             return Ok(member.clone());
         }
-        tokio::time::sleep(UNKNOWN_PAUSE).await;
+        tokio::time::sleep(MEMBER_POLL).await;
     }
-    Err(LinkError::Stranger)
+    Err(LinkError::UnknownNode)
 }
 
-async fn pump(
+async fn send_queued(
     shared: &NodeShared,
     frames: &mut mpsc::Receiver<Frame>,
     mut socket: WebSocketStream<TcpStream>,
@@ -186,21 +190,21 @@
                 let Some(frame) = frame else {
                     return Ok(());
                 };
-                feed(shared, &mut socket, &frame).await?;
+                write_frame(shared, &mut socket, &frame).await?;
                 while let Ok(frame) = frames.try_recv() {
-                    feed(shared, &mut socket, &frame).await?;
+                    write_frame(shared, &mut socket, &frame).await?;
                 }
                 socket.flush().await?;
             }
             received = socket.next() => {
-                // The other side sends nothing after its welcome; this sees the link close.
+                // The peer sends nothing after its welcome; reading only detects that it closed.
                 received.ok_or(LinkError::Closed)??;
             }
         }
     }
 }
 
-async fn feed(
+async fn write_frame(
     shared: &NodeShared,
     socket: &mut WebSocketStream<TcpStream>,
     frame: &Frame,
@@ -219,7 +223,7 @@
     Ok(())
 }
 
-/// Whether the frame is the router's own traffic and not part of a call.
+/// Whether a frame is control traffic between nodes and not part of a call.
 fn is_control(frame: &Frame) -> bool {
     match frame {
         Frame::Message(message) => {
@@ -240,7 +244,7 @@
 async fn connect(
     shared: &NodeShared,
     member: &Member,
-    lost: bool,
+    frames_lost: bool,
 ) -> Result<WebSocketStream<TcpStream>, LinkError> {
     let stream = TcpStream::connect(&*member.peer_address).await?;
     stream.set_nodelay(true)?;
@@ -248,18 +252,18 @@
     let (mut socket, _) =
         tokio_tungstenite::client_async_with_config(address, stream, Some(websocket_config()))
             .await?;
-    let challenge: proof::Nonce = read_plain(&mut socket).await?;
+    let challenge: proof::Nonce = read_value(&mut socket).await?;
     let key = &shared.settings.secrets.peer_key;
     let claim = LinkClaim {
         name: shared.profile.name.clone(),
         incarnation: shared.profile.incarnation.0,
-        lost,
+        lost: frames_lost,
         nonce: proof::nonce()?,
     };
     let proof = proof::prove(key, ProofSide::Dialler, &challenge, &claim);
     let hello = LinkHello { claim, proof };
-    write_plain(&mut socket, &hello).await?;
-    let welcome: LinkWelcome = read_plain(&mut socket).await?;
+    write_value(&mut socket, &hello).await?;
+    let welcome: LinkWelcome = read_value(&mut socket).await?;
     let claim = &hello.claim;
     if !proof::check(
         key,
@@ -290,8 +294,8 @@
 }
 
 async fn accept(shared: &Arc<NodeShared>, stream: TcpStream) {
-    let welcomed = tokio::time::timeout(HANDSHAKE_TIMEOUT, welcome(shared, stream)).await;
-    let (mut socket, from, lost) = match welcomed {
+    let handshake = tokio::time::timeout(HANDSHAKE_TIMEOUT, accept_handshake(shared, stream)).await;
+    let (mut socket, from, frames_lost) = match handshake {
         Ok(Ok(accepted)) => accepted,
         Ok(Err(error)) => {
             log::warn!("event=link_refused reason=\"{error}\"");
@@ -299,7 +303,7 @@
         }
         Err(_) => return,
     };
-    if lost {
+    if frames_lost {
         shared.input(Input::LinkLost(from));
     }
     while let Some(Ok(message)) = socket.next().await {
@@ -328,7 +332,7 @@
     shared.input(Input::Frame(from, frame));
 }
 
-async fn welcome(
+async fn accept_handshake(
     shared: &NodeShared,
     stream: TcpStream,
 ) -> Result<(WebSocketStream<TcpStream>, NodeId, bool), LinkError> {
@@ -336,19 +340,19 @@
     let mut socket =
         tokio_tungstenite::accept_async_with_config(stream, Some(websocket_config())).await?;
     let challenge = proof::nonce()?;
-    write_plain(&mut socket, &challenge).await?;
-    let hello: LinkHello = read_plain(&mut socket).await?;
+    write_value(&mut socket, &challenge).await?;
+    let hello: LinkHello = read_value(&mut socket).await?;
     let key = &shared.settings.secrets.peer_key;
     let claim = hello.claim;
     if !proof::check(key, ProofSide::Dialler, &challenge, &claim, &hello.proof) {
         return Err(LinkError::Proof);
     }
     let proof = proof::prove(key, ProofSide::Listener, &claim.nonce, &claim);
-    write_plain(&mut socket, &LinkWelcome { proof }).await?;
+    write_value(&mut socket, &LinkWelcome { proof }).await?;
     Ok((socket, NodeId::named(&claim.name), claim.lost))
 }
 
-async fn read_plain<T: serde::de::DeserializeOwned>(
+async fn read_value<T: serde::de::DeserializeOwned>(
     socket: &mut WebSocketStream<TcpStream>,
 ) -> Result<T, LinkError> {
     let message = socket.next().await.ok_or(LinkError::Closed)??;
@@ -359,7 +363,7 @@
         .map_err(|error| FrameError::Decode(error.to_string().into()).into())
 }
 
-async fn write_plain<T: serde::Serialize>(
+async fn write_value<T: serde::Serialize>(
     socket: &mut WebSocketStream<TcpStream>,
     value: &T,
 ) -> Result<(), LinkError> {
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `monsoonbankd`: runs one node until it is told to stop.
+//! `monsoonbankd`: runs one node until SIGTERM or SIGINT.
 
 use std::path::PathBuf;
 
@@ -15,8 +15,8 @@
 const LONG_ABOUT: &str = "\
 Runs one node of the monsoonbank router.
 
-The node reads its settings once. It stops on SIGTERM or SIGINT: it takes nothing new, finishes \
-every call that it has, and exits with 0.
+The node reads its settings once, at startup. On SIGTERM or SIGINT it rejects new calls, finishes \
+the open ones and exits with 0.
 
 Examples:
   monsoonbankd --config /etc/monsoonbank/node.yaml
@@ -24,7 +24,7 @@
   monsoonbankd gateway --config gateway.yaml";
 
 const GATEWAY_ABOUT: &str = "\
-Runs one node that passes calls on unchanged, for a platform that has its own interfaces.
+Runs one node that forwards calls unchanged, for a platform that has its own interfaces.
 
 Examples:
   monsoonbankd gateway --config /etc/monsoonbank/settings.yaml
@@ -40,7 +40,7 @@
         .arg(check_argument())
         .subcommand(
             Command::new("gateway")
-                .about("Runs a node that passes calls on unchanged")
+                .about("Runs a node that forwards calls unchanged")
                 .long_about(GATEWAY_ABOUT)
                 .arg(config_argument().env(names::SETTINGS_VARIABLE))
                 .arg(check_argument()),
--- a/daemon/src/message.rs
+++ b/daemon/src/message.rs
@@ -1,11 +1,11 @@
-//! A completion's pieces, put together for a caller that wants its answer whole.
+//! Assembles the chunks of a completion for callers that did not ask for a stream.
 
 use serde_json::{Value, json};
 
 use crate::completions::{AnswerFrame, CompletionKind};
 use crate::frame::Chunk;
 
-/// Puts the pieces of an answer together for a caller that wants it whole.
+/// Assembles the chunks of a completion into one JSON answer.
 #[derive(Debug, Default)]
 pub struct WholeMessage {
     text: String,
@@ -15,7 +15,7 @@
 }
 
 impl WholeMessage {
-    /// Takes in the next piece.
+    /// Adds the next chunk. Chunks that are not part of a completion are ignored.
     pub fn add(&mut self, chunk: &Chunk) {
         match chunk {
             Chunk::Choices { json, .. } => self.add_choice(json),
@@ -51,23 +51,23 @@
         }
     }
 
-    /// Tool calls come in pieces, too: the arguments of one index belong together.
-    fn add_tool_call(&mut self, piece: &Value) {
-        let index = piece
+    /// Tool calls are streamed in parts: the arguments of parts with the same index are concatenated.
+    fn add_tool_call(&mut self, part: &Value) {
+        let index = part
             .get("index")
             .and_then(Value::as_u64)
             .unwrap_or_default() as usize;
         let Some(known) = self.tool_calls.get_mut(index) else {
-            self.tool_calls.push(piece.clone());
+            self.tool_calls.push(part.clone());
             return;
         };
-        let more = piece.pointer("/function/arguments").and_then(Value::as_str);
+        let more = part.pointer("/function/arguments").and_then(Value::as_str);
         if let (Some(more), Some(arguments)) = (more, known.pointer_mut("/function/arguments")) {
             *arguments = format!("{}{more}", arguments.as_str().unwrap_or_default()).into();
         }
     }
 
-    /// The whole answer.
+    /// Returns the assembled answer in the shape of the completions API.
     pub fn finish(self, frame: &AnswerFrame) -> Value {
         let choice = match frame.kind {
             CompletionKind::Text => json!({
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -1,4 +1,4 @@
-//! A running node: all its tasks, and how to stop it.
+//! Starts and stops a node and its tasks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,52 +20,52 @@
 use crate::shared::{NodeShared, SharedParts};
 use crate::{callers, driver, links, operators, platform, reports};
 
-/// Connections waiting to be accepted.
+/// Maximum number of connections in a listening socket's accept queue.
 const BACKLOG: u32 = 1024;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A running node.
+/// Handle of a running node. Dropping it leaves the node running.
 pub struct NodeHandle {
     shared: Arc<NodeShared>,
-    /// Where callers connect.
+    /// Listen address for callers, with the actual port.
     pub callers: SocketAddr,
-    /// Where other nodes connect.
+    /// Listen address for other nodes, with the actual port.
     pub peers: SocketAddr,
-    /// Where operators connect.
+    /// Listen address for operators, with the actual port.
     pub operators: SocketAddr,
 }
 
 impl NodeHandle {
-    /// What the node's tasks share.
+    /// State shared by the node's tasks.
     pub fn shared(&self) -> &Arc<NodeShared> {
         &self.shared
     }
 
-    /// Asks the node to leave: it takes nothing new and finishes what it has.
+    /// Starts a graceful shutdown: the node rejects new calls and finishes the open ones.
     pub fn drain(&self) {
         self.shared.event(Event::DrainNode);
     }
 
-    /// Waits until the node has left.
+    /// Waits until a graceful shutdown has finished.
     pub async fn finished(&self) {
         self.shared.done.cancelled().await;
     }
 
-    /// Ends every task of the node at once, as a crash would.
+    /// Cancels every task of the node immediately, as a crash would, and waits for them to end.
     pub async fn kill(&self) {
         self.shared.kill.cancel();
         self.shared.wait().await;
     }
 }
 
-/// Starts a node.
+/// Binds the listening sockets of the settings and starts a node.
 pub async fn start(settings: Settings) -> Result<NodeHandle, NodeError> {
     let listeners = NodeListeners::bind(&settings).await?;
     start_with(settings, listeners)
 }
 
-/// The node's listening sockets.
+/// A node's listening sockets, one per kind of client.
 pub struct NodeListeners {
     callers: TcpListener,
     peers: TcpListener,
@@ -73,8 +73,8 @@
 }
 
 impl NodeListeners {
-    /// Listens on the addresses of the settings; port 0 takes a free one.
-    // The sockets belong to the runtime that awaits this.
+    /// Binds the listen addresses of the settings; port 0 picks a free port.
+    // Async because the sockets have to be registered with the runtime that awaits this.
     #[allow(clippy::unused_async)]
     pub async fn bind(settings: &Settings) -> Result<Self, NodeError> {
         let listen = &settings.listen;
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Addresses for callers, nodes and operators.
+    /// Bound addresses for callers, other nodes and operators, in this order.
     pub fn addresses(&self) -> std::io::Result<[SocketAddr; 3]> {
         Ok([
             self.callers.local_addr()?,
@@ -103,8 +103,8 @@
     })
 }
 
-/// Listens on a port. Accepted connections inherit `TCP_NODELAY`: otherwise a token waits for the
-/// acknowledgement of the one before.
+/// Opens a listening socket. Accepted connections inherit `TCP_NODELAY`; without it each token of a
+/// stream would wait for the TCP acknowledgement of the previous one.
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -116,7 +116,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Starts a node on sockets that listen already.
+/// Starts a node on sockets that are already bound.
 pub fn start_with(settings: Settings, listeners: NodeListeners) -> Result<NodeHandle, NodeError> {
     let profile = profile(&settings)?;
     let (inputs, receiver) = mpsc::unbounded_channel();
@@ -181,7 +181,7 @@
 }
 
 fn client() -> reqwest::ClientBuilder {
-    // Retries are the kernel's decision alone.
+    // Only the kernel decides on retries, so the client never retries by itself.
     reqwest::Client::builder()
         .no_proxy()
         .http1_only()
--- a/daemon/src/operators.rs
+++ b/daemon/src/operators.rs
@@ -1,4 +1,5 @@
-//! The operators' interface: state dump, metrics, health, draining.
+//! HTTP interface for operators: health, metrics, state dump, draining, orders and configuration
+//! changes.
 
 use std::sync::Arc;
 
@@ -19,7 +20,7 @@
 use crate::refusal::CallerError;
 use crate::shared::{Input, NodeShared};
 
-/// Largest change, in bytes.
+/// Maximum size of a change, in bytes.
 const CHANGE_BYTES: usize = 8 << 20;
 
 #[derive(Clone, Copy)]
@@ -40,7 +41,7 @@
     call: OperatorCall,
 }
 
-/// The routes.
+/// Creates the routes of the operators' listen address.
 pub fn router(shared: &Arc<NodeShared>) -> Router {
     let api = |call| OperatorApi {
         shared: Arc::clone(shared),
@@ -90,7 +91,7 @@
 
 impl OperatorApi {
     fn authorized(&self, request: &Request) -> bool {
-        // Hashes of equal length are compared, so that the time tells nothing of the token.
+        // Comparing hashes instead of tokens keeps the duration independent of the token's bytes.
         let expected = Sha256::digest(self.shared.settings.secrets.operator_token.as_bytes());
         bearer(request).is_some_and(|token| Sha256::digest(token) == expected)
     }
@@ -151,7 +152,7 @@
         response.render(Json(answer.await.unwrap_or_default()));
     }
 
-    /// Answers once the change's record was read back from the log, or nothing is known of it.
+    /// Responds once the change's record has been read back from the log, or its fate stays unknown.
     async fn publish(&self, request: &mut Request, response: &mut Response) {
         let parsed = match request.payload_with_max_size(CHANGE_BYTES).await {
             Ok(body) => serde_json::from_slice::<ChangeRecord>(body).map_err(|e| e.to_string()),
@@ -171,7 +172,7 @@
         response.render(Json(answer.await.unwrap_or(PublishResult::Unavailable)));
     }
 
-    /// Takes an order; its outcome is told in the `leases` section of the state dump.
+    /// Accepts an order. Its outcome is shown in the `leases` section of the state dump.
     async fn order(&self, request: &mut Request, response: &mut Response) {
         let name = request.param::<String>("upstream").unwrap_or_default();
         let upstream = UpstreamId::named(&name);
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: sent only while the lease under which they are given still holds.
+//! Orders to engines. An order is sent only while the lease that authorizes it is valid.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,12 +10,13 @@
 
 use crate::shared::NodeShared;
 
-/// Sends an order in a task of its own.
+/// Sends an order with a fencing token to an engine, in its own task, unless the time `not_after` has
+/// passed. The result is sent to the kernel as an event.
 pub fn give(shared: &Arc<NodeShared>, request: OrderRequest, fencing: u64, not_after: Duration) {
     let own = Arc::clone(shared);
     shared.spawn(async move {
         let upstream = request.upstream;
-        let accepted = send(&own, &request, fencing, not_after).await;
+        let accepted = post(&own, &request, fencing, not_after).await;
         let order = &request.order;
         log::info!("event=order upstream={upstream} fencing={fencing} order=\"{order}\" accepted={accepted}");
         own.event(Event::OrderAnswered {
@@ -26,7 +27,7 @@
     });
 }
 
-async fn send(
+async fn post(
     shared: &NodeShared,
     request: &OrderRequest,
     fencing: u64,
@@ -38,7 +39,8 @@
     };
     let url = format!("http://{}/orders", upstream.spec.address);
     let body = json!({ "fencing": fencing, "order": request.order });
-    // One connection an order: a kept one could carry it later than it is given up here.
+    // Each order uses its own connection: on a reused one it could reach the engine after the timeout
+    // here.
     let order = shared
         .single_use_client
         .post(url)
--- a/daemon/src/platform.rs
+++ b/daemon/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's services: the append-only log and the host list, over HTTP.
+//! HTTP clients of the platform's services: the append-only log and the host list.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,14 +16,15 @@
 
 use crate::shared::NodeShared;
 
-/// How long the log may hold a read back until there is something new.
+/// Time for which the log may delay the response to a read until new records arrive (long polling).
 const READ_WAIT: Duration = Duration::from_secs(5);
-/// Time beyond that in which the log or the host list has to begin its answer, and longest pause within
-/// it: thousands of times what they take when they are well, and short beside their outages.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Longest wait for an answer to an append, beyond the time that the record needs at the least pace.
+/// Time limit for the start of a response, beyond the requested delay, and for each pause within it.
+/// It is thousands of times the usual response time of the log and the host list, and short compared
+/// with their outages.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout of an append, beyond the transfer time of the record at the lowest accepted rate.
 const APPEND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most records in one read.
+/// Maximum number of records in one read.
 const READ_LIMIT: usize = 1_000;
 
 #[derive(Deserialize)]
@@ -48,7 +49,7 @@
     offset: u64,
 }
 
-/// Reads the log from an offset in a task of its own.
+/// Reads the log from an offset, in its own task. The result is sent to the kernel as an event.
 pub fn read_log(shared: &Arc<NodeShared>, from: u64) {
     let own = Arc::clone(shared);
     shared.spawn(async move {
@@ -60,7 +61,7 @@
     });
 }
 
-/// Why a question to the platform has no answer.
+/// Why a request to the platform failed.
 #[derive(Debug, Error)]
 enum PlatformError {
     #[error("{0}")]
@@ -69,32 +70,32 @@
     TimedOut,
     #[error("the answer stalled, {received} bytes came")]
     Stalled { received: usize },
-    #[error("refused with {0}")]
+    #[error("refused with status {0}")]
     Refused(StatusCode),
     #[error("the answer is malformed: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// Asks and reads the answer whole; it may be held back for `wait`.
-async fn ask(
+/// Sends a GET request and reads the whole response, which the server may delay by `wait`.
+async fn fetch(
     shared: &NodeShared,
     url: &str,
     wait: Duration,
 ) -> Result<(StatusCode, Vec<u8>), PlatformError> {
-    let beginning = timeout(wait + PATIENCE, shared.client.get(url).send()).await;
-    let mut response = beginning.map_err(|_| PlatformError::TimedOut)??;
-    let mut pace = TransferPace::new(PATIENCE, shared.now());
+    let sent = timeout(wait + RESPONSE_TIMEOUT, shared.client.get(url).send()).await;
+    let mut response = sent.map_err(|_| PlatformError::TimedOut)??;
+    let mut pace = TransferPace::new(RESPONSE_TIMEOUT, shared.now());
     let mut body = Vec::new();
     loop {
-        let Ok(piece) = timeout(pace.time_left(shared.now()), response.chunk()).await else {
+        let Ok(chunk) = timeout(pace.time_left(shared.now()), response.chunk()).await else {
             let received = pace.received();
             return Err(PlatformError::Stalled { received });
         };
-        let Some(piece) = piece? else {
+        let Some(chunk) = chunk? else {
             return Ok((response.status(), body));
         };
-        pace.piece_came(piece.len());
-        body.extend_from_slice(&piece);
+        pace.piece_came(chunk.len());
+        body.extend_from_slice(&chunk);
     }
 }
 
@@ -102,7 +103,7 @@
     let base = &shared.settings.platform.log;
     let wait = READ_WAIT.as_millis();
     let url = format!("{base}/records?from={from}&wait_ms={wait}&limit={READ_LIMIT}");
-    let (status, body) = ask(shared, &url, READ_WAIT).await?;
+    let (status, body) = fetch(shared, &url, READ_WAIT).await?;
     if status == StatusCode::GONE {
         let start: LogStart = serde_json::from_slice(&body)?;
         return Ok(Event::LogTruncated { first: start.first });
@@ -111,21 +112,21 @@
         return Err(PlatformError::Refused(status));
     }
     let page: LogPage = serde_json::from_slice(&body)?;
-    let records = page.records.into_iter().map(known_record).collect();
+    let records = page.records.into_iter().map(parse_record).collect();
     Ok(Event::LogRead {
         records,
         end: page.end,
     })
 }
 
-fn known_record(row: LogRow) -> LogRecord {
+fn parse_record(row: LogRow) -> LogRecord {
     LogRecord {
         offset: row.offset,
         record: serde_json::from_value(row.record).ok(),
     }
 }
 
-/// Appends a record in a task of its own.
+/// Appends a record to the log, in its own task. The result is sent to the kernel as an event.
 pub fn append(shared: &Arc<NodeShared>, ticket: AppendTicket, record: Record) {
     let own = Arc::clone(shared);
     shared.spawn(async move {
@@ -167,7 +168,7 @@
     }
 }
 
-/// Looks at the host list again and again until the node ends.
+/// Polls the host list until the node ends.
 pub async fn poll_hosts(shared: Arc<NodeShared>) {
     let url = format!("{}/hosts", shared.settings.platform.hosts);
     loop {
@@ -180,7 +181,7 @@
 }
 
 async fn hosts(shared: &NodeShared, url: &str) -> Result<Vec<HostEntry>, PlatformError> {
-    let (status, body) = ask(shared, url, Duration::ZERO).await?;
+    let (status, body) = fetch(shared, url, Duration::ZERO).await?;
     if !status.is_success() {
         return Err(PlatformError::Refused(status));
     }
--- a/daemon/src/proof.rs
+++ b/daemon/src/proof.rs
@@ -1,42 +1,43 @@
-//! Proof of the shared key when a link is made: an HMAC-SHA-256 (RFC 2104) over a challenge.
+//! Mutual authentication of nodes when a link is set up: each side proves that it has the shared key
+//! with an HMAC-SHA-256 (RFC 2104) over the other side's challenge.
 
 use hmac::{Hmac, KeyInit, Mac};
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 
-/// A one-time challenge.
+/// A random challenge, used once.
 pub type Nonce = [u8; 16];
 
-/// Who dials, and what the listener must know.
+/// What the dialling node states about itself and its last link.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LinkClaim {
-    /// The dialling node's name.
+    /// Name of the dialling node.
     pub name: Box<str>,
-    /// The dialling node's run.
+    /// Incarnation of the dialling node, different for each run of its process.
     pub incarnation: u64,
-    /// Whether frames to the listener were lost since the last link stood.
+    /// Whether frames to the listener may have been lost since the last link.
     pub lost: bool,
-    /// Challenges the listener.
+    /// Challenge for the listener.
     pub nonce: Nonce,
 }
 
-/// The first frame of the dialling node.
+/// First message of the dialling node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LinkHello {
-    /// What it says.
+    /// Identity of the dialling node, and its challenge.
     pub claim: LinkClaim,
-    /// Answers the listener's challenge.
+    /// Proof for the listener's challenge.
     pub proof: [u8; 32],
 }
 
-/// The listener's answer to a hello.
+/// Reply of the listening node to a [`LinkHello`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LinkWelcome {
-    /// Answers the dialler's challenge.
+    /// Proof for the dialling node's challenge.
     pub proof: [u8; 32],
 }
 
-/// Which side gives a proof, so that neither can send the other's back.
+/// Side that gives a proof. It is part of the proof, so that neither side can replay the other's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProofSide {
     /// The dialling node.
@@ -59,12 +60,12 @@
     mac
 }
 
-/// A side's proof for a challenge and the claim that the link began with.
+/// Computes a side's proof for a challenge and the claim of the dialling node.
 pub fn prove(key: &str, side: ProofSide, nonce: &Nonce, claim: &LinkClaim) -> [u8; 32] {
     mac(key, side, nonce, claim).finalize().into_bytes().into()
 }
 
-/// Whether a proof holds; takes the same time for every wrong one.
+/// Whether a proof is valid. Compares in constant time.
 pub fn check(
     key: &str,
     side: ProofSide,
@@ -75,7 +76,7 @@
     mac(key, side, nonce, claim).verify_slice(proof).is_ok()
 }
 
-/// A fresh challenge.
+/// Generates a challenge. An error means that the operating system supplied no random bytes.
 pub fn nonce() -> Result<Nonce, getrandom::Error> {
     let mut nonce = Nonce::default();
     getrandom::fill(&mut nonce)?;
--- a/daemon/src/refusal.rs
+++ b/daemon/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Errors as callers see them: the completions API's JSON shape, with the call's outcome.
+//! Error responses to callers, in the completions API's JSON shape with the call's outcome added.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 use salvo::prelude::{Json, Response};
 use serde_json::{Value, json};
 
-/// Header that tells the outcome of a call that has no whole answer.
+/// Response header with the outcome of a call that has no whole answer: `not_run` or `unknown`.
 pub const OUTCOME_HEADER: &str = "x-monsoonbank-outcome";
 
-/// A request that gets an error for an answer.
+/// An error response to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerError {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: StatusCode,
-    /// A short constant for programs.
+    /// Machine-readable error code.
     pub code: &'static str,
-    /// A sentence for people.
+    /// Human-readable description.
     pub message: Box<str>,
-    /// `not_run` or `unknown`.
+    /// Outcome of the call: `not_run`, or `unknown` if it may have run.
     pub outcome: &'static str,
-    /// When a retry makes sense.
+    /// Time after which the caller should retry; `None` for no advice.
     pub retry_after: Option<Duration>,
-    /// A fresh idempotency key, where one was missing.
+    /// New idempotency key for a call that needs one but has none; otherwise `None`.
     pub key: Option<Box<str>>,
 }
 
 impl CallerError {
-    /// An error of a request that was not run.
+    /// Creates the error for a request that was not run.
     pub fn not_run(status: StatusCode, code: &'static str, message: impl Into<Box<str>>) -> Self {
         let message = message.into();
         Self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The error for a call's outcome; none for a whole answer.
+    /// Returns the error for a call's outcome; `None` for a whole answer.
     pub fn from_outcome(outcome: CallOutcome) -> Option<Self> {
         match outcome {
             CallOutcome::Whole { .. } => None,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The body.
+    /// The response body as JSON.
     pub fn body(&self) -> Value {
         json!({ "error": {
             "message": self.message,
--- a/daemon/src/reports.rs
+++ b/daemon/src/reports.rs
@@ -1,4 +1,4 @@
-//! Asks the upstreams that this node owns for their load and their cache events.
+//! Polls the engines owned by this node for their load and their cache events.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,8 +14,8 @@
 
 use crate::shared::NodeShared;
 
-/// Time between two looks at each upstream.
-const POLL: Duration = Duration::from_millis(500);
+/// Interval between two polls of each upstream.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
 #[derive(Deserialize)]
@@ -38,24 +38,24 @@
     held: bool,
 }
 
-/// Polls until the node ends.
+/// Polls the owned engines until the node ends.
 pub async fn poll(shared: Arc<NodeShared>) {
     let mut offsets: BTreeMap<UpstreamId, u64> = BTreeMap::new();
     loop {
         let config = shared.config();
-        let asked = shared.owned().into_iter().filter_map(|id| {
+        let polls = shared.owned().into_iter().filter_map(|id| {
             let upstream = config.upstreams.get(&id)?;
             let pool = config.pools.get(&upstream.pool)?;
             let offset = offsets.get(&id).copied().unwrap_or_default();
-            (pool.kind == PoolKind::Model).then(|| ask(&shared, id, upstream, offset))
+            (pool.kind == PoolKind::Model).then(|| poll_upstream(&shared, id, upstream, offset))
         });
-        offsets = join_all(asked).await.into_iter().collect();
-        tokio::time::sleep(POLL).await;
+        offsets = join_all(polls).await.into_iter().collect();
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Asks one upstream; gives the offset at which its cache events go on.
-async fn ask(
+/// Polls one upstream. Returns the offset of its next cache event.
+async fn poll_upstream(
     shared: &NodeShared,
     id: UpstreamId,
     upstream: &Upstream,
--- a/daemon/src/services.rs
+++ b/daemon/src/services.rs
@@ -1,4 +1,4 @@
-//! `/services/{name}/…`: calls to plain services, any method.
+//! Handler of `/services/{name}/…`: calls to plain services, with any method.
 
 use std::sync::Arc;
 
@@ -15,14 +15,14 @@
 use crate::shared::NodeShared;
 use crate::sink::CallerEvent;
 
-/// Path under which plain services stand.
+/// Path prefix of calls to plain services; the service's name follows.
 pub const SERVICES_PATH: &str = "/services/";
-/// Header of the idempotency key.
+/// Request header with the caller's idempotency key.
 pub const KEY_HEADER: &str = "idempotency-key";
 
-/// Handles calls to plain services.
+/// Handler of calls to plain services.
 pub struct ServiceApi {
-    /// The node.
+    /// State of the node.
     pub shared: Arc<NodeShared>,
 }
 
@@ -136,7 +136,8 @@
     request.headers().get(name)?.to_str().ok().map(Into::into)
 }
 
-/// The answer to a call that needs a key; `fresh` is one to use, unless this node leaves.
+/// Error for a call that needs an idempotency key and has none. `fresh` is a new key for the caller to
+/// use; `None` while this node shuts down.
 fn key_required(fresh: Option<Box<str>>) -> CallerError {
     let Some(key) = fresh else {
         return CallerError::not_run(
--- a/daemon/src/settings.rs
+++ b/daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings: one YAML file, read once at the start.
+//! Settings of the daemon: one YAML file, read once at startup.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,81 +9,81 @@
 
 use crate::error::NodeError;
 
-/// Everything that a node is told by its operator.
+/// Settings of a node, as written by its operator.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The node's name; unique in the fleet and the same as in the host list.
+    /// Name of the node; unique in the fleet, and the same as in the host list.
     pub name: Box<str>,
-    /// The availability zone that the host stands in.
+    /// Availability zone of the host.
     pub zone: Box<str>,
-    /// Where the node listens.
+    /// Listen addresses.
     pub listen: ListenSettings,
-    /// Where the platform's services are.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// What proves who is who.
+    /// Secrets that authenticate nodes and operators.
     pub secrets: SecretSettings,
-    /// Bounds on what callers may use up.
+    /// Limits on the resources that callers can use.
     #[serde(default)]
     pub bounds: BoundSettings,
-    /// Least severity that is logged: `error`, `warn`, `info`, `debug` or `trace`.
+    /// Lowest severity that is logged: `error`, `warn`, `info`, `debug` or `trace`. Default: `info`.
     #[serde(default = "default_log_level")]
     pub log_level: log::LevelFilter,
 }
 
-/// Listen addresses, each an IP number and a port.
+/// Listen addresses, each an IP address and a port.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// For callers.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// For other nodes.
+    /// Listen address for other nodes.
     pub peers: SocketAddr,
-    /// For operators.
+    /// Listen address for operators.
     pub operators: SocketAddr,
 }
 
-/// Base addresses of the platform's services.
+/// Base URLs of the platform's services.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// The append-only log, for example `http://10.0.0.5:7000`.
+    /// Base URL of the append-only log, for example `http://10.0.0.5:7000`.
     pub log: Box<str>,
-    /// The host list.
+    /// Base URL of the host list.
     pub hosts: Box<str>,
-    /// Time between two looks at the host list.
+    /// Interval between two reads of the host list. Default: 1 s.
     #[serde(default = "default_poll", with = "humantime_serde")]
     pub hosts_poll: Duration,
 }
 
-/// Secrets; never dumped or logged.
+/// Secrets. Their values appear in no state dump and no log.
 #[derive(Clone, Serialize, Deserialize, derive_more::Debug)]
 #[serde(deny_unknown_fields)]
 pub struct SecretSettings {
-    /// The key that nodes prove to each other.
+    /// Key shared by all nodes, with which they authenticate each other.
     #[debug("\"…\"")]
     pub peer_key: Box<str>,
-    /// The bearer token of operators.
+    /// Bearer token with which operators authenticate.
     #[debug("\"…\"")]
     pub operator_token: Box<str>,
 }
 
-/// Bounds on what callers may use up.
+/// Limits on the resources that callers can use.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BoundSettings {
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Most calls open at a time.
+    /// Maximum number of open calls.
     pub open_calls: usize,
-    /// Most connections of callers at a time.
+    /// Maximum number of open connections on each of the HTTP listen addresses.
     pub connections: usize,
-    /// Most bytes of answers that wait for one slow caller.
+    /// Maximum number of unread answer bytes per call; a caller that reads too slowly is cut off.
     pub waiting_bytes: usize,
-    /// Longest wait for a request's head.
+    /// Timeout for receiving the head of a request.
     #[serde(with = "humantime_serde")]
     pub head_timeout: Duration,
-    /// Longest pause within a request's body.
+    /// Longest pause while receiving the body of a request.
     #[serde(with = "humantime_serde")]
     pub body_timeout: Duration,
 }
@@ -110,18 +110,18 @@
 }
 
 impl Settings {
-    /// Reads a settings file. Errors name the file, the line and the field.
+    /// Reads and parses a settings file. Errors name the file, the line and the field.
     pub fn load(path: &Path) -> Result<Self, NodeError> {
         load_yaml(path)
     }
 
-    /// Parses the text of the settings file called `file`.
+    /// Parses the text of a settings file; `file` is its name in errors.
     pub fn parse(file: &str, text: &str) -> Result<Self, NodeError> {
         parse_yaml(file, text)
     }
 }
 
-/// Reads any settings file. Errors name the file, the line and the field.
+/// Reads and parses any YAML settings file. Errors name the file, the line and the field.
 pub fn load_yaml<T: DeserializeOwned>(path: &Path) -> Result<T, NodeError> {
     let file: Box<str> = path.display().to_string().into();
     let text = std::fs::read_to_string(path).map_err(|source| NodeError::SettingsUnread {
@@ -131,7 +131,7 @@
     parse_yaml(&file, &text)
 }
 
-/// Parses the text of the settings file called `file`.
+/// Parses the text of a YAML settings file; `file` is its name in errors.
 pub fn parse_yaml<T: DeserializeOwned>(file: &str, text: &str) -> Result<T, NodeError> {
     let parser = serde_yaml_ng::Deserializer::from_str(text);
     serde_path_to_error::deserialize(parser).map_err(|error| {
--- a/daemon/src/shared.rs
+++ b/daemon/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one node share.
+//! State shared by the tasks of one node.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -26,30 +26,30 @@
 use crate::links::LinkTable;
 use crate::settings::Settings;
 
-/// What the driver's task takes in.
+/// Input of the driver task, processed in order of arrival.
 pub enum Input {
-    /// An event for the kernel.
+    /// A kernel event.
     Event(Event),
-    /// A frame from another node.
+    /// A frame received from another node.
     Frame(NodeId, Frame),
-    /// A link to or from a node broke.
+    /// A link to or from a node broke; frames in transit may be lost.
     LinkLost(NodeId),
-    /// The state dump is wanted, whole or one section.
+    /// A request for the state dump: one section, or the whole dump if `None`.
     Dump(Option<Box<str>>, oneshot::Sender<Value>),
-    /// The kernel's metrics are wanted.
+    /// A request for the kernel's gauges.
     Gauges(oneshot::Sender<Vec<GaugeSample>>),
 }
 
-/// Work that this node holds as an owner.
+/// An attempt that this node runs or queues as the owner of its upstream.
 #[derive(Debug)]
-struct HeldWork {
+struct AttemptWork {
     entry: NodeId,
     parts: Arc<RequestParts>,
     cancel: CancellationToken,
     running: bool,
 }
 
-impl HeldWork {
+impl AttemptWork {
     fn new(entry: NodeId, parts: Arc<RequestParts>) -> Self {
         Self {
             entry,
@@ -60,70 +60,70 @@
     }
 }
 
-/// Work that goes to an upstream now.
+/// An attempt that is being started at an upstream.
 #[derive(Debug)]
 pub struct StartedWork {
-    /// Where the answer goes.
+    /// Node that receives the answer's chunks.
     pub entry: NodeId,
-    /// The request.
+    /// Request to send to the upstream.
     pub parts: Arc<RequestParts>,
-    /// Stops the attempt at the upstream.
+    /// Cancels the attempt at the upstream.
     pub cancel: CancellationToken,
 }
 
-/// What the tasks of one node share.
+/// State shared by the tasks of one node.
 pub struct NodeShared {
-    /// The settings.
+    /// Settings read at startup.
     pub settings: Settings,
-    /// Who the node is.
+    /// Identity of the node: name, availability zone and incarnation.
     pub profile: NodeProfile,
-    /// The clock.
+    /// Monotonic clock, used for all of the kernel's times.
     pub clock: Box<dyn Clock>,
-    /// The entry's open calls.
+    /// Open calls for which this node is the entry.
     pub calls: CallTable,
     mint: KeyMint,
-    /// Operators' changes of configuration.
+    /// Pending and recent configuration changes by operators.
     pub changes: ChangeTable,
-    /// Links to other nodes.
+    /// Outgoing links to other nodes.
     pub links: LinkTable,
-    /// Counters.
+    /// Metrics counted by the daemon itself.
     pub counters: NodeCounters,
     /// HTTP client for repeatable calls and the platform.
     pub client: reqwest::Client,
-    /// HTTP client without connection reuse, for calls that may not be repeated: a request on a
-    /// reused connection that the upstream closes at that moment would end as unknown.
+    /// HTTP client without connection reuse, for calls that may not be repeated: the upstream may
+    /// close a reused connection while a request is sent on it, and the outcome would be unknown.
     pub single_use_client: reqwest::Client,
-    /// Ends every task of the node at once.
+    /// Cancels every task of the node immediately.
     pub kill: CancellationToken,
-    /// Set once the kernel says that everything is finished.
+    /// Cancelled once the kernel reports that the graceful shutdown has finished.
     pub done: CancellationToken,
     sequence: AtomicU64,
     tracker: TaskTracker,
     inputs: mpsc::UnboundedSender<Input>,
-    works: Mutex<BTreeMap<AttemptId, HeldWork>>,
+    works: Mutex<BTreeMap<AttemptId, AttemptWork>>,
     config: RwLock<Arc<Config>>,
     members: RwLock<Arc<MemberView>>,
     owners: RwLock<Arc<OwnerMap>>,
 }
 
-/// The parts that a node's shared state is made of.
+/// Arguments of [`NodeShared::new`].
 pub struct SharedParts {
-    /// The settings.
+    /// Settings read at startup.
     pub settings: Settings,
-    /// Who the node is.
+    /// Identity of the node: name, availability zone and incarnation.
     pub profile: NodeProfile,
-    /// The clock.
+    /// Monotonic clock, used for all of the kernel's times.
     pub clock: Box<dyn Clock>,
     /// HTTP client for repeatable calls and the platform.
     pub client: reqwest::Client,
-    /// HTTP client without connection reuse.
+    /// HTTP client without connection reuse, for calls that may not be repeated.
     pub single_use_client: reqwest::Client,
-    /// The driver's inputs.
+    /// Sending end of the driver's input queue.
     pub inputs: mpsc::UnboundedSender<Input>,
 }
 
 impl NodeShared {
-    /// The shared state of a node that starts.
+    /// Creates the state of a node that starts: no calls, no links, empty configuration.
     pub fn new(parts: SharedParts) -> Self {
         Self {
             calls: CallTable::new(parts.settings.bounds.waiting_bytes),
@@ -148,12 +148,12 @@
         }
     }
 
-    /// Time since the node's start.
+    /// Current time on the node's monotonic clock, since its start.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// A number for the next call.
+    /// Returns a new call identifier, unique across nodes and restarts.
     pub fn next_call(&self) -> CallId {
         CallId {
             node: self.profile.node,
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Runs a task until it ends or the node is killed.
+    /// Spawns a task that runs until it ends or the node is killed.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let kill = self.kill.clone();
         self.tracker.spawn(async move {
@@ -179,35 +179,36 @@
         self.tracker.wait().await;
     }
 
-    /// Hands an input to the driver.
+    /// Queues an input for the driver.
     pub fn input(&self, input: Input) {
         // The driver is gone only when the node is being killed.
         let _ = self.inputs.send(input);
     }
 
-    /// Hands an event to the kernel.
+    /// Queues an event for the kernel.
     pub fn event(&self, event: Event) {
         self.input(Input::Event(event));
     }
 
-    fn works(&self) -> MutexGuard<'_, BTreeMap<AttemptId, HeldWork>> {
+    fn works(&self) -> MutexGuard<'_, BTreeMap<AttemptId, AttemptWork>> {
         self.works.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Keeps the request of offered work.
+    /// Stores the request of an attempt that `entry` offered. Has no effect if it is already stored.
     pub fn hold(&self, attempt: AttemptId, entry: NodeId, parts: Arc<RequestParts>) {
         self.works()
             .entry(attempt)
-            .or_insert_with(|| HeldWork::new(entry, parts));
+            .or_insert_with(|| AttemptWork::new(entry, parts));
     }
 
-    /// The entry, the request and a fresh stop token of work that is about to be started. Work
-    /// that this node offered to itself crossed no link; its request is the open call's.
+    /// Marks an attempt as running and returns its entry, its request and a new cancellation
+    /// token. The request of an attempt that this node offered to itself was never sent over a
+    /// link, so it is taken from the open call. `None` if no request is found.
     pub fn start(&self, attempt: AttemptId) -> Option<StartedWork> {
         let mut works = self.works();
         if let std::collections::btree_map::Entry::Vacant(vacant) = works.entry(attempt) {
             let parts = self.calls.parts(attempt.call)?;
-            vacant.insert(HeldWork::new(self.profile.node, parts));
+            vacant.insert(AttemptWork::new(self.profile.node, parts));
         }
         let work = works.get_mut(&attempt)?;
         work.running = true;
@@ -220,7 +221,7 @@
         })
     }
 
-    /// The attempt's task has ended; work of this node itself is forgotten.
+    /// Records that the attempt's task has ended, and removes the attempt if this node is its entry.
     pub fn stopped(&self, attempt: AttemptId) {
         let mut works = self.works();
         let Some(work) = works.get_mut(&attempt) else {
@@ -232,7 +233,7 @@
         }
     }
 
-    /// Forgets cancelled work that is not at an upstream.
+    /// Removes a cancelled attempt unless it runs at an upstream.
     pub fn release_if_waiting(&self, attempt: AttemptId) {
         let mut works = self.works();
         if works.get(&attempt).is_some_and(|work| !work.running) {
@@ -240,40 +241,41 @@
         }
     }
 
-    /// Forgets all work of an entry that is lost, but for what is at an upstream.
+    /// Removes all attempts of an unreachable entry except those that run at an upstream.
     pub fn release_waiting(&self, entry: NodeId) {
         self.works()
             .retain(|_, work| work.entry != entry || work.running);
     }
 
-    /// Requests held for attempts now.
+    /// Number of attempts whose requests are stored.
     pub fn held(&self) -> usize {
         self.works().len()
     }
 
-    /// Stops held work at its upstream.
+    /// Cancels an attempt at its upstream. Has no effect on an unknown attempt.
     pub fn cancel(&self, attempt: AttemptId) {
         if let Some(work) = self.works().get(&attempt) {
             work.cancel.cancel();
         }
     }
 
-    /// Forgets work that is over.
+    /// Removes an attempt that has ended.
     pub fn release(&self, attempt: AttemptId) {
         self.works().remove(&attempt);
     }
 
-    /// The configuration in force.
+    /// The configuration in force; empty until the first one is received.
     pub fn config(&self) -> Arc<Config> {
         read(&self.config)
     }
 
-    /// The nodes.
+    /// The current members of the fleet and their states.
     pub fn members(&self) -> Arc<MemberView> {
         read(&self.members)
     }
 
-    /// A fresh idempotency key; none while this node leaves, since nobody else could run it.
+    /// Mints an idempotency key for a workspace. `None` while this node shuts down, since no other
+    /// node could run a call under the key.
     pub fn fresh_key(&self, workspace: WorkspaceId) -> Option<Box<str>> {
         let members = self.members();
         let own = members.members.get(&self.profile.node);
@@ -281,12 +283,12 @@
         (!leaving).then(|| self.mint.mint(workspace, self.now()))
     }
 
-    /// Which node owns which upstream, as this node sees it.
+    /// Owner of each upstream, in this node's view.
     pub fn owners(&self) -> Arc<OwnerMap> {
         read(&self.owners)
     }
 
-    /// Upstreams that this node owns.
+    /// Upstreams owned by this node.
     pub fn owned(&self) -> Vec<UpstreamId> {
         let owners = self.owners();
         let own = |owner: &NodeId| *owner == self.profile.node;
@@ -298,17 +300,17 @@
             .collect()
     }
 
-    /// Puts a configuration in force.
+    /// Replaces the configuration in force.
     pub fn use_config(&self, config: Arc<Config>) {
         write(&self.config, config);
     }
 
-    /// Takes over the nodes.
+    /// Replaces the view of the fleet's members.
     pub fn use_members(&self, members: Arc<MemberView>) {
         write(&self.members, members);
     }
 
-    /// Takes over the owners.
+    /// Replaces the owners of the upstreams.
     pub fn use_owners(&self, owners: Arc<OwnerMap>) {
         write(&self.owners, owners);
     }
--- a/daemon/src/sink.rs
+++ b/daemon/src/sink.rs
@@ -1,4 +1,4 @@
-//! Where the pieces of an answer go: a caller's task, or the node that relayed the call.
+//! Destination of an answer's chunks: a caller's task, or the node that relayed the call.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -9,16 +9,16 @@
 
 use crate::frame::{Chunk, Frame};
 
-/// What a caller's task gets.
+/// Event sent to a caller's task.
 #[derive(Clone, Debug)]
 pub enum CallerEvent {
-    /// The next piece of the answer.
+    /// The next chunk of the answer.
     Chunk(Chunk),
-    /// The call is over.
+    /// The call has ended; no event follows.
     Finished(CallOutcome),
 }
 
-/// A caller's end of an open call.
+/// Receiving end of an open call's answer.
 #[derive(Debug)]
 pub struct CallReceiver {
     events: mpsc::UnboundedReceiver<CallerEvent>,
@@ -26,7 +26,7 @@
 }
 
 impl CallReceiver {
-    /// The next piece or the end.
+    /// Waits for the next chunk or the end. `None` if the call was dropped without an outcome.
     pub async fn next(&mut self) -> Option<CallerEvent> {
         let event = self.events.recv().await?;
         if let CallerEvent::Chunk(chunk) = &event {
@@ -36,18 +36,18 @@
     }
 }
 
-/// What became of a piece at its sink.
+/// Result of passing a chunk to a sink.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Intake {
-    /// Taken.
+    /// The chunk was queued or sent.
     Taken,
-    /// Taken, but too much waits for the caller by now.
+    /// The chunk was queued, but the caller's unread bytes exceed the limit.
     Full,
-    /// The caller is gone.
+    /// The caller has disconnected; the chunk was discarded.
     Gone,
 }
 
-/// The sending end for a caller's task.
+/// Sending end of an open call's answer.
 #[derive(Debug)]
 pub struct CallerSink {
     sender: mpsc::UnboundedSender<CallerEvent>,
@@ -55,17 +55,17 @@
     limit: usize,
 }
 
-/// Where the pieces of an answer go.
+/// Destination of an answer's chunks.
 #[derive(Debug)]
 pub enum CallSink {
-    /// To a caller's task.
+    /// A caller's task on this node.
     Caller(CallerSink),
-    /// To the node that relayed the call.
+    /// The node that relayed the call.
     Peer(NodeId),
 }
 
 impl CallSink {
-    /// A sink for a caller that may leave at most `limit` bytes untaken.
+    /// Creates a sink for a caller whose unread bytes may not exceed `limit`.
     pub fn caller(limit: usize) -> (Self, CallReceiver) {
         let (sender, events) = mpsc::unbounded_channel();
         let waiting = Arc::<AtomicUsize>::default();
@@ -77,7 +77,7 @@
         (Self::Caller(sink), CallReceiver { events, waiting })
     }
 
-    /// Passes a piece on.
+    /// Passes a chunk to the destination; `send` is used for a peer.
     pub fn put(
         &mut self,
         call: CallId,
@@ -94,10 +94,10 @@
         }
     }
 
-    /// Ends the answer. A node that relayed the call is told by the kernel.
+    /// Ends the answer for a caller. For a peer the kernel sends the outcome in a message.
     pub fn finish(&mut self, outcome: CallOutcome) {
         if let Self::Caller(sink) = self {
-            // A caller that is gone needs no outcome.
+            // Sending fails only if the caller has disconnected; it needs no outcome then.
             let _ = sink.sender.send(CallerEvent::Finished(outcome));
         }
     }
--- a/daemon/src/sse.rs
+++ b/daemon/src/sse.rs
@@ -2,19 +2,19 @@
 
 use std::collections::VecDeque;
 
-/// One event.
+/// A server-sent event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServerEvent {
-    /// The data lines, joined.
+    /// Data lines of the event, joined by line breaks.
     Data(Box<str>),
-    /// The end mark of the completions API, `[DONE]`.
+    /// End marker of the completions API, `[DONE]`.
     Done,
 }
 
-/// Largest line that is kept; the rest of a longer one is dropped.
+/// Maximum length of a line, in bytes; the rest of a longer line is dropped.
 const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Collects bytes until they make whole events.
+/// Incremental parser of server-sent events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     line: Vec<u8>,
@@ -23,19 +23,20 @@
 }
 
 impl EventSplitter {
-    /// Takes in the next bytes.
+    /// Parses the next bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
-        for piece in bytes.split_inclusive(|byte| *byte == b'\n') {
-            let room = MAX_LINE_BYTES.saturating_sub(self.line.len());
-            self.line.extend_from_slice(&piece[..piece.len().min(room)]);
-            if piece.ends_with(b"\n") {
+        for part in bytes.split_inclusive(|byte| *byte == b'\n') {
+            let capacity = MAX_LINE_BYTES.saturating_sub(self.line.len());
+            self.line
+                .extend_from_slice(&part[..part.len().min(capacity)]);
+            if part.ends_with(b"\n") {
                 let line = std::mem::take(&mut self.line);
                 self.end_line(String::from_utf8_lossy(&line).trim_end_matches(['\r', '\n']));
             }
         }
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event; `None` until more bytes are pushed.
     pub fn next_event(&mut self) -> Option<ServerEvent> {
         self.ready.pop_front()
     }
--- a/daemon/src/upstreams.rs
+++ b/daemon/src/upstreams.rs
@@ -1,4 +1,5 @@
-//! Attempts at upstreams: sends the request, passes the answer's pieces on, tells how it ended.
+//! Attempts at upstreams: sends the request, forwards the answer's chunks to the entry node and reports
+//! to the kernel how the attempt ended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,18 +21,18 @@
 use crate::shared::{NodeShared, StartedWork};
 use crate::sse::{EventSplitter, ServerEvent};
 
-/// Header by which an upstream says that it did not run a request that it refuses.
+/// Response header by which an upstream states that it did not run a request that it refuses.
 pub const NOT_RUN_HEADER: &str = "x-not-run";
-/// Header by which an upstream says in any answer that it takes nothing new.
+/// Response header by which an upstream announces, in any answer, that it accepts no new requests.
 pub const LEAVING_HEADER: &str = "x-leaving";
-/// Header that names the attempt to the upstream.
+/// Request header with the identifier of the attempt.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// The kernel is told of progress each time this many tokens have come.
+/// Number of tokens between two progress reports to the kernel. The first token is reported, too.
 const PROGRESS_TOKENS: u32 = 16;
-/// Largest answer to a refused request that is passed on.
+/// Maximum size of an engine's error response that is forwarded, in bytes.
 const MAX_ERROR_BYTES: usize = 64 * 1024;
 
-/// One attempt under way.
+/// A running attempt.
 struct RunningAttempt {
     shared: Arc<NodeShared>,
     attempt: AttemptId,
@@ -40,7 +41,7 @@
     first_index: u32,
 }
 
-/// Starts an attempt in a task of its own.
+/// Starts an attempt in its own task. If the request is not found, the attempt ends as not sent.
 pub fn start(shared: &Arc<NodeShared>, start: AttemptStart) {
     let attempt = start.work.attempt;
     let Some(StartedWork {
@@ -77,7 +78,7 @@
     cancel: &CancellationToken,
 ) {
     let end = tokio::select! {
-        end = exchange(&mut running, start, parts) => Some(end),
+        end = send_request(&mut running, start, parts) => Some(end),
         () = cancel.cancelled() => None,
     };
     let tokens = running.index - running.first_index;
@@ -89,7 +90,7 @@
     });
 }
 
-async fn exchange(
+async fn send_request(
     running: &mut RunningAttempt,
     start: &AttemptStart,
     parts: &RequestParts,
@@ -102,7 +103,7 @@
         .pools
         .get(&upstream.pool)
         .map_or(PoolKind::Service, |pool| pool.kind);
-    let Some(request) = build(running, start, parts, upstream, kind) else {
+    let Some(request) = build_request(running, start, parts, upstream, kind) else {
         return AttemptEnd::Unsent;
     };
     running.shared.event(Event::AttemptSent(running.attempt));
@@ -117,20 +118,22 @@
             return AttemptEnd::Broken { tokens: 0 };
         }
     };
-    take_notices(running, start, &response);
+    report_leaving(running, start, &response);
     if refused(&response) {
-        take_pause(running, start, &response);
+        report_pause(running, start, &response);
         return AttemptEnd::Refused;
     }
     match kind {
-        PoolKind::Model if response.status().is_success() => stream_tokens(running, response).await,
+        PoolKind::Model if response.status().is_success() => {
+            forward_stream(running, response).await
+        }
         PoolKind::Model if response.status().is_server_error() => AttemptEnd::Broken { tokens: 0 },
-        PoolKind::Model | PoolKind::Service => pass_on(running, response, kind).await,
+        PoolKind::Model | PoolKind::Service => forward_unchanged(running, response, kind).await,
     }
 }
 
-/// Takes in what the upstream says of itself in the head of an answer.
-fn take_notices(running: &RunningAttempt, start: &AttemptStart, response: &Response) {
+/// Reports to the kernel if the head of an answer announces that the upstream leaves.
+fn report_leaving(running: &RunningAttempt, start: &AttemptStart, response: &Response) {
     if response.headers().contains_key(LEAVING_HEADER) {
         let upstream = start.upstream;
         log::info!("upstream={upstream} event=leaving_announced");
@@ -138,12 +141,13 @@
     }
 }
 
-/// Takes in for how long an upstream that refused a call wants none.
-fn take_pause(running: &RunningAttempt, start: &AttemptStart, response: &Response) {
+/// Reports to the kernel for how long an upstream that refused a call asked for no more calls. The
+/// `Retry-After` header is in seconds, fractions allowed.
+fn report_pause(running: &RunningAttempt, start: &AttemptStart, response: &Response) {
     let Some(value) = response.headers().get(RETRY_AFTER) else {
         return;
     };
-    let seconds = text(value).and_then(|text| text.trim().parse().ok());
+    let seconds = header_text(value).and_then(|text| text.trim().parse().ok());
     let seconds = seconds.filter(|seconds: &f64| seconds.is_finite() && *seconds > 0.0);
     let upstream = start.upstream;
     let Some(seconds) = seconds else {
@@ -162,7 +166,7 @@
         || response.status() == StatusCode::TOO_MANY_REQUESTS
 }
 
-fn build(
+fn build_request(
     running: &RunningAttempt,
     start: &AttemptStart,
     parts: &RequestParts,
@@ -195,7 +199,8 @@
     Some(request)
 }
 
-/// The engine always streams, whatever the caller asked for: so a broken answer can be resumed.
+/// Rewrites a request body for an engine. The answer is always streamed, whatever the caller asked for,
+/// so that a broken answer can be resumed after the tokens received so far.
 fn engine_body(body: &[u8], tier: Tier, resume_from: u32) -> Option<Bytes> {
     let mut value: Value = serde_json::from_slice(body).ok()?;
     let fields = value.as_object_mut()?;
@@ -211,14 +216,14 @@
     serde_json::to_vec(&value).ok().map(Bytes::from)
 }
 
-async fn stream_tokens(running: &mut RunningAttempt, response: Response) -> AttemptEnd {
+async fn forward_stream(running: &mut RunningAttempt, response: Response) -> AttemptEnd {
     let mut splitter = EventSplitter::default();
     let mut body = response.bytes_stream();
     while let Some(Ok(bytes)) = body.next().await {
         splitter.push(&bytes);
         while let Some(event) = splitter.next_event() {
             match event {
-                ServerEvent::Data(json) => token_chunk(running, &json),
+                ServerEvent::Data(json) => forward_token(running, &json),
                 ServerEvent::Done => {
                     return AttemptEnd::Complete {
                         tokens: running.index - running.first_index,
@@ -232,7 +237,7 @@
     }
 }
 
-fn token_chunk(running: &mut RunningAttempt, json: &str) {
+fn forward_token(running: &mut RunningAttempt, json: &str) {
     let Ok(mut value) = serde_json::from_str::<Value>(json) else {
         log::warn!("attempt={} event=bad_chunk", running.attempt);
         return;
@@ -273,11 +278,15 @@
         || filled(delta.and_then(|delta| delta.get("tool_calls")))
 }
 
-async fn pass_on(running: &mut RunningAttempt, response: Response, kind: PoolKind) -> AttemptEnd {
+async fn forward_unchanged(
+    running: &mut RunningAttempt,
+    response: Response,
+    kind: PoolKind,
+) -> AttemptEnd {
     let content_type = response
         .headers()
         .get(CONTENT_TYPE)
-        .and_then(text)
+        .and_then(header_text)
         .map(Into::into);
     let status = response.status().as_u16();
     emit(
@@ -289,8 +298,8 @@
     );
     let mut body = response.bytes_stream();
     let mut size = 0;
-    while let Some(part) = body.next().await {
-        let Ok(data) = part else {
+    while let Some(data) = body.next().await {
+        let Ok(data) = data else {
             return AttemptEnd::Broken {
                 tokens: running.index,
             };
@@ -308,7 +317,7 @@
     }
 }
 
-fn text(value: &HeaderValue) -> Option<&str> {
+fn header_text(value: &HeaderValue) -> Option<&str> {
     value.to_str().ok()
 }
 
