--- a/cli/src/fleet/loss.rs
+++ b/cli/src/fleet/loss.rs
@@ -34,7 +34,7 @@
         .await?;
         let lost = fleet.nodes.remove(0);
         let id = NodeId::named(&lost.name);
-        upstreams += lost.handle.shared().owned().len();
+        upstreams += lost.handle.shared().owned_upstreams().len();
         let start = Instant::now();
         lost.handle.kill().await;
         let others = &fleet.nodes;
--- a/cli/src/fleet/path.rs
+++ b/cli/src/fleet/path.rs
@@ -159,7 +159,7 @@
         .map(|name| UpstreamId::named(name))
         .collect();
     let nodes = fleet.nodes.iter().map(|node| {
-        let own = node.handle.shared().owned();
+        let own = node.handle.shared().owned_upstreams();
         let owner = engines.iter().any(|engine| own.contains(engine));
         LoadWay {
             name: if owner { "one hop" } else { "two hops" }.into(),
--- a/daemon/src/answers.rs
+++ b/daemon/src/answers.rs
@@ -69,7 +69,7 @@
     }
 
     /// Removes a call's answer.
-    pub fn forget(&mut self, call: CallId) {
+    pub fn remove(&mut self, call: CallId) {
         if let Some(answer) = self.answers.remove(&call) {
             self.bytes -= answer.bytes;
         }
--- a/daemon/src/message.rs
+++ b/daemon/src/assembler.rs
@@ -2,19 +2,19 @@
 
 use serde_json::{Value, json};
 
-use crate::completions::{AnswerFrame, CompletionKind};
+use crate::completions::{CompletionKind, CompletionMetadata};
 use crate::frame::Chunk;
 
 /// Assembles the chunks of a completion into one JSON answer.
 #[derive(Debug, Default)]
-pub struct WholeMessage {
+pub struct CompletionAssembler {
     text: String,
     tool_calls: Vec<Value>,
     finish_reason: Value,
     usage: Option<Value>,
 }
 
-impl WholeMessage {
+impl CompletionAssembler {
     /// Adds the next chunk. Chunks that are not part of a completion are ignored.
     pub fn add(&mut self, chunk: &Chunk) {
         match chunk {
@@ -68,8 +68,8 @@
     }
 
     /// Returns the assembled answer in the shape of the completions API.
-    pub fn finish(self, frame: &AnswerFrame) -> Value {
-        let choice = match frame.kind {
+    pub fn finish(self, metadata: &CompletionMetadata) -> Value {
+        let choice = match metadata.kind {
             CompletionKind::Text => json!({
                 "index": 0, "text": self.text, "finish_reason": self.finish_reason,
                 "logprobs": Value::Null,
@@ -83,8 +83,8 @@
             }
         };
         json!({
-            "id": frame.id, "object": frame.kind.object(false), "created": frame.created,
-            "model": frame.model, "choices": [choice], "usage": self.usage,
+            "id": metadata.id, "object": metadata.kind.object(false), "created": metadata.created,
+            "model": metadata.model, "choices": [choice], "usage": self.usage,
         })
     }
 }
--- a/daemon/src/callers.rs
+++ b/daemon/src/callers.rs
@@ -10,7 +10,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::completions::{CompletionApi, CompletionKind};
-use crate::intake;
+use crate::requests;
 use crate::services::ServiceApi;
 use crate::shared::NodeShared;
 
@@ -46,7 +46,7 @@
 #[handler]
 impl ModelsApi {
     fn handle(&self, request: &mut Request, response: &mut Response) {
-        let caller = match intake::identify(&self.shared, request) {
+        let caller = match requests::authenticate(&self.shared, request) {
             Ok(caller) => caller,
             Err(error) => return error.render(response),
         };
@@ -87,7 +87,7 @@
     /// Mints the idempotency keys that an authenticated request asks for; empty for any other.
     fn keys(&self, request: &mut Request) -> Vec<Box<str>> {
         let wanted = request.query::<usize>("keys").unwrap_or(0);
-        let Ok(caller) = intake::identify(&self.shared, request) else {
+        let Ok(caller) = requests::authenticate(&self.shared, request) else {
             return Vec::new();
         };
         let wanted = 0..wanted.min(MAX_KEYS);
--- a/daemon/src/calls.rs
+++ b/daemon/src/calls.rs
@@ -8,7 +8,7 @@
 
 use crate::answers::AnswerStore;
 use crate::frame::{Chunk, Frame, RequestParts};
-use crate::sink::{CallReceiver, CallSink, Intake};
+use crate::sink::{CallReceiver, CallSink, PutResult};
 
 /// Maximum number of chunks per call that are buffered for attempts not accepted yet.
 const MAX_EARLY_CHUNKS: usize = 64;
@@ -47,9 +47,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
     /// Forwarded to the caller, or discarded because the caller has disconnected.
-    Passed,
+    Forwarded,
     /// Buffered until its attempt is accepted.
-    Held,
+    Buffered,
     /// Dropped: it belongs to an attempt that is no longer accepted or to a call that has ended, or
     /// is a duplicate.
     Dropped,
@@ -153,7 +153,7 @@
     }
 
     /// Records that an attempt is being offered to an owner. Replaces an earlier offer of it.
-    pub fn offered(&self, attempt: AttemptId, owner: NodeId) {
+    pub fn record_offer(&self, attempt: AttemptId, owner: NodeId) {
         if let Some(open) = self.lock().calls.get_mut(&attempt.call) {
             let number = attempt.number;
             open.offers.retain(|offer| offer.number != number);
@@ -167,7 +167,7 @@
     }
 
     /// Records that an attempt's offer is being written to the socket.
-    pub fn sending(&self, attempt: AttemptId) {
+    pub fn mark_sent(&self, attempt: AttemptId) {
         let mut state = self.lock();
         let Some(open) = state.calls.get_mut(&attempt.call) else {
             return;
@@ -220,8 +220,8 @@
         if index != open.next_index {
             return out_of_order(index, open.next_index);
         }
-        open.next_index += u32::from(chunk.counts());
-        intake_delivery(open.sink.put(call, index, chunk, &mut |_, _| {}))
+        open.next_index += u32::from(chunk.advances_index());
+        delivery_of(open.sink.put(call, index, chunk, &mut |_, _| {}))
     }
 
     /// Stops forwarding an attempt. `None` if its call is not open.
@@ -237,7 +237,7 @@
     }
 
     /// Stops forwarding every attempt that was offered to `owner`.
-    pub fn lose_owner(&self, owner: NodeId) -> Vec<LostAttempt> {
+    pub fn withdraw_owner(&self, owner: NodeId) -> Vec<LostAttempt> {
         let mut lost = Vec::new();
         for (call, open) in &mut self.lock().calls {
             while let Some(place) = open.offers.iter().position(|offer| offer.owner == owner) {
@@ -260,19 +260,19 @@
         if let Some(open) = state.calls.get_mut(&original) {
             open.followers.push(call);
         }
-        state.answers.forget(call);
+        state.answers.remove(call);
         let Some(open) = state.calls.get_mut(&call) else {
             return;
         };
         for (index, chunk) in chunks {
-            open.next_index += u32::from(chunk.counts());
+            open.next_index += u32::from(chunk.advances_index());
             open.sink.put(call, index, chunk, send);
         }
     }
 
     /// Removes the kept answer of a call.
-    pub fn forget_answer(&self, call: CallId) {
-        self.lock().answers.forget(call);
+    pub fn remove_answer(&self, call: CallId) {
+        self.lock().answers.remove(call);
     }
 
     /// Ends a call. A whole answer of which some chunks were not forwarded is reported as unknown.
@@ -338,7 +338,7 @@
             index,
             chunk,
         });
-        return Delivery::Held;
+        return Delivery::Buffered;
     }
     if attempt.number != open.accepted {
         return Delivery::Dropped;
@@ -346,13 +346,13 @@
     if index != open.next_index {
         return out_of_order(index, open.next_index);
     }
-    open.next_index += u32::from(chunk.counts());
+    open.next_index += u32::from(chunk.advances_index());
     let followers = open.followers.clone();
     state.answers.add(call, index, &chunk);
-    let delivery = intake_delivery(open.sink.put(call, index, chunk.clone(), send));
+    let delivery = delivery_of(open.sink.put(call, index, chunk.clone(), send));
     for follower in followers {
         if let Some(open) = state.calls.get_mut(&follower) {
-            open.next_index += u32::from(chunk.counts());
+            open.next_index += u32::from(chunk.advances_index());
             open.sink.put(follower, index, chunk.clone(), send);
         }
     }
@@ -367,9 +367,9 @@
     }
 }
 
-fn intake_delivery(intake: Intake) -> Delivery {
-    match intake {
-        Intake::Taken | Intake::Gone => Delivery::Passed,
-        Intake::Full => Delivery::Stalled,
+fn delivery_of(result: PutResult) -> Delivery {
+    match result {
+        PutResult::Accepted | PutResult::Disconnected => Delivery::Forwarded,
+        PutResult::OverLimit => Delivery::Stalled,
     }
 }
--- a/daemon/src/changes.rs
+++ b/daemon/src/changes.rs
@@ -40,7 +40,7 @@
     }
 
     /// Adds a request to publish a change. Returns its ticket and the receiver of the result.
-    pub fn publish(&self) -> (RequestTicket, oneshot::Receiver<PublishResult>) {
+    pub fn add_publisher(&self) -> (RequestTicket, oneshot::Receiver<PublishResult>) {
         let (sender, receiver) = oneshot::channel();
         let ticket = self.ticket();
         self.state().publishers.insert(ticket, sender);
@@ -48,7 +48,7 @@
     }
 
     /// Adds a request to read all documents. Returns its ticket and the receiver of the documents.
-    pub fn read(&self) -> (RequestTicket, oneshot::Receiver<DocumentList>) {
+    pub fn add_reader(&self) -> (RequestTicket, oneshot::Receiver<DocumentList>) {
         let (sender, receiver) = oneshot::channel();
         let ticket = self.ticket();
         self.state().readers.insert(ticket, sender);
@@ -56,7 +56,7 @@
     }
 
     /// Ends a request to publish the change `id` with the kernel's result.
-    pub fn answered(&self, request: RequestTicket, id: Box<str>, result: PublishResult) {
+    pub fn finish_publish(&self, request: RequestTicket, id: Box<str>, result: PublishResult) {
         let mut state = self.state();
         if let Some(sender) = state.publishers.remove(&request) {
             // Sending fails if the requester has given up, which is no error.
@@ -74,7 +74,7 @@
 
     /// Records how many nodes an accepted change has reached. Has no effect if its status is no longer
     /// kept.
-    pub fn progressed(&self, request: RequestTicket, progress: PublishProgress) {
+    pub fn update_progress(&self, request: RequestTicket, progress: PublishProgress) {
         let mut state = self.state();
         let Some(id) = state.ids.get(&request).cloned() else {
             return;
@@ -85,7 +85,7 @@
     }
 
     /// Ends a request to read all documents.
-    pub fn documents(&self, request: RequestTicket, list: DocumentList) {
+    pub fn finish_read(&self, request: RequestTicket, list: DocumentList) {
         if let Some(sender) = self.state().readers.remove(&request) {
             // Sending fails if the requester has given up, which is no error.
             let _ = sender.send(list);
--- a/daemon/src/completions.rs
+++ b/daemon/src/completions.rs
@@ -11,11 +11,11 @@
 use serde_json::{Map, Value};
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::assembler::CompletionAssembler;
 use crate::body::read_body;
 use crate::frame::{Chunk, RequestParts};
-use crate::intake::{self, OpenAnswer, RequestShape};
-use crate::message::WholeMessage;
 use crate::refusal::CallerError;
+use crate::requests::{self, CallHandle, RequestShape};
 use crate::shared::NodeShared;
 use crate::sink::CallerEvent;
 
@@ -59,7 +59,7 @@
 
 /// Fields that all chunks of one answer have in common.
 #[derive(Debug)]
-pub struct AnswerFrame {
+pub struct CompletionMetadata {
     /// Endpoint of the request.
     pub kind: CompletionKind,
     /// Value of the `id` field.
@@ -87,15 +87,15 @@
         request: &mut Request,
         response: &mut Response,
     ) -> Result<(), CallerError> {
-        let caller = intake::identify(&self.shared, request)?;
+        let caller = requests::authenticate(&self.shared, request)?;
         let body = read_body(&self.shared, request).await?;
         let fields = parse(&body)?;
         let shape = shape(self.kind, &fields)?;
-        let found = intake::classify(&caller, request, &shape, body.len())?;
+        let classification = requests::classify(&caller, request, &shape, body.len())?;
         let class = caller
             .config
             .classes
-            .get(&found.class)
+            .get(&classification.class)
             .map(|class| class.name.clone());
         let parts = RequestParts {
             method: "POST".into(),
@@ -104,40 +104,40 @@
             key: None,
             body,
         };
-        let answer = intake::open(&self.shared, &caller, found, &shape, parts)?;
+        let handle = requests::open_call(&self.shared, &caller, classification, &shape, parts)?;
         let include_usage = fields
             .get("stream_options")
             .and_then(|options| options.get("include_usage"))
             .and_then(Value::as_bool)
             .unwrap_or(false);
-        let frame = AnswerFrame {
+        let metadata = CompletionMetadata {
             kind: self.kind,
-            id: format!("cmpl-{}", answer.call).into(),
+            id: format!("cmpl-{}", handle.call).into(),
             model: shape.model.into(),
             created: unix_seconds(),
             class: class.unwrap_or_default(),
             include_usage,
         };
         if shape.streamed {
-            self.stream(answer, frame, response).await
+            self.stream(handle, metadata, response).await
         } else {
-            self.whole(answer, &frame, response).await
+            self.whole(handle, &metadata, response).await
         }
     }
 
     async fn stream(
         &self,
-        mut answer: OpenAnswer,
-        frame: AnswerFrame,
+        mut handle: CallHandle,
+        metadata: CompletionMetadata,
         response: &mut Response,
     ) -> Result<(), CallerError> {
-        let first = first_event(&self.shared, &mut answer, &frame).await?;
+        let first = first_event(&self.shared, &mut handle, &metadata).await?;
         let first = match first {
             CallerEvent::Chunk(Chunk::Head {
                 status,
                 content_type,
             }) => {
-                let body = rest_of_body(&mut answer).await;
+                let body = collect_body(&mut handle).await;
                 render_raw(response, status, content_type.as_deref(), body);
                 return Ok(());
             }
@@ -150,40 +150,40 @@
         );
         headers.insert("cache-control", HeaderValue::from_static("no-cache"));
         let shared = Arc::clone(&self.shared);
-        response.stream(event_stream(shared, answer, frame, first));
+        response.stream(event_stream(shared, handle, metadata, first));
         Ok(())
     }
 
     async fn whole(
         &self,
-        mut answer: OpenAnswer,
-        frame: &AnswerFrame,
+        mut handle: CallHandle,
+        metadata: &CompletionMetadata,
         response: &mut Response,
     ) -> Result<(), CallerError> {
-        let mut message = WholeMessage::default();
-        let mut event = first_event(&self.shared, &mut answer, frame).await?;
+        let mut assembler = CompletionAssembler::default();
+        let mut event = first_event(&self.shared, &mut handle, metadata).await?;
         loop {
             match event {
                 CallerEvent::Chunk(Chunk::Head {
                     status,
                     content_type,
                 }) => {
-                    let body = rest_of_body(&mut answer).await;
+                    let body = collect_body(&mut handle).await;
                     render_raw(response, status, content_type.as_deref(), body);
                     return Ok(());
                 }
-                CallerEvent::Chunk(chunk) => message.add(&chunk),
+                CallerEvent::Chunk(chunk) => assembler.add(&chunk),
                 CallerEvent::Finished(outcome) => {
                     let error = CallerError::from_outcome(outcome);
-                    intake::count(&self.shared, &frame.class, error.as_ref());
+                    requests::count_outcome(&self.shared, &metadata.class, error.as_ref());
                     if let Some(error) = error {
                         return Err(error);
                     }
-                    response.render(Json(message.finish(frame)));
+                    response.render(Json(assembler.finish(metadata)));
                     return Ok(());
                 }
             }
-            event = answer
+            event = handle
                 .next()
                 .await
                 .unwrap_or(CallerEvent::Finished(CallOutcome::Unknown));
@@ -193,10 +193,10 @@
 
 async fn first_event(
     shared: &NodeShared,
-    answer: &mut OpenAnswer,
-    frame: &AnswerFrame,
+    handle: &mut CallHandle,
+    metadata: &CompletionMetadata,
 ) -> Result<CallerEvent, CallerError> {
-    let first = answer
+    let first = handle
         .next()
         .await
         .unwrap_or(CallerEvent::Finished(CallOutcome::Unknown));
@@ -206,18 +206,18 @@
     let Some(error) = CallerError::from_outcome(outcome) else {
         return Ok(first);
     };
-    intake::count(shared, &frame.class, Some(&error));
+    requests::count_outcome(shared, &metadata.class, Some(&error));
     Err(error)
 }
 
 fn event_stream(
     shared: Arc<NodeShared>,
-    answer: OpenAnswer,
-    frame: AnswerFrame,
+    handle: CallHandle,
+    metadata: CompletionMetadata,
     first: CallerEvent,
 ) -> impl Stream<Item = Result<Bytes, std::convert::Infallible>> + Send + 'static {
-    let state = (answer, frame, Some(first), false);
-    futures_util::stream::unfold(state, move |(mut answer, frame, first, ended)| {
+    let state = (handle, metadata, Some(first), false);
+    futures_util::stream::unfold(state, move |(mut handle, metadata, first, ended)| {
         let shared = Arc::clone(&shared);
         async move {
             if ended {
@@ -225,27 +225,27 @@
             }
             let event = match first {
                 Some(event) => event,
-                None => answer.next().await?,
+                None => handle.next().await?,
             };
             let ended = matches!(event, CallerEvent::Finished(_));
             let text = match event {
-                CallerEvent::Chunk(chunk) => event_text(&frame, &chunk),
-                CallerEvent::Finished(outcome) => end_text(&shared, &frame, outcome),
+                CallerEvent::Chunk(chunk) => event_text(&metadata, &chunk),
+                CallerEvent::Finished(outcome) => end_text(&shared, &metadata, outcome),
             };
-            Some((Ok(Bytes::from(text)), (answer, frame, None, ended)))
+            Some((Ok(Bytes::from(text)), (handle, metadata, None, ended)))
         }
     })
 }
 
-fn event_text(frame: &AnswerFrame, chunk: &Chunk) -> String {
+fn event_text(metadata: &CompletionMetadata, chunk: &Chunk) -> String {
     let (choices, usage) = match chunk {
         Chunk::Choices { json, .. } => (&**json, None),
-        Chunk::Usage(json) if frame.include_usage => ("[]", Some(json)),
+        Chunk::Usage(json) if metadata.include_usage => ("[]", Some(json)),
         Chunk::Usage(_) | Chunk::Head { .. } | Chunk::Data(_) => return String::new(),
     };
-    let object = frame.kind.object(true);
-    let (id, created) = (&frame.id, frame.created);
-    let model = Value::from(&*frame.model);
+    let object = metadata.kind.object(true);
+    let (id, created) = (&metadata.id, metadata.created);
+    let model = Value::from(&*metadata.model);
     let usage = usage.map_or_else(String::new, |json| format!(",\"usage\":{json}"));
     format!(
         "data: {{\"id\":\"{id}\",\"object\":\"{object}\",\"created\":{created},\
@@ -253,9 +253,9 @@
     )
 }
 
-fn end_text(shared: &NodeShared, frame: &AnswerFrame, outcome: CallOutcome) -> String {
+fn end_text(shared: &NodeShared, metadata: &CompletionMetadata, outcome: CallOutcome) -> String {
     let error = CallerError::from_outcome(outcome);
-    intake::count(shared, &frame.class, error.as_ref());
+    requests::count_outcome(shared, &metadata.class, error.as_ref());
     match error {
         None => "data: [DONE]\n\n".to_owned(),
         Some(error) => format!("data: {}\n\n", error.body()),
@@ -277,17 +277,17 @@
     fields: &Map<String, Value>,
 ) -> Result<RequestShape<'_>, CallerError> {
     let model = fields.get("model").and_then(Value::as_str);
-    let model = model.ok_or_else(|| invalid_field("model", "a string"))?;
+    let model = model.ok_or_else(|| wrong_field("model", "a string"))?;
     let streamed = match fields.get("stream") {
         None | Some(Value::Null) => false,
         Some(Value::Bool(streamed)) => *streamed,
-        Some(_) => return Err(invalid_field("stream", "a boolean")),
+        Some(_) => return Err(wrong_field("stream", "a boolean")),
     };
     if fields
         .get("n")
         .is_some_and(|n| !n.is_null() && n.as_u64() != Some(1))
     {
-        return Err(invalid_field("n", "1 (one answer a call)"));
+        return Err(wrong_field("n", "1 (one answer a call)"));
     }
     let bound = fields
         .get("max_completion_tokens")
@@ -296,7 +296,7 @@
         None | Some(Value::Null) => 0,
         Some(bound) => {
             let bound = bound.as_u64().and_then(|bound| u32::try_from(bound).ok());
-            bound.ok_or_else(|| invalid_field("max_tokens", "a whole number"))?
+            bound.ok_or_else(|| wrong_field("max_tokens", "a whole number"))?
         }
     };
     Ok(RequestShape {
@@ -312,16 +312,11 @@
     let text = match kind {
         CompletionKind::Chat => match fields.get("messages").and_then(Value::as_array) {
             Some(messages) if !messages.is_empty() => join_contents(messages),
-            _ => {
-                return Err(invalid_field(
-                    "messages",
-                    "a list with at least one message",
-                ));
-            }
+            _ => return Err(wrong_field("messages", "a list with at least one message")),
         },
         CompletionKind::Text => match fields.get("prompt").and_then(Value::as_str) {
             Some(prompt) => prompt.to_owned(),
-            None => return Err(invalid_field("prompt", "a string")),
+            None => return Err(wrong_field("prompt", "a string")),
         },
     };
     let bytes = text.as_bytes();
@@ -335,7 +330,7 @@
     contents.collect::<Vec<_>>().join("\n")
 }
 
-fn invalid_field(field: &str, expected: &str) -> CallerError {
+fn wrong_field(field: &str, expected: &str) -> CallerError {
     CallerError::not_run(
         StatusCode::BAD_REQUEST,
         "invalid_field",
@@ -344,9 +339,9 @@
 }
 
 /// Collects the body of an answer that is forwarded unchanged.
-pub async fn rest_of_body(answer: &mut OpenAnswer) -> Vec<u8> {
+pub async fn collect_body(handle: &mut CallHandle) -> Vec<u8> {
     let mut body = Vec::new();
-    while let Some(CallerEvent::Chunk(chunk)) = answer.next().await {
+    while let Some(CallerEvent::Chunk(chunk)) = handle.next().await {
         if let Chunk::Data(data) = chunk {
             body.extend_from_slice(&data);
         }
--- a/daemon/src/driver.rs
+++ b/daemon/src/driver.rs
@@ -49,9 +49,9 @@
         Input::Event(event) => kernel.handle(now, event, actions),
         Input::Frame(from, frame) => receive(shared, kernel, from, frame, actions),
         Input::LinkLost(node) => {
-            shared.release_waiting(node);
+            shared.remove_waiting(node);
             kernel.handle(now, Event::LinkDown(node), actions);
-            for lost in shared.calls.lose_owner(node) {
+            for lost in shared.calls.withdraw_owner(node) {
                 kernel.handle(now, lost_event(lost), actions);
             }
         }
@@ -71,14 +71,14 @@
     match frame {
         Frame::Message(message) => {
             if let Message::Work(WorkMessage::Cancel(attempt)) = &message {
-                shared.release_if_waiting(*attempt);
+                shared.remove_if_waiting(*attempt);
             }
             kernel.handle(shared.now(), Event::PeerMessage { from, message }, actions);
         }
         Frame::Request(message, parts) => {
             match &message {
                 Message::Work(WorkMessage::Offer(work)) => {
-                    shared.hold(work.attempt, from, Arc::new(parts));
+                    shared.add_work(work.attempt, from, Arc::new(parts));
                 }
                 Message::Relay(RelayMessage::Call { spec, .. }) => {
                     shared.calls.open_relayed(spec.call, parts, from);
@@ -101,7 +101,7 @@
     match action {
         Action::Send { to, message } => send(shared, to, message),
         Action::StartAttempt(start) => upstreams::start(shared, start),
-        Action::CancelAttempt(attempt) => shared.cancel(attempt),
+        Action::CancelAttempt(attempt) => shared.cancel_work(attempt),
         Action::FinishCall { call, outcome } => shared.calls.finish(call, outcome),
         Action::AcceptAttempt {
             attempt,
@@ -113,47 +113,47 @@
         Action::WithdrawAttempt(attempt) => {
             let own = shared.profile.node;
             if let Some(lost) = shared.calls.withdraw(attempt, own) {
-                shared.event(lost_event(lost));
+                shared.send_event(lost_event(lost));
             }
         }
         Action::AttachCall { call, original } => {
             let mut send = |node, frame| links::send(shared, node, frame);
             shared.calls.attach(call, original, &mut send);
         }
-        Action::ForgetAnswer(call) => shared.calls.forget_answer(call),
+        Action::ForgetAnswer(call) => shared.calls.remove_answer(call),
         Action::Append { ticket, record } => platform::append(shared, ticket, record),
         Action::ReadLog { from } => platform::read_log(shared, from),
         Action::Order {
             request,
             fencing,
             not_after,
-        } => orders::give(shared, request, fencing, not_after),
+        } => orders::send(shared, request, fencing, not_after),
         Action::Exit => shared.done.cancel(),
         Action::UseConfig(config) => {
             log::info!("event=config_in_force version={}", config.version);
-            shared.use_config(config);
+            shared.set_config(config);
         }
-        Action::UseMembers(members) => shared.use_members(members),
-        Action::UseOwners(owners) => shared.use_owners(owners),
+        Action::UseMembers(members) => shared.set_members(members),
+        Action::UseOwners(owners) => shared.set_owners(owners),
         Action::PublishAnswered {
             request,
             id,
             result,
         } => {
             log::info!("event=publish_answered id={id} result=\"{result}\"");
-            shared.changes.answered(request, id, result);
+            shared.changes.finish_publish(request, id, result);
         }
         Action::PublishProgressed { request, progress } => {
-            shared.changes.progressed(request, progress);
+            shared.changes.update_progress(request, progress);
         }
-        Action::DocumentsAnswered { request, list } => shared.changes.documents(request, list),
+        Action::DocumentsAnswered { request, list } => shared.changes.finish_read(request, list),
     }
 }
 
 fn send(shared: &Arc<NodeShared>, to: NodeId, message: Message) {
     let frame = match &message {
         Message::Work(WorkMessage::Offer(work)) => {
-            shared.calls.offered(work.attempt, to);
+            shared.calls.record_offer(work.attempt, to);
             request_frame(shared, work.attempt.call, message)
         }
         Message::Relay(RelayMessage::Call { spec, .. }) => {
@@ -163,7 +163,7 @@
         Message::Work(
             WorkMessage::Ended { attempt, .. } | WorkMessage::Returned { attempt, .. },
         ) => {
-            shared.release(*attempt);
+            shared.remove_work(*attempt);
             Frame::Message(message)
         }
         _ => Frame::Message(message),
@@ -190,7 +190,7 @@
         return deliver(shared, attempt, index, chunk);
     }
     links::send(shared, entry, Frame::Chunk(attempt, index, chunk));
-    Delivery::Passed
+    Delivery::Forwarded
 }
 
 fn deliver(shared: &Arc<NodeShared>, attempt: AttemptId, index: u32, chunk: Chunk) -> Delivery {
@@ -204,8 +204,8 @@
     match delivery {
         Delivery::Dropped => shared.counters.dropped_chunks.inc(),
         Delivery::Gap => log::error!("call={call} event=gap index={index}"),
-        Delivery::Stalled => shared.event(Event::CallCancelled(call)),
-        Delivery::Passed | Delivery::Held => {}
+        Delivery::Stalled => shared.send_event(Event::CallCancelled(call)),
+        Delivery::Forwarded | Delivery::Buffered => {}
     }
 }
 
--- a/daemon/src/error.rs
+++ b/daemon/src/error.rs
@@ -9,7 +9,7 @@
 pub enum NodeError {
     /// The settings file cannot be read.
     #[error("{file}: {source}")]
-    SettingsUnread {
+    SettingsUnreadable {
         /// Path of the file.
         file: Box<str>,
         /// Error of the operating system.
--- a/daemon/src/exit_codes.rs
+++ b/daemon/src/exit_codes.rs
@@ -26,7 +26,9 @@
 impl From<&NodeError> for ExitCode {
     fn from(error: &NodeError) -> Self {
         match error {
-            NodeError::SettingsUnread { .. } | NodeError::SettingsInvalid { .. } => Self::Settings,
+            NodeError::SettingsUnreadable { .. } | NodeError::SettingsInvalid { .. } => {
+                Self::Settings
+            }
             _ => Self::Start,
         }
     }
--- a/daemon/src/frame.rs
+++ b/daemon/src/frame.rs
@@ -49,7 +49,7 @@
 
 impl Chunk {
     /// Whether the next chunk of the answer has a higher index than this one.
-    pub fn counts(&self) -> bool {
+    pub fn advances_index(&self) -> bool {
         match self {
             Self::Head { .. } | Self::Data(_) => true,
             Self::Choices { token, .. } => *token,
--- a/daemon/src/gateway/duties.rs
+++ b/daemon/src/gateway/duties.rs
@@ -16,7 +16,7 @@
 use monsoonbank_platform::store::{KeyedRecord, StoreClient, StoreError};
 use rand_pcg::Pcg64Mcg;
 
-use crate::boot::BootClock;
+use crate::boot_clock::BootClock;
 use crate::gateway::Gateway;
 use crate::gateway::decisions::{Decision, millis};
 use crate::gateway::settings::{DutyName, DutySettings};
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -2,8 +2,9 @@
 //! platform, other nodes and operators.
 
 pub mod answers;
+pub mod assembler;
 pub mod body;
-pub mod boot;
+pub mod boot_clock;
 pub mod callers;
 pub mod calls;
 pub mod changes;
@@ -14,9 +15,7 @@
 pub mod exit_codes;
 pub mod frame;
 pub mod gateway;
-pub mod intake;
 pub mod links;
-pub mod message;
 pub mod node;
 pub mod operators;
 pub mod orders;
@@ -24,6 +23,7 @@
 pub mod proof;
 pub mod refusal;
 pub mod reports;
+pub mod requests;
 pub mod services;
 pub mod settings;
 pub mod shared;
--- a/daemon/src/links.rs
+++ b/daemon/src/links.rs
@@ -96,7 +96,7 @@
     };
     let broken = end.broken.load(Ordering::Acquire);
     if (broken || end.sender.try_send(frame).is_err()) && !control {
-        shared.input(Input::LinkLost(to));
+        shared.send_input(Input::LinkLost(to));
     }
 }
 
@@ -130,7 +130,7 @@
             Ok(socket) => {
                 broken.store(false, Ordering::Release);
                 pause = REDIAL_PAUSE;
-                shared.event(Event::LinkUp(to));
+                shared.send_event(Event::LinkUp(to));
                 if let Err(error) = send_queued(shared, &mut frames, socket).await {
                     log::debug!("event=link_lost node={to} reason=\"{error}\"");
                 }
@@ -140,7 +140,7 @@
         broken.store(true, Ordering::Release);
         frames_lost = true;
         while frames.try_recv().is_ok() {}
-        shared.input(Input::LinkLost(to));
+        shared.send_input(Input::LinkLost(to));
         tokio::time::sleep(pause).await;
         pause = (pause * 2).min(MAX_REDIAL_PAUSE);
         if !is_alive(shared, to) {
@@ -211,7 +211,7 @@
 ) -> Result<(), LinkError> {
     let bytes = frame::encode(frame)?;
     if let Frame::Request(KernelMessage::Work(WorkMessage::Offer(work)), _) = frame {
-        shared.calls.sending(work.attempt);
+        shared.calls.mark_sent(work.attempt);
     }
     let size = bytes.len() as u64 + HEADER_BYTES;
     if is_control(frame) {
@@ -265,7 +265,7 @@
     write_value(&mut socket, &hello).await?;
     let welcome: LinkWelcome = read_value(&mut socket).await?;
     let claim = &hello.claim;
-    if !proof::check(
+    if !proof::verify(
         key,
         ProofSide::Listener,
         &claim.nonce,
@@ -304,14 +304,14 @@
         Err(_) => return,
     };
     if frames_lost {
-        shared.input(Input::LinkLost(from));
+        shared.send_input(Input::LinkLost(from));
     }
     while let Some(Ok(message)) = socket.next().await {
         if let Message::Binary(bytes) = message {
             receive(shared, from, &bytes);
         }
     }
-    shared.input(Input::LinkLost(from));
+    shared.send_input(Input::LinkLost(from));
 }
 
 fn receive(shared: &NodeShared, from: NodeId, bytes: &Bytes) {
@@ -329,7 +329,7 @@
     } else {
         shared.counters.data_received_bytes.inc_by(size);
     }
-    shared.input(Input::Frame(from, frame));
+    shared.send_input(Input::Frame(from, frame));
 }
 
 async fn accept_handshake(
@@ -344,7 +344,7 @@
     let hello: LinkHello = read_value(&mut socket).await?;
     let key = &shared.settings.secrets.peer_key;
     let claim = hello.claim;
-    if !proof::check(key, ProofSide::Dialler, &challenge, &claim, &hello.proof) {
+    if !proof::verify(key, ProofSide::Dialler, &challenge, &claim, &hello.proof) {
         return Err(LinkError::Proof);
     }
     let proof = proof::prove(key, ProofSide::Listener, &claim.nonce, &claim);
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -44,7 +44,7 @@
 
     /// Starts a graceful shutdown: the node rejects new calls and finishes the open ones.
     pub fn drain(&self) {
-        self.shared.event(Event::DrainNode);
+        self.shared.send_event(Event::DrainNode);
     }
 
     /// Waits until a graceful shutdown has finished.
--- a/daemon/src/operators.rs
+++ b/daemon/src/operators.rs
@@ -16,8 +16,8 @@
 use tokio::sync::oneshot;
 
 use crate::counters::METRIC_PREFIX;
-use crate::intake::bearer;
 use crate::refusal::CallerError;
+use crate::requests::bearer;
 use crate::shared::{Input, NodeShared};
 
 /// Maximum size of a change, in bytes.
@@ -78,7 +78,7 @@
         }
         match self.call {
             OperatorCall::State => self.state(request, response).await,
-            OperatorCall::DrainNode => self.shared.event(Event::DrainNode),
+            OperatorCall::DrainNode => self.shared.send_event(Event::DrainNode),
             OperatorCall::DrainUpstream => self.drain_upstream(request, response),
             OperatorCall::Documents => self.documents(response).await,
             OperatorCall::Publish => self.publish(request, response).await,
@@ -108,7 +108,7 @@
     async fn state(&self, request: &mut Request, response: &mut Response) {
         let section = request.query::<String>("section").map(Into::into);
         let (reply, answer) = oneshot::channel();
-        self.shared.input(Input::Dump(section, reply));
+        self.shared.send_input(Input::Dump(section, reply));
         let state = answer.await.unwrap_or(Value::Null);
         let profile = &self.shared.profile;
         response.render(Json(json!({
@@ -116,14 +116,14 @@
             "zone": profile.zone_name,
             "incarnation": profile.incarnation.0,
             "open_calls": self.shared.calls.len(),
-            "held_requests": self.shared.held(),
+            "held_requests": self.shared.work_count(),
             "state": state,
         })));
     }
 
     async fn metrics(&self, response: &mut Response) {
         let (reply, answer) = oneshot::channel();
-        self.shared.input(Input::Gauges(reply));
+        self.shared.send_input(Input::Gauges(reply));
         let gauges = answer.await.unwrap_or_default();
         let families = self.shared.counters.registry.gather();
         let mut text = TextEncoder::new()
@@ -141,14 +141,14 @@
         if !self.shared.config().upstreams.contains_key(&upstream) {
             return unknown_upstream(&name).render(response);
         }
-        self.shared.event(Event::DrainUpstream(upstream));
+        self.shared.send_event(Event::DrainUpstream(upstream));
     }
 }
 
 impl OperatorApi {
     async fn documents(&self, response: &mut Response) {
-        let (ticket, answer) = self.shared.changes.read();
-        self.shared.event(Event::DocumentsRequested(ticket));
+        let (ticket, answer) = self.shared.changes.add_reader();
+        self.shared.send_event(Event::DocumentsRequested(ticket));
         response.render(Json(answer.await.unwrap_or_default()));
     }
 
@@ -166,9 +166,9 @@
                     .render(response);
             }
         };
-        let (request, answer) = self.shared.changes.publish();
+        let (request, answer) = self.shared.changes.add_publisher();
         self.shared
-            .event(Event::PublishRequested { request, record });
+            .send_event(Event::PublishRequested { request, record });
         response.render(Json(answer.await.unwrap_or(PublishResult::Unavailable)));
     }
 
@@ -182,7 +182,7 @@
         match request.parse_json::<EngineOrder>().await {
             Ok(order) => {
                 let request = OrderRequest { upstream, order };
-                self.shared.event(Event::OrderRequested(request));
+                self.shared.send_event(Event::OrderRequested(request));
                 response.status_code(StatusCode::ACCEPTED);
                 response.render(Json(json!({ "wanted": true })));
             }
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -12,14 +12,14 @@
 
 /// Sends an order with a fencing token to an engine, in its own task, unless the time `not_after` has
 /// passed. The result is sent to the kernel as an event.
-pub fn give(shared: &Arc<NodeShared>, request: OrderRequest, fencing: u64, not_after: Duration) {
+pub fn send(shared: &Arc<NodeShared>, request: OrderRequest, fencing: u64, not_after: Duration) {
     let own = Arc::clone(shared);
     shared.spawn(async move {
         let upstream = request.upstream;
         let accepted = post(&own, &request, fencing, not_after).await;
         let order = &request.order;
         log::info!("event=order upstream={upstream} fencing={fencing} order=\"{order}\" accepted={accepted}");
-        own.event(Event::OrderAnswered {
+        own.send_event(Event::OrderAnswered {
             upstream,
             fencing,
             accepted,
--- a/daemon/src/platform.rs
+++ b/daemon/src/platform.rs
@@ -57,7 +57,7 @@
             log::debug!("event=log_unavailable reason=\"{error}\"");
             Event::LogUnavailable
         });
-        own.event(event);
+        own.send_event(event);
     });
 }
 
@@ -131,7 +131,7 @@
     let own = Arc::clone(shared);
     shared.spawn(async move {
         let result = try_append(&own, &record).await;
-        own.event(Event::AppendDone { ticket, result });
+        own.send_event(Event::AppendDone { ticket, result });
     });
 }
 
@@ -173,7 +173,7 @@
     let url = format!("{}/hosts", shared.settings.platform.hosts);
     loop {
         match hosts(&shared, &url).await {
-            Ok(hosts) => shared.event(Event::HostList(hosts)),
+            Ok(hosts) => shared.send_event(Event::HostList(hosts)),
             Err(error) => log::debug!("event=hosts_unavailable reason=\"{error}\""),
         }
         tokio::time::sleep(shared.settings.platform.hosts_poll).await;
--- a/daemon/src/proof.rs
+++ b/daemon/src/proof.rs
@@ -66,7 +66,7 @@
 }
 
 /// Whether a proof is valid. Compares in constant time.
-pub fn check(
+pub fn verify(
     key: &str,
     side: ProofSide,
     nonce: &Nonce,
--- a/daemon/src/reports.rs
+++ b/daemon/src/reports.rs
@@ -43,7 +43,7 @@
     let mut offsets: BTreeMap<UpstreamId, u64> = BTreeMap::new();
     loop {
         let config = shared.config();
-        let polls = shared.owned().into_iter().filter_map(|id| {
+        let polls = shared.owned_upstreams().into_iter().filter_map(|id| {
             let upstream = config.upstreams.get(&id)?;
             let pool = config.pools.get(&upstream.pool)?;
             let offset = offsets.get(&id).copied().unwrap_or_default();
@@ -63,7 +63,7 @@
 ) -> (UpstreamId, u64) {
     let address = &upstream.spec.address;
     let Some(load) = get::<LoadAnswer>(shared, &format!("http://{address}/load")).await else {
-        shared.event(Event::UpstreamUnreachable(id));
+        shared.send_event(Event::UpstreamUnreachable(id));
         return (id, offset);
     };
     let report = LoadReport {
@@ -72,7 +72,7 @@
         age: Duration::from_millis(load.age_ms),
         leaving: load.leaving,
     };
-    shared.event(Event::UpstreamReported {
+    shared.send_event(Event::UpstreamReported {
         upstream: id,
         report,
     });
@@ -83,7 +83,7 @@
     for row in page.events {
         if let Ok(prefix) = u64::from_str_radix(&row.prefix, 16) {
             let held = row.held;
-            shared.event(Event::CacheChanged {
+            shared.send_event(Event::CacheChanged {
                 upstream: id,
                 prefix,
                 held,
--- a/daemon/src/intake.rs
+++ b/daemon/src/requests.rs
@@ -24,7 +24,7 @@
 
 /// An authenticated caller: the workspace that sent a request.
 #[derive(Clone, Debug)]
-pub struct KnownCaller {
+pub struct AuthenticatedCaller {
     /// Configuration that was in force when the request was authenticated; it applies to the whole
     /// request.
     pub config: Arc<Config>,
@@ -48,7 +48,7 @@
 }
 
 /// Handle of an open call. Dropping it before the call has ended cancels the call.
-pub struct OpenAnswer {
+pub struct CallHandle {
     shared: Arc<NodeShared>,
     /// Identifier of the call.
     pub call: CallId,
@@ -56,7 +56,7 @@
     finished: bool,
 }
 
-impl OpenAnswer {
+impl CallHandle {
     /// Waits for the next chunk or the end. `None` if the call was dropped without an outcome.
     pub async fn next(&mut self) -> Option<CallerEvent> {
         let event = self.receiver.next().await?;
@@ -65,17 +65,20 @@
     }
 }
 
-impl Drop for OpenAnswer {
+impl Drop for CallHandle {
     fn drop(&mut self) {
         if !self.finished {
-            self.shared.event(Event::CallCancelled(self.call));
+            self.shared.send_event(Event::CallCancelled(self.call));
         }
     }
 }
 
 /// Authenticates a request by its bearer token. An error means that no configuration is in force yet,
 /// or that the token is missing or unknown.
-pub fn identify(shared: &NodeShared, request: &Request) -> Result<KnownCaller, CallerError> {
+pub fn authenticate(
+    shared: &NodeShared,
+    request: &Request,
+) -> Result<AuthenticatedCaller, CallerError> {
     let config = shared.config();
     if config.classes.is_empty() {
         return Err(CallerError::not_run(
@@ -94,7 +97,7 @@
         .get(&workspace)
         .map(Arc::clone)
         .ok_or_else(unauthorized)?;
-    Ok(KnownCaller {
+    Ok(AuthenticatedCaller {
         config,
         workspace,
         spec,
@@ -131,7 +134,7 @@
 /// Classifies a request by the configured rules. An error means that no rule matches, or that the
 /// model or service is unknown. `bytes` is the size of the body.
 pub fn classify(
-    caller: &KnownCaller,
+    caller: &AuthenticatedCaller,
     request: &Request,
     shape: &RequestShape<'_>,
     bytes: usize,
@@ -164,14 +167,14 @@
 
 /// Opens a call for a classified request. An error means that the class is unknown or the node has
 /// reached its limit of open calls.
-pub fn open(
+pub fn open_call(
     shared: &Arc<NodeShared>,
-    caller: &KnownCaller,
-    found: Classification,
+    caller: &AuthenticatedCaller,
+    classification: Classification,
     shape: &RequestShape<'_>,
     parts: RequestParts,
-) -> Result<OpenAnswer, CallerError> {
-    let class = caller.config.classes.get(&found.class);
+) -> Result<CallHandle, CallerError> {
+    let class = caller.config.classes.get(&classification.class);
     let Some(class) = class else {
         return Err(CallerError::not_run(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -190,9 +193,9 @@
     let spec = CallSpec {
         call,
         workspace: caller.workspace,
-        class: found.class,
-        tier: found.tier,
-        pool: found.pool,
+        class: classification.class,
+        tier: classification.tier,
+        pool: classification.pool,
         time_left: class.target,
         repeatable: class.repeatable,
         prompt_tokens: (parts.body.len() / BYTES_PER_TOKEN) as u32,
@@ -207,10 +210,10 @@
     log::debug!(
         "call={call} event=arrived class={} tier={}",
         class.name,
-        found.tier
+        classification.tier
     );
-    shared.event(Event::CallArrived { spec, key });
-    Ok(OpenAnswer {
+    shared.send_event(Event::CallArrived { spec, key });
+    Ok(CallHandle {
         shared: Arc::clone(shared),
         call,
         receiver,
@@ -229,7 +232,7 @@
 }
 
 /// Counts an ended call by class and outcome; no error means a whole answer.
-pub fn count(shared: &NodeShared, class: &str, error: Option<&CallerError>) {
+pub fn count_outcome(shared: &NodeShared, class: &str, error: Option<&CallerError>) {
     let outcome = error.map_or("whole", |error| error.outcome);
     shared
         .counters
--- a/daemon/src/services.rs
+++ b/daemon/src/services.rs
@@ -10,8 +10,8 @@
 use crate::body::read_body;
 use crate::completions::render_raw;
 use crate::frame::{Chunk, RequestParts};
-use crate::intake::{self, OpenAnswer, RequestShape};
 use crate::refusal::CallerError;
+use crate::requests::{self, CallHandle, RequestShape};
 use crate::shared::NodeShared;
 use crate::sink::CallerEvent;
 
@@ -41,7 +41,7 @@
         request: &mut Request,
         response: &mut Response,
     ) -> Result<(), CallerError> {
-        let caller = intake::identify(&self.shared, request)?;
+        let caller = requests::authenticate(&self.shared, request)?;
         let body = read_body(&self.shared, request).await?;
         let target = request
             .uri()
@@ -53,26 +53,26 @@
             model: service,
             ..RequestShape::default()
         };
-        let found = intake::classify(&caller, request, &shape, body.len())?;
-        let class = caller.config.classes.get(&found.class).cloned();
+        let classification = requests::classify(&caller, request, &shape, body.len())?;
+        let class = caller.config.classes.get(&classification.class).cloned();
         let key = text_header(request, KEY_HEADER);
         if class.as_ref().is_some_and(|class| !class.repeatable) && key.is_none() {
             return Err(key_required(self.shared.fresh_key(caller.workspace)));
         }
         let parts = request_parts(request, path, key, body);
-        let answer = intake::open(&self.shared, &caller, found, &shape, parts)?;
+        let handle = requests::open_call(&self.shared, &caller, classification, &shape, parts)?;
         let name = class.map(|class| class.name.clone()).unwrap_or_default();
-        let result = collect(answer, response).await;
-        intake::count(&self.shared, &name, result.as_ref().err());
+        let result = collect(handle, response).await;
+        requests::count_outcome(&self.shared, &name, result.as_ref().err());
         result
     }
 }
 
-async fn collect(mut answer: OpenAnswer, response: &mut Response) -> Result<(), CallerError> {
+async fn collect(mut handle: CallHandle, response: &mut Response) -> Result<(), CallerError> {
     let mut head = None;
     let mut body = Vec::new();
     loop {
-        let event = answer
+        let event = handle
             .next()
             .await
             .unwrap_or(CallerEvent::Finished(CallOutcome::Unknown));
--- a/daemon/src/settings.rs
+++ b/daemon/src/settings.rs
@@ -124,7 +124,7 @@
 /// Reads and parses any YAML settings file. Errors name the file, the line and the field.
 pub fn load_yaml<T: DeserializeOwned>(path: &Path) -> Result<T, NodeError> {
     let file: Box<str> = path.display().to_string().into();
-    let text = std::fs::read_to_string(path).map_err(|source| NodeError::SettingsUnread {
+    let text = std::fs::read_to_string(path).map_err(|source| NodeError::SettingsUnreadable {
         file: file.clone(),
         source,
     })?;
--- a/daemon/src/shared.rs
+++ b/daemon/src/shared.rs
@@ -180,14 +180,14 @@
     }
 
     /// Queues an input for the driver.
-    pub fn input(&self, input: Input) {
+    pub fn send_input(&self, input: Input) {
         // The driver is gone only when the node is being killed.
         let _ = self.inputs.send(input);
     }
 
     /// Queues an event for the kernel.
-    pub fn event(&self, event: Event) {
-        self.input(Input::Event(event));
+    pub fn send_event(&self, event: Event) {
+        self.send_input(Input::Event(event));
     }
 
     fn works(&self) -> MutexGuard<'_, BTreeMap<AttemptId, AttemptWork>> {
@@ -195,7 +195,7 @@
     }
 
     /// Stores the request of an attempt that `entry` offered. Has no effect if it is already stored.
-    pub fn hold(&self, attempt: AttemptId, entry: NodeId, parts: Arc<RequestParts>) {
+    pub fn add_work(&self, attempt: AttemptId, entry: NodeId, parts: Arc<RequestParts>) {
         self.works()
             .entry(attempt)
             .or_insert_with(|| AttemptWork::new(entry, parts));
@@ -204,7 +204,7 @@
     /// Marks an attempt as running and returns its entry, its request and a new cancellation
     /// token. The request of an attempt that this node offered to itself was never sent over a
     /// link, so it is taken from the open call. `None` if no request is found.
-    pub fn start(&self, attempt: AttemptId) -> Option<StartedWork> {
+    pub fn start_work(&self, attempt: AttemptId) -> Option<StartedWork> {
         let mut works = self.works();
         if let std::collections::btree_map::Entry::Vacant(vacant) = works.entry(attempt) {
             let parts = self.calls.parts(attempt.call)?;
@@ -222,7 +222,7 @@
     }
 
     /// Records that the attempt's task has ended, and removes the attempt if this node is its entry.
-    pub fn stopped(&self, attempt: AttemptId) {
+    pub fn mark_work_stopped(&self, attempt: AttemptId) {
         let mut works = self.works();
         let Some(work) = works.get_mut(&attempt) else {
             return;
@@ -234,7 +234,7 @@
     }
 
     /// Removes a cancelled attempt unless it runs at an upstream.
-    pub fn release_if_waiting(&self, attempt: AttemptId) {
+    pub fn remove_if_waiting(&self, attempt: AttemptId) {
         let mut works = self.works();
         if works.get(&attempt).is_some_and(|work| !work.running) {
             works.remove(&attempt);
@@ -242,25 +242,25 @@
     }
 
     /// Removes all attempts of an unreachable entry except those that run at an upstream.
-    pub fn release_waiting(&self, entry: NodeId) {
+    pub fn remove_waiting(&self, entry: NodeId) {
         self.works()
             .retain(|_, work| work.entry != entry || work.running);
     }
 
     /// Number of attempts whose requests are stored.
-    pub fn held(&self) -> usize {
+    pub fn work_count(&self) -> usize {
         self.works().len()
     }
 
     /// Cancels an attempt at its upstream. Has no effect on an unknown attempt.
-    pub fn cancel(&self, attempt: AttemptId) {
+    pub fn cancel_work(&self, attempt: AttemptId) {
         if let Some(work) = self.works().get(&attempt) {
             work.cancel.cancel();
         }
     }
 
     /// Removes an attempt that has ended.
-    pub fn release(&self, attempt: AttemptId) {
+    pub fn remove_work(&self, attempt: AttemptId) {
         self.works().remove(&attempt);
     }
 
@@ -289,7 +289,7 @@
     }
 
     /// Upstreams owned by this node.
-    pub fn owned(&self) -> Vec<UpstreamId> {
+    pub fn owned_upstreams(&self) -> Vec<UpstreamId> {
         let owners = self.owners();
         let own = |owner: &NodeId| *owner == self.profile.node;
         owners
@@ -301,17 +301,17 @@
     }
 
     /// Replaces the configuration in force.
-    pub fn use_config(&self, config: Arc<Config>) {
+    pub fn set_config(&self, config: Arc<Config>) {
         write(&self.config, config);
     }
 
     /// Replaces the view of the fleet's members.
-    pub fn use_members(&self, members: Arc<MemberView>) {
+    pub fn set_members(&self, members: Arc<MemberView>) {
         write(&self.members, members);
     }
 
     /// Replaces the owners of the upstreams.
-    pub fn use_owners(&self, owners: Arc<OwnerMap>) {
+    pub fn set_owners(&self, owners: Arc<OwnerMap>) {
         write(&self.owners, owners);
     }
 }
--- a/daemon/src/sink.rs
+++ b/daemon/src/sink.rs
@@ -38,13 +38,13 @@
 
 /// Result of passing a chunk to a sink.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Intake {
+pub enum PutResult {
     /// The chunk was queued or sent.
-    Taken,
+    Accepted,
     /// The chunk was queued, but the caller's unread bytes exceed the limit.
-    Full,
+    OverLimit,
     /// The caller has disconnected; the chunk was discarded.
-    Gone,
+    Disconnected,
 }
 
 /// Sending end of an open call's answer.
@@ -84,12 +84,12 @@
         index: u32,
         chunk: Chunk,
         send: &mut dyn FnMut(NodeId, Frame),
-    ) -> Intake {
+    ) -> PutResult {
         match self {
             Self::Caller(sink) => sink.put(chunk),
             Self::Peer(node) => {
                 send(*node, Frame::Relayed(call, index, chunk));
-                Intake::Taken
+                PutResult::Accepted
             }
         }
     }
@@ -104,16 +104,16 @@
 }
 
 impl CallerSink {
-    fn put(&self, chunk: Chunk) -> Intake {
+    fn put(&self, chunk: Chunk) -> PutResult {
         let bytes = chunk.bytes();
         let waiting = self.waiting.fetch_add(bytes, Ordering::Relaxed) + bytes;
         if self.sender.send(CallerEvent::Chunk(chunk)).is_err() {
-            return Intake::Gone;
+            return PutResult::Disconnected;
         }
         if waiting > self.limit {
-            Intake::Full
+            PutResult::OverLimit
         } else {
-            Intake::Taken
+            PutResult::Accepted
         }
     }
 }
--- a/daemon/src/upstreams.rs
+++ b/daemon/src/upstreams.rs
@@ -48,10 +48,10 @@
         entry,
         parts,
         cancel,
-    }) = shared.start(attempt)
+    }) = shared.start_work(attempt)
     else {
         log::error!("attempt={attempt} event=request_missing");
-        shared.event(Event::AttemptEnded {
+        shared.send_event(Event::AttemptEnded {
             attempt,
             end: AttemptEnd::Unsent,
         });
@@ -83,8 +83,8 @@
     };
     let tokens = running.index - running.first_index;
     let end = end.unwrap_or(AttemptEnd::Cancelled { tokens });
-    running.shared.stopped(running.attempt);
-    running.shared.event(Event::AttemptEnded {
+    running.shared.mark_work_stopped(running.attempt);
+    running.shared.send_event(Event::AttemptEnded {
         attempt: running.attempt,
         end,
     });
@@ -106,7 +106,9 @@
     let Some(request) = build_request(running, start, parts, upstream, kind) else {
         return AttemptEnd::Unsent;
     };
-    running.shared.event(Event::AttemptSent(running.attempt));
+    running
+        .shared
+        .send_event(Event::AttemptSent(running.attempt));
     let response = match request.send().await {
         Ok(response) => response,
         Err(error) if error.is_connect() => return AttemptEnd::Unsent,
@@ -137,7 +139,9 @@
     if response.headers().contains_key(LEAVING_HEADER) {
         let upstream = start.upstream;
         log::info!("upstream={upstream} event=leaving_announced");
-        running.shared.event(Event::UpstreamAnnounced(upstream));
+        running
+            .shared
+            .send_event(Event::UpstreamAnnounced(upstream));
     }
 }
 
@@ -158,7 +162,7 @@
     log::info!("upstream={upstream} event=pause_asked seconds={seconds}");
     running
         .shared
-        .event(Event::UpstreamPaused { upstream, pause });
+        .send_event(Event::UpstreamPaused { upstream, pause });
 }
 
 fn refused(response: &Response) -> bool {
@@ -261,7 +265,7 @@
     );
     let tokens = running.index - running.first_index;
     if token && (tokens == 1 || tokens.is_multiple_of(PROGRESS_TOKENS)) {
-        running.shared.event(Event::AttemptProgress {
+        running.shared.send_event(Event::AttemptProgress {
             attempt: running.attempt,
             tokens,
         });
@@ -323,7 +327,7 @@
 
 fn emit(running: &mut RunningAttempt, chunk: Chunk) {
     let index = running.index;
-    running.index += u32::from(chunk.counts());
+    running.index += u32::from(chunk.advances_index());
     let delivery = driver::send_chunk(
         &running.shared,
         running.entry,
--- a/daemon/tests/common/mod.rs
+++ b/daemon/tests/common/mod.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use monsoonbank_daemon::intake::token_hash;
 use monsoonbank_daemon::node::{self, NodeHandle, NodeListeners};
+use monsoonbank_daemon::requests::token_hash;
 use monsoonbank_daemon::settings::Settings;
 use monsoonbank_kernel::record::{ChangeRecord, Record};
 use monsoonbank_standin::engine::{self, EngineHandle, EngineSettings};
--- a/daemon/tests/gateway/peers.rs
+++ b/daemon/tests/gateway/peers.rs
@@ -79,7 +79,7 @@
     let broken = monsoonbank_standin::keyed::KeyedStore::start("127.0.0.1:0")
         .await
         .expect("a store");
-    broken.set_mood(monsoonbank_standin::keyed::StoreMood::Busy);
+    broken.set_condition(monsoonbank_standin::keyed::StoreCondition::Busy);
     let turned_away = world.turned_away(broken.address());
     turned_away.ready().await;
     world.nodes.push(turned_away);
--- a/daemon/tests/gateway/store.rs
+++ b/daemon/tests/gateway/store.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use monsoonbank_standin::keyed::StoreMood;
+use monsoonbank_standin::keyed::StoreCondition;
 use serde_json::json;
 use tokio::time::{Instant, sleep};
 
@@ -78,12 +78,12 @@
         #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
         async fn $name() {
             let world = World::start(&["east"], vec![good()]).await;
-            world.store.set_mood($mood);
+            world.store.set_condition($mood);
             for _ in 0..20 {
                 assert_eq!(status(&world, "/safe/x").await, 200);
                 sleep(Duration::from_millis(100)).await;
             }
-            world.store.set_mood(StoreMood::Well);
+            world.store.set_condition(StoreCondition::Healthy);
             let mut newer = configuration(7);
             newer["tenants"][0]["apiKeys"] = json!(["key-2"]);
             world.publish(&newer);
@@ -95,19 +95,19 @@
 }
 
 outage! {
-    a_silent_store: StoreMood::Silent;
-    a_store_that_resets: StoreMood::Resetting;
-    a_busy_store: StoreMood::Busy;
-    a_store_that_talks_garbage: StoreMood::Garbage;
+    a_silent_store: StoreCondition::Silent;
+    a_store_that_resets: StoreCondition::Resetting;
+    a_busy_store: StoreCondition::Busy;
+    a_store_that_talks_garbage: StoreCondition::Garbage;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_entry_that_lapsed_in_an_outage_has_time_to_come_back() {
     let world = World::start(&["east"], vec![good()]).await;
-    world.store.set_mood(StoreMood::Resetting);
+    world.store.set_condition(StoreCondition::Resetting);
     sleep(Duration::from_millis(1200)).await;
     world.deregister(0);
-    world.store.set_mood(StoreMood::Well);
+    world.store.set_condition(StoreCondition::Healthy);
     let lapsed = |line: &serde_json::Value| line["lapsed"] == true;
     until("the lapse is seen", async || {
         world.nodes[0].lines().iter().any(lapsed)
@@ -122,10 +122,10 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_entry_that_does_not_come_back_is_gone() {
     let world = World::start(&["east"], vec![good(), good()]).await;
-    world.store.set_mood(StoreMood::Resetting);
+    world.store.set_condition(StoreCondition::Resetting);
     sleep(Duration::from_millis(1200)).await;
     world.deregister(0);
-    world.store.set_mood(StoreMood::Well);
+    world.store.set_condition(StoreCondition::Healthy);
     let gone = |line: &serde_json::Value| line["left"] == "lapsed";
     until("it is given up", async || {
         world.nodes[0].lines().iter().any(gone)
--- a/daemon/tests/gateway/streams.rs
+++ b/daemon/tests/gateway/streams.rs
@@ -167,7 +167,7 @@
         })
         .await;
         if dark {
-            world.upstreams[0].go_dark();
+            world.upstreams[0].stop_accepting();
         }
         world.register_as(1, "i-later", "ready");
     };
--- a/daemon/tests/gateway/thin.rs
+++ b/daemon/tests/gateway/thin.rs
@@ -16,8 +16,8 @@
 use monsoonbank_kernel::gateway::heartbeat::NodeHeartbeat;
 use monsoonbank_kernel::gateway::registry::{RegistryChange, UpstreamRegistry};
 use monsoonbank_platform::entry;
-use monsoonbank_standin::keyed::StoreMood;
-use monsoonbank_standin::link::ThinLink;
+use monsoonbank_standin::keyed::StoreCondition;
+use monsoonbank_standin::link::SlowLink;
 use serde_json::{Value, json};
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep};
@@ -54,7 +54,7 @@
 /// A strong node that reads the store, and one behind a thin link that hears of it.
 struct ThinWorld {
     world: World,
-    link: ThinLink,
+    link: SlowLink,
     thin: NodeProcess,
     told: Arc<AtomicU64>,
 }
@@ -62,7 +62,7 @@
 impl ThinWorld {
     async fn start(first: &Value) -> Self {
         let world = World::start(&["east"], vec![good()]).await;
-        let link = ThinLink::new(MEGABITS);
+        let link = SlowLink::new(MEGABITS);
         world.publish(first);
         let told = Arc::new(AtomicU64::new(1));
         let store = link.relay(world.store.address()).await.expect("a port");
@@ -122,17 +122,17 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_large_version_reaches_a_thin_host_from_a_store_that_was_away() {
     let world = World::start(&[], Vec::new()).await;
-    let link = ThinLink::new(MEGABITS);
+    let link = SlowLink::new(MEGABITS);
     let store = link.relay(world.store.address()).await.expect("a port");
     let thin = World::lonely_node(store);
     thin.ready().await;
-    world.store.set_mood(StoreMood::Busy);
+    world.store.set_condition(StoreCondition::Busy);
     until("the node finds the store away", async || {
         let lost = |line: &Value| line["event"] == "store_lost";
         thin.lines().iter().any(lost)
     })
     .await;
-    world.store.set_mood(StoreMood::Well);
+    world.store.set_condition(StoreCondition::Healthy);
     world.publish(&large(21, 5600));
     let accepted = Instant::now();
     until("the version is in force", async || {
@@ -157,9 +157,9 @@
     let world = ThinWorld::start(&large(21, 8000)).await;
     world.thin.ready().await;
     sleep(LAST_POLL).await;
-    let before = world.link.carried();
+    let before = world.link.bytes_carried();
     let took = world.time_to_force(&large(23, 8001)).await;
-    let carried = world.link.carried() - before;
+    let carried = world.link.bytes_carried() - before;
     assert!(took < IN_FORCE, "{took:?}");
     assert!(carried < CHANGE_BYTES, "{carried} bytes");
 }
@@ -215,7 +215,7 @@
         state["upstreams"].as_array().map_or(0, Vec::len) as u64 == UPSTREAMS
     })
     .await;
-    let link = ThinLink::new(MEGABITS);
+    let link = SlowLink::new(MEGABITS);
     let source = link.relay(world.nodes[0].address(4010)).await;
     let source = source.expect("a port");
     let no_store = SocketAddr::new(source.ip(), 1);
--- a/daemon/tests/keys.rs
+++ b/daemon/tests/keys.rs
@@ -139,7 +139,7 @@
     for node in &fleet.nodes {
         let shared = node.shared();
         wait_until("calls and requests are forgotten", || {
-            shared.calls.is_empty() && shared.held() == 0
+            shared.calls.is_empty() && shared.work_count() == 0
         })
         .await;
     }
--- a/daemon/tests/thin.rs
+++ b/daemon/tests/thin.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use common::{TestFleet, settings};
-use monsoonbank_standin::link::ThinLink;
+use monsoonbank_standin::link::SlowLink;
 use serde_json::json;
 use tokio::time::Instant;
 
@@ -25,7 +25,7 @@
     for _ in 0..RECORDS {
         fleet.log.append(json!({ "note": "x".repeat(2500) }));
     }
-    let link = ThinLink::new(MEGABITS);
+    let link = SlowLink::new(MEGABITS);
     let log = link.relay(fleet.log.address()).await.expect("a port");
     let mut thin = settings("thin", "zone-0", &fleet.log, &fleet.hosts);
     thin.platform.log = format!("http://{log}").into();
--- a/standin/src/desk.rs
+++ b/standin/src/api.rs
@@ -21,7 +21,7 @@
 use crate::server::lock;
 
 /// Answers an engine's requests.
-pub(crate) struct EngineDesk {
+pub(crate) struct EngineApi {
     pub(crate) engine: Arc<Engine>,
 }
 
@@ -89,7 +89,7 @@
 struct BrokenRun;
 
 #[salvo::async_trait]
-impl Handler for EngineDesk {
+impl Handler for EngineApi {
     async fn handle(
         &self,
         request: &mut Request,
@@ -126,7 +126,7 @@
     JsonReply::not_run(StatusCode::NOT_FOUND, "no such path")
 }
 
-impl EngineDesk {
+impl EngineApi {
     fn page(&self, path: &str, request: &mut Request) -> JsonReply {
         let now = Instant::now();
         let faults = self.engine.faults();
@@ -298,7 +298,7 @@
 
 async fn load_model(engine: Arc<Engine>, model: Box<str>) {
     if let Some(weights) = &engine.settings.weights {
-        weights.take(engine.settings.model_bytes).await;
+        weights.read(engine.settings.model_bytes).await;
     }
     let mut models = lock(&engine.models);
     if !models.contains(&model) {
--- a/standin/src/batch.rs
+++ b/standin/src/batch.rs
@@ -8,7 +8,7 @@
 
 use crate::cache::PrefixCache;
 use crate::report::LoadHistory;
-use crate::runs::{RunBook, RunEnd};
+use crate::runs::{RunEnd, RunLog};
 
 /// A request that wants tokens.
 pub(crate) struct BatchJob {
@@ -70,7 +70,7 @@
     /// The prefix cache.
     pub(crate) cache: PrefixCache,
     /// What ran.
-    pub(crate) book: RunBook,
+    pub(crate) book: RunLog,
     /// The load over time.
     pub(crate) history: LoadHistory,
 }
@@ -86,7 +86,7 @@
             crash_after: None,
             crashing: false,
             cache,
-            book: RunBook::default(),
+            book: RunLog::default(),
             history: LoadHistory::default(),
         }
     }
@@ -136,7 +136,7 @@
         self.crash_after = None;
         self.crashing = false;
         self.cache.clear();
-        self.note(now);
+        self.record_load(now);
     }
 
     /// How long the next step takes.
@@ -182,7 +182,7 @@
             };
             self.place(number, job, now);
         }
-        self.note(now);
+        self.record_load(now);
     }
 
     fn place(&mut self, number: u64, job: BatchJob, now: Instant) {
@@ -201,8 +201,8 @@
         self.running.insert(number, running);
     }
 
-    fn note(&mut self, now: Instant) {
+    fn record_load(&mut self, now: Instant) {
         self.history
-            .note(self.running.len(), self.waiting.len(), now);
+            .record(self.running.len(), self.waiting.len(), now);
     }
 }
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -13,9 +13,9 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep};
 
+use crate::api::EngineApi;
 use crate::batch::{Batch, BatchSpeed};
 use crate::cache::PrefixCache;
-use crate::desk::EngineDesk;
 use crate::faults::{CrashFault, EngineFaults};
 use crate::runs::{RunRecord, RunTotals};
 use crate::server::{HttpServer, lock};
@@ -90,7 +90,7 @@
 }
 
 #[derive(Default)]
-pub(crate) struct OrderBook {
+pub(crate) struct OrderLog {
     pub(crate) newest: u64,
     pub(crate) orders: Vec<OrderRecord>,
 }
@@ -100,7 +100,7 @@
     pub(crate) settings: EngineSettings,
     pub(crate) batch: Mutex<Batch>,
     pub(crate) models: Mutex<Vec<Box<str>>>,
-    pub(crate) orders: Mutex<OrderBook>,
+    pub(crate) orders: Mutex<OrderLog>,
     pub(crate) work: Notify,
     faults: watch::Sender<EngineFaults>,
     server: HttpServer,
@@ -154,10 +154,10 @@
     }
 
     fn open(self: &Arc<Self>) -> io::Result<()> {
-        let desk = EngineDesk {
+        let api = EngineApi {
             engine: Arc::clone(self),
         };
-        self.server.open(desk)
+        self.server.open(api)
     }
 
     /// Makes tokens for as long as the engine exists.
--- a/standin/src/hosts.rs
+++ b/standin/src/hosts.rs
@@ -78,7 +78,7 @@
     server: HttpServer,
 }
 
-struct HostDesk {
+struct HostApi {
     list: Arc<HostList>,
 }
 
@@ -98,7 +98,7 @@
 }
 
 #[salvo::async_trait]
-impl Handler for HostDesk {
+impl Handler for HostApi {
     async fn handle(
         &self,
         request: &mut Request,
@@ -124,7 +124,7 @@
     }
 }
 
-impl HostDesk {
+impl HostApi {
     async fn change_faults(&self, request: &mut Request) -> JsonReply {
         match read_json::<HostFaults>(request).await {
             Ok(faults) => {
@@ -160,10 +160,10 @@
         }),
         server: HttpServer::bind(address).await?,
     });
-    let desk = HostDesk {
+    let api = HostApi {
         list: Arc::clone(&list),
     };
-    list.server.open(desk)?;
+    list.server.open(api)?;
     Ok(HostsHandle { list })
 }
 
--- a/standin/src/keyed.rs
+++ b/standin/src/keyed.rs
@@ -19,10 +19,10 @@
 
 /// How the store answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum StoreMood {
+pub enum StoreCondition {
     /// Well.
     #[default]
-    Well,
+    Healthy,
     /// Not at all; connections stay open.
     Silent,
     /// It resets every connection.
@@ -79,7 +79,7 @@
 #[derive(Debug, Default)]
 struct StoreState {
     topics: BTreeMap<String, StoreTopic>,
-    mood: StoreMood,
+    condition: StoreCondition,
     calls: usize,
     /// Grows each time that the store comes back from an older copy.
     era: u64,
@@ -154,8 +154,8 @@
     }
 
     /// Changes how it answers; calls that wait see it at once.
-    pub fn set_mood(&self, mood: StoreMood) {
-        lock(&self.share.state).mood = mood;
+    pub fn set_condition(&self, condition: StoreCondition) {
+        lock(&self.share.state).condition = condition;
         self.share.appended.notify_waiters();
     }
 
@@ -170,20 +170,20 @@
     while let Ok(Some(request)) = read_request(&mut stream, &mut held).await {
         lock(&share.state).calls += 1;
         let mut answer = answer(&request, &share).await;
-        let mood = lock(&share.state).mood;
-        match mood {
-            StoreMood::Well => {}
-            StoreMood::Silent => {
+        let condition = lock(&share.state).condition;
+        match condition {
+            StoreCondition::Healthy => {}
+            StoreCondition::Silent => {
                 sleep(Duration::from_hours(1)).await;
                 return;
             }
-            StoreMood::Resetting => {
+            StoreCondition::Resetting => {
                 // A close in good order would do as well.
                 let _ = stream.set_zero_linger();
                 return;
             }
-            StoreMood::Busy => answer = ("503 Service Unavailable", Vec::new()),
-            StoreMood::Garbage => answer.1 = b"\x00\x01garbage".to_vec(),
+            StoreCondition::Busy => answer = ("503 Service Unavailable", Vec::new()),
+            StoreCondition::Garbage => answer.1 = b"\x00\x01garbage".to_vec(),
         }
         let era = format!("Store-Era: {}\r\n", lock(&share.state).era);
         if write_answer(&mut stream, answer.0, &era, &answer.1)
@@ -233,7 +233,7 @@
         let appended = share.appended.notified();
         {
             let mut state = lock(&share.state);
-            let mood = state.mood;
+            let condition = state.condition;
             let topic = state
                 .topics
                 .entry(request.query("topic").into())
@@ -242,7 +242,8 @@
                 let body = json!({ "first": topic.first });
                 return ("410 Gone", body.to_string().into_bytes());
             }
-            if from < topic.end() || Instant::now() >= until || mood != StoreMood::Well {
+            if from < topic.end() || Instant::now() >= until || condition != StoreCondition::Healthy
+            {
                 return ("200 OK", records(topic, from));
             }
         }
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -5,10 +5,10 @@
 //! compare those counts with what the router said.
 
 pub mod answer;
+mod api;
 mod batch;
 mod cache;
 mod chat;
-mod desk;
 pub mod engine;
 pub mod faults;
 pub mod hosts;
--- a/standin/src/link.rs
+++ b/standin/src/link.rs
@@ -17,13 +17,13 @@
 
 /// A link: all that comes to its host shares its bytes a second.
 #[derive(Clone, Debug)]
-pub struct ThinLink {
+pub struct SlowLink {
     bytes_per_second: f64,
     free_at: Arc<Mutex<Instant>>,
     carried: Arc<AtomicU64>,
 }
 
-impl ThinLink {
+impl SlowLink {
     /// A link of some megabits a second.
     pub fn new(megabits: f64) -> Self {
         Self {
@@ -34,7 +34,7 @@
     }
 
     /// Bytes that it has carried to its host.
-    pub fn carried(&self) -> u64 {
+    pub fn bytes_carried(&self) -> u64 {
         self.carried.load(Ordering::Relaxed)
     }
 
--- a/standin/src/log.rs
+++ b/standin/src/log.rs
@@ -68,7 +68,7 @@
     server: HttpServer,
 }
 
-struct LogDesk {
+struct LogApi {
     log: Arc<Log>,
 }
 
@@ -155,7 +155,7 @@
 }
 
 #[salvo::async_trait]
-impl Handler for LogDesk {
+impl Handler for LogApi {
     async fn handle(
         &self,
         request: &mut Request,
@@ -187,7 +187,7 @@
     }
 }
 
-impl LogDesk {
+impl LogApi {
     async fn change_faults(&self, request: &mut Request) -> JsonReply {
         match read_json::<LogFaults>(request).await {
             Ok(faults) => {
@@ -260,10 +260,10 @@
         server: HttpServer::bind(address).await?,
         settings,
     });
-    let desk = LogDesk {
+    let api = LogApi {
         log: Arc::clone(&log),
     };
-    log.server.open(desk)?;
+    log.server.open(api)?;
     Ok(LogHandle { log })
 }
 
--- a/standin/src/report.rs
+++ b/standin/src/report.rs
@@ -38,7 +38,7 @@
 
 impl LoadHistory {
     /// Notes the load now.
-    pub(crate) fn note(&mut self, running: usize, waiting: usize, now: Instant) {
+    pub(crate) fn record(&mut self, running: usize, waiting: usize, now: Instant) {
         if self
             .samples
             .back()
--- a/standin/src/runs.rs
+++ b/standin/src/runs.rs
@@ -69,7 +69,7 @@
 
 /// The runs of one engine.
 #[derive(Debug, Default)]
-pub(crate) struct RunBook {
+pub(crate) struct RunLog {
     records: Vec<RunRecord>,
     totals: RunTotals,
 }
@@ -82,7 +82,7 @@
     by_prompt: BTreeMap<String, u32>,
 }
 
-impl RunBook {
+impl RunLog {
     /// A run got a slot; gives its index.
     pub(crate) fn start(&mut self, request: Box<str>, prompt: u64, resumed_from: u32) -> usize {
         self.totals.started += 1;
--- a/standin/src/scripted.rs
+++ b/standin/src/scripted.rs
@@ -98,7 +98,7 @@
     }
 
     /// Takes no more connections, as a host that went dark; those that are open stay open.
-    pub fn go_dark(&self) {
+    pub fn stop_accepting(&self) {
         self.closing.notify_one();
     }
 
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -61,16 +61,16 @@
     server: HttpServer,
 }
 
-struct ServiceDesk {
+struct ServiceApi {
     service: Arc<Service>,
 }
 
 impl Service {
     fn open(self: &Arc<Self>) -> io::Result<()> {
-        let desk = ServiceDesk {
+        let api = ServiceApi {
             service: Arc::clone(self),
         };
-        self.server.open(desk)
+        self.server.open(api)
     }
 
     fn set_faults(self: &Arc<Self>, faults: ServiceFaults) {
@@ -150,7 +150,7 @@
 }
 
 #[salvo::async_trait]
-impl Handler for ServiceDesk {
+impl Handler for ServiceApi {
     async fn handle(
         &self,
         request: &mut Request,
--- a/standin/src/weights.rs
+++ b/standin/src/weights.rs
@@ -24,7 +24,7 @@
     }
 
     /// Waits until `bytes` have been read.
-    pub async fn take(&self, bytes: u64) {
+    pub async fn read(&self, bytes: u64) {
         let length = Duration::from_secs_f64(bytes as f64 / self.bytes_per_second);
         let done_at = {
             let mut free_at = lock(&self.free_at);
