--- a/daemon/benches/in_force.rs
+++ b/daemon/benches/in_force.rs
@@ -1,5 +1,5 @@
-//! Time from publishing a change to its being in force on every node: nine nodes with real sockets
-//! on loopback, the log healthy, slow, and down right after the change was accepted.
+//! Measures the time from publishing a change until it is in force on every node. Nine nodes run on
+//! loopback sockets; the log is healthy, slow, or down right after the change was accepted.
 //!
 //! Run with `cargo bench -p monsoonbank-daemon --bench in_force`.
 
@@ -16,7 +16,8 @@
 
 const NODES: usize = 9;
 
-/// Longer than the longest pause of a node between reads of a log that was down.
+/// Pause after an outage of the log, longer than a node's longest interval between reads of a log that
+/// is down.
 const RECOVERY: Duration = Duration::from_secs(6);
 
 #[derive(Clone, Copy, PartialEq)]
@@ -54,7 +55,7 @@
     }
 }
 
-async fn until_in_force(fleet: &TestFleet, version: u64) {
+async fn wait_until_in_force(fleet: &TestFleet, version: u64) {
     let lacks = || {
         let mut nodes = fleet.nodes.iter();
         nodes.any(|node| node.shared().config().version < version)
@@ -86,7 +87,7 @@
         let version = publish(fleet, number).await;
         fleet.log.set_faults(faults(case == LogCase::DownAfter));
         accepted.push(start.elapsed());
-        until_in_force(fleet, version).await;
+        wait_until_in_force(fleet, version).await;
         in_force.push(start.elapsed());
         fleet.log.set_faults(faults(false));
         if case == LogCase::DownAfter {
--- a/daemon/tests/changes.rs
+++ b/daemon/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Operators' changes and orders through real nodes.
+//! Configuration changes and engine orders by operators, over real sockets.
 
 mod common;
 
@@ -32,7 +32,7 @@
     answer.json().await.expect("a result")
 }
 
-/// A change of the class `chat` on top of the version in force.
+/// A change that replaces the version in force of the class `chat`; `target` is in seconds.
 async fn change(fleet: &TestFleet, id: &str, target: u64) -> ChangeRecord {
     let list: DocumentList = get(fleet, 0, "/v1/documents").await;
     let found = list.documents.iter().find_map(|one| match &one.content {
@@ -48,23 +48,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn change_is_accepted_once_and_in_force_everywhere() {
+async fn change_is_accepted_once_and_comes_into_force_on_every_node() {
     let fleet = TestFleet::start(4, 1).await;
     let first = change(&fleet, "first-change", 20).await;
     let second = change(&fleet, "second-change", 25).await;
     let accepted = publish(&fleet, 1, &first).await;
     let PublishResult::Accepted { version } = accepted else {
-        panic!("expected it to be accepted, found {accepted}");
+        panic!("expected an accepted change, found {accepted}");
     };
     assert_eq!(
         publish(&fleet, 2, &first).await,
         accepted,
-        "the same id again"
+        "result for a repeated id"
     );
     let conflict = publish(&fleet, 3, &second).await;
-    let lost = matches!(conflict, PublishResult::Conflict { found, .. } if found == version);
-    assert!(lost, "{conflict}");
-    wait_until("in force everywhere", || {
+    let rejected = matches!(conflict, PublishResult::Conflict { found, .. } if found == version);
+    assert!(rejected, "{conflict}");
+    wait_until("the change is in force on every node", || {
         let mut nodes = fleet.nodes.iter();
         nodes.all(|node| node.shared().config().version == version)
     })
@@ -73,7 +73,7 @@
         let status: ChangeStatus = get(&fleet, 1, "/v1/changes/first-change").await;
         if status
             .progress
-            .is_some_and(|told| (told.in_force, told.of) == (4, 4))
+            .is_some_and(|progress| (progress.in_force, progress.of) == (4, 4))
         {
             break;
         }
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn broken_and_invalid_changes_are_told_apart() {
+async fn malformed_change_is_a_bad_request_and_a_zero_target_is_invalid() {
     let fleet = TestFleet::start(1, 1).await;
     let broken = post(&fleet, 0, "/v1/changes", &json!({ "id": "x" })).await;
     assert_eq!(broken.status(), StatusCode::BAD_REQUEST);
@@ -93,7 +93,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn order_reaches_the_engine_with_its_fencing_number() {
+async fn order_reaches_the_engine_with_a_fencing_token() {
     let fleet = TestFleet::start(3, 1).await;
     let list: DocumentList = get(&fleet, 0, "/v1/documents").await;
     let engine = list.documents.iter().find_map(|one| match &one.content {
@@ -103,10 +103,10 @@
     let path = format!("/v1/orders/{}", engine.expect("an engine"));
     let order = json!({ "order": "load_adapter", "adapter": "courier" });
     for node in 0..3 {
-        let taken = post(&fleet, node, &path, &order).await;
-        assert_eq!(taken.status(), StatusCode::ACCEPTED);
+        let accepted = post(&fleet, node, &path, &order).await;
+        assert_eq!(accepted.status(), StatusCode::ACCEPTED);
     }
-    wait_until("the engine has the order", || {
+    wait_until("the engine has received the order", || {
         !fleet.engines[0].orders().is_empty()
     })
     .await;
--- a/daemon/tests/client.rs
+++ b/daemon/tests/client.rs
@@ -1,4 +1,4 @@
-//! A client library of the completions API works by changing its base address alone.
+//! A client library of the completions API works with the router when only its base URL is changed.
 
 mod common;
 
@@ -47,9 +47,9 @@
         .await
         .expect("a stream");
     let mut text = String::new();
-    while let Some(piece) = stream.next().await {
-        let piece = piece.expect("a piece");
-        let content = piece
+    while let Some(chunk) = stream.next().await {
+        let chunk = chunk.expect("a chunk");
+        let content = chunk
             .choices
             .first()
             .and_then(|choice| choice.delta.content.clone());
--- a/daemon/tests/common/mod.rs
+++ b/daemon/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet on loopback: stand-ins, nodes and one HTTP client.
+//! Test fleet on the loopback interface: stand-ins, nodes and an HTTP client.
 
 #![allow(dead_code)]
 
@@ -15,15 +15,15 @@
 use reqwest::Client;
 use serde_json::{Value, json};
 
-/// Token of the only workspace.
+/// Bearer token of the only workspace.
 pub const TOKEN: &str = "desk-token";
-/// Token of operators.
+/// Bearer token of operators.
 pub const OPERATOR_TOKEN: &str = "operator-token";
 const ANY_PORT: &str = "127.0.0.1:0";
-/// Longest wait for a condition; far above what it takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout for a condition, far above the time that conditions usually need.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Stand-ins and nodes.
+/// A running fleet with its stand-ins.
 pub struct TestFleet {
     pub log: LogHandle,
     pub hosts: HostsHandle,
@@ -33,7 +33,7 @@
     pub client: Client,
 }
 
-/// Settings of a node with free ports.
+/// Settings of a node that listens on free ports.
 pub fn settings(name: &str, zone: &str, log: &LogHandle, hosts: &HostsHandle) -> Settings {
     let text = format!(
         "name: {name}\nzone: {zone}\n\
@@ -43,10 +43,10 @@
         log.address(),
         hosts.address()
     );
-    Settings::parse("test", &text).expect("settings of the test")
+    Settings::parse("test", &text).expect("valid test settings")
 }
 
-/// The configuration: one model on `engines`, one plain service, three classes.
+/// A configuration with one model on `engines`, one plain service and three classes.
 pub fn configuration(engines: &[EngineHandle], service: &ServiceHandle) -> Value {
     let mut upstreams: Vec<Value> = engines
         .iter()
@@ -83,7 +83,8 @@
 }
 
 impl TestFleet {
-    /// Starts `nodes` nodes in three zones before `engines` engines and one service.
+    /// Starts `engines` engines, one plain service and `nodes` nodes in three availability zones, and
+    /// waits until the nodes are ready.
     pub async fn start(nodes: usize, engines: usize) -> Self {
         let log = log::start(ANY_PORT, LogSettings::default())
             .await
@@ -117,26 +118,26 @@
                 .add_node(&format!("node-{index}"), &format!("zone-{}", index % 3))
                 .await;
         }
-        fleet.ready().await;
+        fleet.wait_until_ready().await;
         fleet
     }
 
-    /// Puts the configuration on the log.
+    /// Appends the configuration to the log.
     pub fn publish(&self) {
         let file = configuration(&self.engines, &self.service);
-        let file = serde_json::from_value(file).expect("the configuration has the right shape");
+        let file = serde_json::from_value(file).expect("a valid configuration");
         let record = Record::Change(ChangeRecord::from_file("first", &file));
-        let record = serde_json::to_value(record).expect("a record can be written");
+        let record = serde_json::to_value(record).expect("a serializable record");
         self.log.append(record);
     }
 
-    /// Starts one more node and lists it.
+    /// Starts one more node and adds it to the host list.
     pub async fn add_node(&mut self, name: &str, zone: &str) {
         let settings = settings(name, zone, &self.log, &self.hosts);
         self.add_node_with(settings).await;
     }
 
-    /// Starts one more node with these settings and lists it.
+    /// Starts one more node with these settings and adds it to the host list.
     pub async fn add_node_with(&mut self, settings: Settings) {
         let (name, zone) = (settings.name.clone(), settings.zone.clone());
         let listeners = NodeListeners::bind(&settings).await.expect("listeners");
@@ -156,8 +157,8 @@
             .push(node::start_with(settings, listeners).expect("node"));
     }
 
-    /// Waits until every node has the configuration and sees every other.
-    pub async fn ready(&self) {
+    /// Waits until every node has a configuration and knows all members.
+    pub async fn wait_until_ready(&self) {
         let count = self.nodes.len();
         for node in &self.nodes {
             let shared = node.shared();
@@ -168,14 +169,14 @@
         }
     }
 
-    /// Posts JSON to a node's callers' interface.
+    /// Posts JSON to a node as a caller.
     pub async fn post(&self, node: usize, path: &str, body: &Value) -> reqwest::Response {
         let url = format!("http://{}{path}", self.nodes[node].callers);
         let request = self.client.post(url).bearer_auth(TOKEN).json(body);
         request.send().await.expect("an answer")
     }
 
-    /// Gets JSON from a node's callers' interface.
+    /// Gets JSON from a node as a caller.
     pub async fn get(&self, node: usize, path: &str) -> Value {
         let url = format!("http://{}{path}", self.nodes[node].callers);
         let request = self.client.get(url).bearer_auth(TOKEN);
@@ -189,18 +190,18 @@
     }
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds; panics after the timeout.
 pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let waited = tokio::time::timeout(PATIENCE, async {
+    let waited = tokio::time::timeout(WAIT_TIMEOUT, async {
         while !condition() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     });
-    assert!(waited.await.is_ok(), "not in time: {what}");
+    assert!(waited.await.is_ok(), "timed out waiting until {what}");
 }
 
 /// A chat request.
-pub fn question(prompt: &str, tokens: u32, stream: bool) -> Value {
+pub fn chat_request(prompt: &str, tokens: u32, stream: bool) -> Value {
     json!({ "model": "writer", "max_tokens": tokens, "stream": stream,
         "messages": [{ "role": "user", "content": prompt }] })
 }
@@ -222,8 +223,8 @@
 }
 
 impl TestFleet {
-    /// Posts to the plain service with an idempotency key.
-    pub async fn release(&self, node: usize, key: &str, body: &Value) -> reqwest::Response {
+    /// Posts a call that may not be repeated to the plain service, with an idempotency key.
+    pub async fn release_locker(&self, node: usize, key: &str, body: &Value) -> reqwest::Response {
         let url = format!(
             "http://{}/services/gate/lockers/7",
             self.nodes[node].callers
@@ -236,8 +237,8 @@
         request.json(body).send().await.expect("an answer")
     }
 
-    /// Fresh idempotency keys of a node.
-    pub async fn keys(&self, node: usize, count: usize) -> Vec<String> {
+    /// Gets new idempotency keys from a node; empty if it mints none.
+    pub async fn mint_keys(&self, node: usize, count: usize) -> Vec<String> {
         let answer = self.get(node, &format!("/v1/addresses?keys={count}")).await;
         let keys = answer["idempotency_keys"]
             .as_array()
@@ -248,7 +249,7 @@
             .collect()
     }
 
-    /// A section of a node's state dump.
+    /// The state dump of a node.
     pub async fn state(&self, node: usize) -> Value {
         let url = format!("http://{}/v1/state", self.nodes[node].operators);
         let request = self.client.get(url).bearer_auth(OPERATOR_TOKEN);
--- a/daemon/tests/faults.rs
+++ b/daemon/tests/faults.rs
@@ -1,8 +1,8 @@
-//! Failures over real sockets: what callers see of crashes, stops and outages.
+//! Effects of crashes, shutdowns and outages on callers, over real sockets.
 
 mod common;
 
-use common::{OPERATOR_TOKEN, TestFleet, question, streamed_text, wait_until};
+use common::{OPERATOR_TOKEN, TestFleet, chat_request, streamed_text, wait_until};
 use monsoonbank_standin::answer::expected_answer;
 use monsoonbank_standin::faults::{CrashFault, EngineFaults, LogFaults};
 use serde_json::Value;
@@ -19,14 +19,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_goes_on_at_another_engine_after_a_crash() {
+async fn a_stream_resumes_at_another_engine_after_a_crash() {
     let fleet = TestFleet::start(3, 3).await;
     for engine in &fleet.engines[..2] {
         engine.set_faults(crash_after(5));
     }
     for index in 0..6 {
         let prompt = format!("broken {index}");
-        let body = question(&prompt, 30, true);
+        let body = chat_request(&prompt, 30, true);
         let response = fleet.post(index % 3, "/v1/chat/completions", &body).await;
         let text = response.text().await.expect("text");
         assert_eq!(streamed_text(&text), expected_answer(&prompt, 30), "{text}");
@@ -35,13 +35,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_owner_costs_no_call_of_other_entries() {
+async fn a_killed_owner_breaks_no_call_of_other_entry_nodes() {
     let fleet = TestFleet::start(3, 1).await;
     let prompts: Vec<String> = (0..12).map(|index| format!("long {index}")).collect();
     let calls = prompts.iter().enumerate().map(|(index, prompt)| {
         let fleet = &fleet;
         async move {
-            let body = question(prompt, 120, true);
+            let body = chat_request(prompt, 120, true);
             let response = fleet
                 .post(1 + index % 2, "/v1/chat/completions", &body)
                 .await;
@@ -49,7 +49,7 @@
         }
     });
     let killer = async {
-        // The engine stands in the zone of node 0, which therefore owns it.
+        // Node 0 owns the engine, because both are in the same availability zone.
         wait_until("streams began", || fleet.engines[0].totals().tokens > 100).await;
         fleet.nodes[0].kill().await;
     };
@@ -60,14 +60,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_off_no_stream() {
+async fn a_graceful_shutdown_breaks_no_stream() {
     let fleet = TestFleet::start(3, 3).await;
     let url = format!("http://{}/v1/drain", fleet.nodes[0].operators);
     let prompts: Vec<String> = (0..8).map(|index| format!("stop {index}")).collect();
     let calls = prompts.iter().map(|prompt| {
         let fleet = &fleet;
         async move {
-            let body = question(prompt, 150, true);
+            let body = chat_request(prompt, 150, true);
             let response = fleet.post(0, "/v1/chat/completions", &body).await;
             response.text().await.expect("text")
         }
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_node_is_in_no_answer_about_addresses() {
+async fn a_leaving_node_is_not_listed_for_callers() {
     let fleet = TestFleet::start(3, 1).await;
     let own = fleet.nodes[2].callers.to_string();
     fleet.nodes[2].drain();
@@ -113,29 +113,29 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_go_on_while_the_log_is_down() {
+async fn calls_succeed_while_the_log_is_down() {
     let fleet = TestFleet::start(2, 2).await;
     fleet.log.set_faults(LogFaults {
         down: true,
         ..LogFaults::default()
     });
     for node in [0, 1] {
-        let body = question("no log", 8, false);
+        let body = chat_request("no log", 8, false);
         let response = fleet.post(node, "/v1/chat/completions", &body).await;
         assert_eq!(response.status(), 200);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_fresh_node_learns_the_configuration_while_the_log_is_down() {
+async fn a_new_node_gets_the_configuration_while_the_log_is_down() {
     let mut fleet = TestFleet::start(2, 2).await;
     fleet.log.set_faults(LogFaults {
         down: true,
         ..LogFaults::default()
     });
     fleet.add_node("node-2", "zone-2").await;
-    fleet.ready().await;
-    let body = question("fresh", 8, false);
+    fleet.wait_until_ready().await;
+    let body = chat_request("fresh", 8, false);
     let response = fleet.post(2, "/v1/chat/completions", &body).await;
     let answer: Value = response.json().await.expect("JSON");
     let text = answer
@@ -145,14 +145,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_stops_its_run() {
+async fn a_caller_that_disconnects_cancels_its_run() {
     let fleet = TestFleet::start(2, 1).await;
-    let body = question("left alone", 2_000, true);
+    let body = chat_request("left alone", 2_000, true);
     let mut response = fleet.post(0, "/v1/chat/completions", &body).await;
-    response.chunk().await.expect("a first piece");
+    response.chunk().await.expect("a first chunk");
     drop(response);
     let engine = &fleet.engines[0];
     wait_until("the run is cancelled", || engine.totals().cancelled == 1).await;
     let shared = fleet.nodes[0].shared();
-    wait_until("the call is forgotten", || shared.calls.is_empty()).await;
+    wait_until("the call is removed", || shared.calls.is_empty()).await;
 }
--- a/daemon/tests/notices.rs
+++ b/daemon/tests/notices.rs
@@ -1,4 +1,4 @@
-//! What upstreams of the product's own interface say of themselves in their answers.
+//! Announcements of plain services in their answers: that they leave, or ask for a pause.
 
 mod common;
 
@@ -8,13 +8,13 @@
 use monsoonbank_standin::faults::ServiceFaults;
 use serde_json::json;
 
-/// Time for which a call is given to arrive at the service.
+/// Time after which a call without an answer is abandoned; long enough for it to reach the service.
 const ARRIVAL_TIME: Duration = Duration::from_millis(300);
 
-/// Time between two calls.
+/// Interval between two calls.
 const CALL_PAUSE: Duration = Duration::from_millis(20);
 
-/// Posts to the plain service, and leaves if there is no answer soon. Gives the answer's status.
+/// Posts to the plain service and returns the answer's status; `None` if none arrives in time.
 async fn try_post(fleet: &TestFleet, node: usize) -> Option<u16> {
     let body = json!({});
     let answer = fleet.post(node, "/services/gate/passes/7", &body);
@@ -22,9 +22,10 @@
     Some(answer.status().as_u16())
 }
 
-// Guards against calls to a service whose answers say that it leaves: a service tells it nowhere else.
+// Guards against calls to a service that has announced, in the header of an answer, that it leaves. It
+// announces this nowhere else.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_service_whose_answer_says_that_it_leaves_gets_nothing_more() {
+async fn a_service_that_announces_leaving_gets_no_more_calls() {
     let fleet = TestFleet::start(2, 1).await;
     assert_eq!(try_post(&fleet, 0).await, Some(200));
     fleet.service.set_faults(ServiceFaults {
@@ -38,9 +39,9 @@
     assert_eq!(fleet.service.runs(), 2);
 }
 
-// Guards against calls to a service that has refused one and named a time for which it wants none.
+// Guards against calls to a service during the pause that it asked for when it refused a call.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_service_that_asks_for_a_pause_gets_nothing_until_it_ends() {
+async fn a_service_that_asks_for_a_pause_gets_no_calls_until_it_ends() {
     let fleet = TestFleet::start(2, 1).await;
     assert_eq!(try_post(&fleet, 0).await, Some(200));
     fleet.service.set_faults(ServiceFaults {
--- a/daemon/tests/path.rs
+++ b/daemon/tests/path.rs
@@ -1,18 +1,18 @@
-//! The whole path of a call: caller, entry node, owner node, upstream and back.
+//! Path of a call from the caller through entry node and owner node to the upstream and back.
 
 mod common;
 
-use common::{TOKEN, TestFleet, question, streamed_text};
+use common::{TOKEN, TestFleet, chat_request, streamed_text};
 use monsoonbank_standin::answer::expected_answer;
 use serde_json::{Value, json};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_node_gives_whole_answers() {
+async fn every_node_returns_whole_answers() {
     let fleet = TestFleet::start(3, 3).await;
     for node in 0..3 {
         for index in 0..4 {
             let prompt = format!("node {node} question {index}");
-            let body = question(&prompt, 12, false);
+            let body = chat_request(&prompt, 12, false);
             let answer = fleet.post(node, "/v1/chat/completions", &body).await;
             let answer: Value = answer.json().await.expect("JSON");
             let text = answer
@@ -27,7 +27,11 @@
 async fn a_streamed_answer_is_whole_and_ends_with_done() {
     let fleet = TestFleet::start(2, 2).await;
     let response = fleet
-        .post(0, "/v1/chat/completions", &question("a stream", 20, true))
+        .post(
+            0,
+            "/v1/chat/completions",
+            &chat_request("a stream", 20, true),
+        )
         .await;
     assert_eq!(response.status(), 200);
     let body = response.text().await.expect("text");
@@ -50,7 +54,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_learn_models_and_addresses() {
+async fn callers_can_list_models_and_addresses() {
     let fleet = TestFleet::start(3, 1).await;
     let models = fleet.get(0, "/v1/models").await;
     assert_eq!(models.pointer("/data/0/id"), Some(&json!("writer")));
@@ -60,7 +64,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stranger_is_told_so() {
+async fn an_unknown_token_is_unauthorized() {
     let fleet = TestFleet::start(1, 1).await;
     let url = format!("http://{}/v1/models", fleet.nodes[0].callers);
     let response = fleet
--- a/daemon/tests/process.rs
+++ b/daemon/tests/process.rs
@@ -1,4 +1,4 @@
-//! `monsoonbankd` as processes of their own, stopped, paused and killed by their id.
+//! `monsoonbankd` in separate processes that are stopped, paused and killed by signals.
 
 mod common;
 
@@ -9,29 +9,29 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
 
-use common::{TOKEN, TestFleet, question, settings, streamed_text, wait_until};
+use common::{TOKEN, TestFleet, chat_request, settings, streamed_text, wait_until};
 use monsoonbank_standin::answer::expected_answer;
 use monsoonbank_standin::hosts::{HostRole, HostRow};
 
-/// A loopback address (127.0.0.0/8) for one node of this test process.
-fn own_host() -> IpAddr {
+/// A loopback address (127.0.0.0/8) for one node, different for each node and test process.
+fn unique_host() -> IpAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [high, low] = (std::process::id() as u16).to_be_bytes();
     let host = NEXT.fetch_add(1, Ordering::Relaxed);
     IpAddr::V4(Ipv4Addr::new(127, high | 1, low, host))
 }
 
-/// A node that runs as a process.
+/// A node that runs in its own process; dropping it kills the process.
 struct NodeProcess {
     child: Child,
     callers: String,
 }
 
 impl NodeProcess {
-    /// Starts a node, on a loopback address that no other process uses, and lists it.
+    /// Starts a node on its own loopback address, adds it to the host list and waits until it is ready.
     async fn start(fleet: &TestFleet, name: &str, zone: &str) -> Self {
         let mut settings = settings(name, zone, &fleet.log, &fleet.hosts);
-        let host = own_host();
+        let host = unique_host();
         let [callers, peers, operators] =
             [4_000, 4_001, 4_002].map(|port| SocketAddr::new(host, port));
         settings.listen.callers = callers;
@@ -81,7 +81,7 @@
         assert!(status.expect("kill").success());
     }
 
-    async fn ended(&mut self) -> ExitStatus {
+    async fn wait_for_exit(&mut self) -> ExitStatus {
         let child = &mut self.child;
         let mut status = None;
         wait_until("the process ends", || {
@@ -89,20 +89,23 @@
             status.is_some()
         })
         .await;
-        status.expect("ended")
+        status.expect("wait_for_exit")
     }
 
-    async fn ask(&self, fleet: &TestFleet, prompt: &str, tokens: u32) -> String {
+    async fn stream_answer(&self, fleet: &TestFleet, prompt: &str, tokens: u32) -> String {
         let url = format!("http://{}/v1/chat/completions", self.callers);
         let request = fleet.client.post(url).bearer_auth(TOKEN);
-        let answer = request.json(&question(prompt, tokens, true)).send().await;
+        let answer = request
+            .json(&chat_request(prompt, tokens, true))
+            .send()
+            .await;
         answer.expect("an answer").text().await.expect("text")
     }
 }
 
 impl Drop for NodeProcess {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Fails if the process has already wait_for_exit, which is no error.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -117,22 +120,22 @@
         wait_until("the stream began", || fleet.engines[0].totals().tokens > 5).await;
         first.signal("-TERM");
     };
-    let (text, ()) = tokio::join!(first.ask(&fleet, "to the end", 200), stop);
+    let (text, ()) = tokio::join!(first.stream_answer(&fleet, "to the end", 200), stop);
     assert_eq!(streamed_text(&text), expected_answer("to the end", 200));
-    assert_eq!(first.ended().await.code(), Some(0));
-    let text = second.ask(&fleet, "after", 5).await;
+    assert_eq!(first.wait_for_exit().await.code(), Some(0));
+    let text = second.stream_answer(&fleet, "after", 5).await;
     assert_eq!(streamed_text(&text), expected_answer("after", 5));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_owner_is_passed_over_and_does_no_harm_when_it_wakes() {
+async fn calls_avoid_a_paused_owner_and_succeed_after_it_continues() {
     let fleet = TestFleet::start(0, 1).await;
     let owner = NodeProcess::start(&fleet, "node-0", "zone-0").await;
     let entry = NodeProcess::start(&fleet, "node-1", "zone-1").await;
-    let text = entry.ask(&fleet, "before", 5).await;
+    let text = entry.stream_answer(&fleet, "before", 5).await;
     assert_eq!(streamed_text(&text), expected_answer("before", 5));
     owner.signal("-STOP");
-    let text = entry.ask(&fleet, "while paused", 30).await;
+    let text = entry.stream_answer(&fleet, "while paused", 30).await;
     owner.signal("-CONT");
     assert_eq!(
         streamed_text(&text),
@@ -140,7 +143,7 @@
         "{text}"
     );
     for node in [&owner, &entry] {
-        let text = node.ask(&fleet, "awake again", 5).await;
+        let text = node.stream_answer(&fleet, "awake again", 5).await;
         assert_eq!(
             streamed_text(&text),
             expected_answer("awake again", 5),
@@ -150,7 +153,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_process_is_replaced_by_a_fresh_one() {
+async fn a_killed_owner_breaks_no_stream_and_is_replaced_by_a_new_process() {
     let fleet = TestFleet::start(0, 1).await;
     let owner = NodeProcess::start(&fleet, "node-0", "zone-0").await;
     let entry = NodeProcess::start(&fleet, "node-1", "zone-1").await;
@@ -158,14 +161,14 @@
         wait_until("the stream began", || fleet.engines[0].totals().tokens > 5).await;
         owner.signal("-KILL");
     };
-    let (text, ()) = tokio::join!(entry.ask(&fleet, "killed owner", 100), kill);
+    let (text, ()) = tokio::join!(entry.stream_answer(&fleet, "killed owner", 100), kill);
     assert_eq!(
         streamed_text(&text),
         expected_answer("killed owner", 100),
         "{text}"
     );
     let fresh = NodeProcess::start(&fleet, "node-2", "zone-0").await;
-    let text = fresh.ask(&fleet, "fresh", 5).await;
+    let text = fresh.stream_answer(&fleet, "fresh", 5).await;
     assert_eq!(streamed_text(&text), expected_answer("fresh", 5));
 }
 
