--- a/standin/src/api.rs
+++ b/standin/src/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP side of a model engine.
+//! HTTP interface of a model engine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 
 use crate::answer::{answer_tokens, prompt_hash, prompt_tokens, token_at};
 use crate::batch::BatchJob;
-use crate::chat::{AnswerFrame, CompletionKind, CompletionRequest};
+use crate::chat::{AnswerMetadata, CompletionKind, CompletionRequest};
 use crate::engine::{Engine, OrderRecord};
 use crate::faults::EngineFaults;
 use crate::reply::{JsonReply, read_json};
 use crate::server::lock;
 
-/// Answers an engine's requests.
+/// Request handler of an engine.
 pub(crate) struct EngineApi {
     pub(crate) engine: Arc<Engine>,
 }
@@ -31,7 +31,7 @@
     order: Value,
 }
 
-/// A submitted request; dropping it cancels the request unless it is over.
+/// A submitted request. Dropping it cancels the request unless it has ended.
 struct SubmittedJob {
     engine: Arc<Engine>,
     number: Option<u64>,
@@ -39,8 +39,8 @@
     prompt_hash: u64,
     from: u32,
     to: u32,
-    frame: AnswerFrame,
-    usage_wanted: bool,
+    metadata: AnswerMetadata,
+    include_usage: bool,
     ended: bool,
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl SubmittedJob {
-    /// The next token; none when the answer is whole, an error when the engine broke.
+    /// Index of the next token; `None` after the last one, an error if the engine crashed.
     async fn next(&mut self) -> Option<Result<u32, BrokenRun>> {
         if self.from >= self.to {
             return None;
@@ -65,25 +65,25 @@
         Some(Ok(index))
     }
 
-    /// The next piece of the event stream.
+    /// Next chunk of the event stream; `None` after its end.
     async fn event(&mut self) -> Option<Result<String, BrokenRun>> {
         let first = self.from;
         match self.next().await {
             Some(Ok(index)) => {
                 let text = token_at(self.prompt_hash, index);
-                Some(Ok(self.frame.token_event(&text, first == 0)))
+                Some(Ok(self.metadata.token_event(&text, first == 0)))
             }
             Some(Err(error)) => Some(Err(error)),
             None if self.ended => None,
             None => {
                 self.ended = true;
-                Some(Ok(self.frame.end_events(self.usage_wanted)))
+                Some(Ok(self.metadata.end_events(self.include_usage)))
             }
         }
     }
 }
 
-/// The engine crashed under a run.
+/// Error of a run that the engine's crash ended.
 #[derive(Debug, thiserror::Error)]
 #[error("the engine crashed")]
 struct BrokenRun;
@@ -100,7 +100,7 @@
         let path = request.uri().path().to_owned();
         let method = request.method().clone();
         if path != "/faults" {
-            self.engine.thaw().await;
+            self.engine.wait_while_frozen().await;
         }
         let outcome = match (&method, path.as_str()) {
             (&Method::POST, "/v1/chat/completions") => {
@@ -142,7 +142,7 @@
                 let from = request.query::<u64>("from").unwrap_or(0);
                 JsonReply::ok(batch.cache.events(from, now))
             }
-            "/runs" => JsonReply::ok(batch.book.page()),
+            "/runs" => JsonReply::ok(batch.run_log.page()),
             "/faults" => JsonReply::ok(faults),
             "/v1/models" => JsonReply::ok(self.models()),
             _ => not_found(),
@@ -172,7 +172,7 @@
             Ok(body) => body,
             Err(reply) => return Some(reply),
         };
-        let (accepted, newest) = self.note_order(&body);
+        let (accepted, newest) = self.record_order(&body);
         if !accepted {
             return Some(JsonReply {
                 status: StatusCode::CONFLICT,
@@ -186,17 +186,17 @@
         Some(JsonReply::ok(json!({ "accepted": true })))
     }
 
-    fn note_order(&self, body: &OrderBody) -> (bool, u64) {
-        let mut book = lock(&self.engine.orders);
-        let old = body.fencing < book.newest;
+    fn record_order(&self, body: &OrderBody) -> (bool, u64) {
+        let mut log = lock(&self.engine.orders);
+        let old = body.fencing < log.newest;
         let accepted = !(old && self.engine.settings.checks_fencing);
-        book.newest = book.newest.max(body.fencing);
-        book.orders.push(OrderRecord {
+        log.newest = log.newest.max(body.fencing);
+        log.orders.push(OrderRecord {
             fencing: body.fencing,
             order: body.order.clone(),
             accepted,
         });
-        (accepted, book.newest)
+        (accepted, log.newest)
     }
 
     async fn complete(
@@ -214,7 +214,7 @@
         let job = match self.submit(kind, &body, id.into()) {
             Ok(job) => job,
             Err(reply) => {
-                lock(&self.engine.batch).book.refuse();
+                lock(&self.engine.batch).run_log.refuse();
                 return Some(reply);
             }
         };
@@ -245,7 +245,7 @@
         }
         let prompt = body.prompt(kind);
         let range = &self.engine.settings.answer_tokens;
-        let to = answer_tokens(&prompt, body.asked_tokens(), range);
+        let to = answer_tokens(&prompt, body.requested_tokens(), range);
         let from = body.resume_tokens().min(to);
         let hash = prompt_hash(&prompt);
         let (sender, tokens) = unbounded_channel();
@@ -256,14 +256,14 @@
             prompt_hash: hash,
             from,
             to,
-            frame: AnswerFrame {
+            metadata: AnswerMetadata {
                 kind,
                 id: format!("cmpl-{hash:016x}").into(),
                 model: body.model.clone(),
                 prompt_tokens: prompt_tokens(&prompt),
                 answer_tokens: to - from,
             },
-            usage_wanted: body.usage_wanted(),
+            include_usage: body.include_usage(),
             ended: false,
         };
         if from < to {
@@ -324,5 +324,5 @@
     while let Some(index) = job.next().await {
         text.push_str(&token_at(job.prompt_hash, index?));
     }
-    Ok(JsonReply::ok(job.frame.whole(&text)))
+    Ok(JsonReply::ok(job.metadata.whole(&text)))
 }
--- a/standin/src/batch.rs
+++ b/standin/src/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: requests share the engine's slots and get one token a step.
+//! Continuous batching: requests share the engine's slots and get one token per step.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,23 +10,23 @@
 use crate::report::LoadHistory;
 use crate::runs::{RunEnd, RunLog};
 
-/// A request that wants tokens.
+/// A request to generate tokens.
 pub(crate) struct BatchJob {
-    /// The request's identifier.
+    /// Identifier of the request.
     pub(crate) request: Box<str>,
-    /// The text that the prefix cache goes by.
+    /// Text by which the prefix cache is looked up.
     pub(crate) cache_text: Box<str>,
     /// Hash of the prompt.
     pub(crate) prompt_hash: u64,
-    /// Size of the prompt and of the tokens skipped, in tokens.
+    /// Size of the prompt and of the skipped part of the answer, in tokens.
     pub(crate) context_tokens: u32,
-    /// Index of the first token wanted.
+    /// Index of the first requested token.
     pub(crate) from: u32,
-    /// Index after the last token wanted.
+    /// Index after the last requested token.
     pub(crate) to: u32,
-    /// Lower goes first.
+    /// Priority; requests with a lower value get a slot first.
     pub(crate) priority: i64,
-    /// Gets the index of each token as it is made.
+    /// Receives the index of each token when it is generated.
     pub(crate) tokens: UnboundedSender<u32>,
 }
 
@@ -39,44 +39,44 @@
     crash_at: Option<u32>,
 }
 
-/// Speeds of an engine.
+/// Capacity and speed of an engine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BatchSpeed {
-    /// Requests at a time.
+    /// Maximum number of requests that run at the same time.
     pub(crate) slots: usize,
-    /// Requests that may wait.
+    /// Maximum number of queued requests.
     pub(crate) queue: usize,
-    /// A step with one request.
+    /// Duration of a step with one request.
     pub(crate) step: Duration,
-    /// What each further request adds to a step.
+    /// Additional duration of a step for each further request.
     pub(crate) step_per_job: Duration,
-    /// Time for each prompt token that is not cached.
+    /// Prefill time of each prompt token that is not cached.
     pub(crate) prefill_per_token: Duration,
 }
 
-/// The queue is full.
+/// Error of a request that is rejected because the queue is full.
 #[derive(Debug)]
 pub(crate) struct QueueFull;
 
-/// An engine's requests: waiting and in slots.
+/// Queued and running requests of an engine.
 pub(crate) struct Batch {
     speed: BatchSpeed,
     sequence: u64,
     waiting: BTreeMap<(i64, u64), BatchJob>,
     running: BTreeMap<u64, RunningJob>,
-    /// Crash when the next request to get a slot has this many tokens.
+    /// Crash once the next request that gets a slot has this many tokens; `None` for no crash.
     pub(crate) crash_after: Option<u32>,
     crashing: bool,
     /// The prefix cache.
     pub(crate) cache: PrefixCache,
-    /// What ran.
-    pub(crate) book: RunLog,
-    /// The load over time.
+    /// Runs so far.
+    pub(crate) run_log: RunLog,
+    /// Load over time.
     pub(crate) history: LoadHistory,
 }
 
 impl Batch {
-    /// An empty engine.
+    /// Creates an engine without requests.
     pub(crate) fn new(speed: BatchSpeed, cache: PrefixCache) -> Self {
         Self {
             speed,
@@ -86,17 +86,17 @@
             crash_after: None,
             crashing: false,
             cache,
-            book: RunLog::default(),
+            run_log: RunLog::default(),
             history: LoadHistory::default(),
         }
     }
 
-    /// Whether there is nothing to do.
+    /// Whether no request is queued or running.
     pub(crate) fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.running.is_empty()
     }
 
-    /// Queues a request and gives the number by which it can be cancelled.
+    /// Queues a request and returns the number by which it can be cancelled.
     pub(crate) fn submit(&mut self, job: BatchJob, now: Instant) -> Result<u64, QueueFull> {
         let free = self.speed.slots.saturating_sub(self.running.len());
         if self.waiting.len() >= free + self.speed.queue {
@@ -108,7 +108,7 @@
         Ok(self.sequence)
     }
 
-    /// Ends a request whose caller left; does nothing when it is over.
+    /// Ends a request whose caller has disconnected. Has no effect if it has ended.
     pub(crate) fn cancel(&mut self, number: u64, now: Instant) {
         self.waiting.retain(|(_, sequence), _| *sequence != number);
         if let Some(job) = self.running.remove(&number) {
@@ -117,21 +117,21 @@
             } else {
                 RunEnd::Cancelled
             };
-            self.book.end(job.run, end);
+            self.run_log.end(job.run, end);
         }
         self.admit(now);
     }
 
-    /// A crash begins: connections that drop from here on drop because of it.
+    /// Starts a crash: requests whose connections close from now on are counted as broken.
     pub(crate) fn begin_crash(&mut self) {
         self.crashing = true;
     }
 
-    /// Ends everything, as a crash does.
+    /// Ends all requests and clears the prefix cache, as a crash does.
     pub(crate) fn break_all(&mut self, now: Instant) {
         self.waiting.clear();
         for job in std::mem::take(&mut self.running).into_values() {
-            self.book.end(job.run, RunEnd::Broken);
+            self.run_log.end(job.run, RunEnd::Broken);
         }
         self.crash_after = None;
         self.crashing = false;
@@ -139,14 +139,14 @@
         self.record_load(now);
     }
 
-    /// How long the next step takes.
+    /// Duration of the next step.
     pub(crate) fn step_time(&self) -> Duration {
         let others = u32::try_from(self.running.len().saturating_sub(1)).unwrap_or(u32::MAX);
         self.speed.step + self.speed.step_per_job * others
     }
 
-    /// Ends a step: each request that is past its prompt gets a token. Tells whether the engine is
-    /// to crash now.
+    /// Ends a step: each request whose prefill is done gets a token. Returns whether the engine has to
+    /// crash now.
     pub(crate) fn step(&mut self, now: Instant) -> bool {
         let mut done = Vec::new();
         let mut crash = false;
@@ -158,9 +158,9 @@
                 crash = true;
                 continue;
             }
-            // A caller that is gone is found by its cancellation.
+            // Sending fails if the caller has disconnected; its request is cancelled separately.
             let _ = job.tokens.send(job.next);
-            self.book.token(job.run);
+            self.run_log.token(job.run);
             job.next += 1;
             if job.next >= job.to {
                 done.push(*number);
@@ -168,7 +168,7 @@
         }
         for number in done {
             if let Some(job) = self.running.remove(&number) {
-                self.book.end(job.run, RunEnd::Finished);
+                self.run_log.end(job.run, RunEnd::Finished);
             }
         }
         self.admit(now);
@@ -180,21 +180,21 @@
             let Some(((_, number), job)) = self.waiting.pop_first() else {
                 break;
             };
-            self.place(number, job, now);
+            self.start(number, job, now);
         }
         self.record_load(now);
     }
 
-    fn place(&mut self, number: u64, job: BatchJob, now: Instant) {
-        let cached = self.cache.enter(&job.cache_text, now);
-        let worked = job.context_tokens.saturating_sub(cached);
-        let run = self.book.start(job.request, job.prompt_hash, job.from);
-        self.book.prefill(worked, cached);
+    fn start(&mut self, number: u64, job: BatchJob, now: Instant) {
+        let cached = self.cache.insert(&job.cache_text, now);
+        let uncached = job.context_tokens.saturating_sub(cached);
+        let run = self.run_log.start(job.request, job.prompt_hash, job.from);
+        self.run_log.prefill(uncached, cached);
         let running = RunningJob {
             run,
             next: job.from,
             to: job.to,
-            ready_at: now + self.speed.prefill_per_token * worked,
+            ready_at: now + self.speed.prefill_per_token * uncached,
             tokens: job.tokens,
             crash_at: self.crash_after.take().map(|tokens| job.from + tokens),
         };
--- a/standin/src/cache.rs
+++ b/standin/src/cache.rs
@@ -1,4 +1,4 @@
-//! A prompt-prefix cache: blocks of a prompt, least recently used first out.
+//! Prompt-prefix cache: stores blocks of prompts and evicts the least recently used ones.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -9,34 +9,34 @@
 
 use crate::answer::{BLOCK_BYTES, TOKEN_BYTES};
 
-/// Events kept for readers.
-const KEPT_EVENTS: usize = 10_000;
+/// Maximum number of events that are kept for readers.
+const MAX_EVENTS: usize = 10_000;
 
-/// A change of what the cache holds.
+/// Insertion or eviction of a block.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct CacheEvent {
-    /// Hash of the block and everything before it, in hexadecimal.
+    /// Hash of the block and all blocks before it, in hexadecimal.
     prefix: String,
-    /// Whether it is held now.
+    /// Whether the block is in the cache after the event.
     held: bool,
 }
 
-/// Events from one offset on.
+/// Page of events from an offset.
 #[derive(Debug, Serialize)]
 pub(crate) struct CacheEventPage {
-    /// Where to read on.
+    /// Offset of the next page.
     next: u64,
-    /// The events; some are missing.
+    /// Events, some of which are missing if the cache is set up so.
     events: Vec<CacheEvent>,
 }
 
 struct TimedEvent {
     sequence: u64,
-    shown_at: Instant,
+    visible_at: Instant,
     event: CacheEvent,
 }
 
-/// Blocks of prompts that the engine need not work through again.
+/// Blocks of prompts for which the engine needs no prefill.
 pub(crate) struct PrefixCache {
     limit: usize,
     event_delay: Duration,
@@ -49,8 +49,8 @@
 }
 
 impl PrefixCache {
-    /// A cache of `limit` blocks. Events show after `event_delay`; each `event_gap`th is left out
-    /// (0 leaves out none).
+    /// Creates a cache of `limit` blocks. Events become visible after `event_delay`; each `event_gap`th
+    /// event is omitted (0 omits none).
     pub(crate) fn new(limit: usize, event_delay: Duration, event_gap: u64) -> Self {
         Self {
             limit,
@@ -64,14 +64,14 @@
         }
     }
 
-    /// Forgets everything, as a restart does; no events tell of it.
+    /// Removes all blocks without emitting events, as a restart does.
     pub(crate) fn clear(&mut self) {
         self.last_used.clear();
         self.by_use.clear();
     }
 
-    /// Takes a prompt in and gives the number of its tokens that were already held.
-    pub(crate) fn enter(&mut self, prompt: &str, now: Instant) -> u32 {
+    /// Inserts a prompt and returns the number of its leading tokens that were already cached.
+    pub(crate) fn insert(&mut self, prompt: &str, now: Instant) -> u32 {
         let mut hit_bytes = 0;
         let mut unbroken = true;
         let mut parent = 0;
@@ -90,7 +90,7 @@
         u32::try_from(hit_bytes / TOKEN_BYTES).unwrap_or(u32::MAX)
     }
 
-    /// Marks a block as used now; tells whether it was held.
+    /// Marks a block as used now and returns whether it was cached.
     fn touch(&mut self, block: u64) -> bool {
         self.clock += 1;
         let before = self.last_used.insert(block, self.clock);
@@ -119,27 +119,27 @@
         }
         self.events.push_back(TimedEvent {
             sequence,
-            shown_at: now + self.event_delay,
+            visible_at: now + self.event_delay,
             event: CacheEvent {
                 prefix: format!("{block:016x}"),
                 held,
             },
         });
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
 
-    /// The events from `from` on that show by now.
+    /// Events from offset `from` that are visible at `now`.
     pub(crate) fn events(&self, from: u64, now: Instant) -> CacheEventPage {
-        let shown: Vec<&TimedEvent> = self
+        let visible: Vec<&TimedEvent> = self
             .events
             .iter()
-            .filter(|timed| timed.sequence >= from && timed.shown_at <= now)
+            .filter(|timed| timed.sequence >= from && timed.visible_at <= now)
             .collect();
         CacheEventPage {
-            next: shown.last().map_or(from, |timed| timed.sequence + 1),
-            events: shown.iter().map(|timed| timed.event.clone()).collect(),
+            next: visible.last().map_or(from, |timed| timed.sequence + 1),
+            events: visible.iter().map(|timed| timed.event.clone()).collect(),
         }
     }
 }
--- a/standin/src/chat.rs
+++ b/standin/src/chat.rs
@@ -1,9 +1,9 @@
-//! The `OpenAI` completion API, as far as an engine needs it.
+//! The part of the `OpenAI` completion API that an engine needs.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-/// Which of the two completion calls was made.
+/// One of the two completion endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CompletionKind {
     /// `/v1/chat/completions`.
@@ -12,7 +12,7 @@
     Text,
 }
 
-/// Text, or parts of which some are text.
+/// Text, or a list of parts of which some are text.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 enum TextContent {
@@ -42,7 +42,7 @@
 /// A completion request.
 #[derive(Debug, Deserialize)]
 pub(crate) struct CompletionRequest {
-    /// The model.
+    /// Name of the requested model.
     pub(crate) model: Box<str>,
     #[serde(default)]
     messages: Value,
@@ -75,7 +75,7 @@
 }
 
 impl CompletionRequest {
-    /// The prompt: of a chat, the contents of all messages, one a line.
+    /// The prompt; for a chat, the contents of all messages joined by line breaks.
     pub(crate) fn prompt(&self, kind: CompletionKind) -> String {
         match kind {
             CompletionKind::Text => self
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The text by whose beginning the prefix cache goes; see [`crate::answer::prefix_hash`].
+    /// Text by which the prefix cache is looked up, see [`crate::answer::prefix_hash`].
     pub(crate) fn cache_text(&self, kind: CompletionKind) -> String {
         match kind {
             CompletionKind::Text => self.prompt(kind),
@@ -104,8 +104,8 @@
         }
     }
 
-    /// The answer's length, if the request names it.
-    pub(crate) fn asked_tokens(&self) -> Option<u32> {
+    /// Requested length of the answer, in tokens; `None` if the request has none.
+    pub(crate) fn requested_tokens(&self) -> Option<u32> {
         self.n_tokens
             .or(self.max_tokens)
             .or(self.max_completion_tokens)
@@ -116,40 +116,40 @@
         self.stream.unwrap_or(false)
     }
 
-    /// Whether the stream's end tells the usage.
-    pub(crate) fn usage_wanted(&self) -> bool {
+    /// Whether the end of the stream includes the usage.
+    pub(crate) fn include_usage(&self) -> bool {
         self.stream_options
             .as_ref()
             .is_some_and(|options| options.include_usage)
     }
 
-    /// Lower goes first; 0 when absent.
+    /// Priority; requests with a lower value run first. 0 if the request has none.
     pub(crate) fn priority(&self) -> i64 {
         self.priority.unwrap_or(0)
     }
 
-    /// Tokens that the caller has already.
+    /// Number of tokens that the caller already has.
     pub(crate) fn resume_tokens(&self) -> u32 {
         self.resume_tokens.unwrap_or(0)
     }
 }
 
-/// What the parts of one answer share.
+/// Fields that all chunks of one answer have in common.
 #[derive(Clone, Debug)]
-pub(crate) struct AnswerFrame {
-    /// Which call it answers.
+pub(crate) struct AnswerMetadata {
+    /// Endpoint of the request.
     pub(crate) kind: CompletionKind,
-    /// The answer's identifier.
+    /// Value of the `id` field.
     pub(crate) id: Box<str>,
-    /// The model.
+    /// Name of the model.
     pub(crate) model: Box<str>,
     /// Size of the prompt, in tokens.
     pub(crate) prompt_tokens: u32,
-    /// Tokens in this answer.
+    /// Number of tokens in this answer.
     pub(crate) answer_tokens: u32,
 }
 
-impl AnswerFrame {
+impl AnswerMetadata {
     fn usage(&self) -> Value {
         json!({
             "prompt_tokens": self.prompt_tokens,
@@ -176,7 +176,7 @@
         })
     }
 
-    /// The event for one token; the first names the role, too.
+    /// Event for one token; the first one of a chat includes the role.
     pub(crate) fn token_event(&self, text: &str, first: bool) -> String {
         let choice = match self.kind {
             CompletionKind::Chat if first => json!({
@@ -199,8 +199,8 @@
         event(&self.body(true, &choice))
     }
 
-    /// The events after the last token.
-    pub(crate) fn end_events(&self, usage_wanted: bool) -> String {
+    /// Events after the last token.
+    pub(crate) fn end_events(&self, include_usage: bool) -> String {
         let choice = match self.kind {
             CompletionKind::Chat => json!({ "index": 0, "delta": {}, "finish_reason": "stop" }),
             CompletionKind::Text => {
@@ -208,7 +208,7 @@
             }
         };
         let mut body = self.body(true, &choice);
-        if usage_wanted {
+        if include_usage {
             body["usage"] = self.usage();
         }
         event(&body) + "data: [DONE]\n\n"
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -1,4 +1,5 @@
-//! A model engine: continuous batching, a prefix cache, priorities, resume and cancel.
+//! Stand-in of a model engine with continuous batching, a prefix cache, priorities, resumption and
+//! cancellation.
 //!
 //! Its answers are a pure function of the prompt, see [`crate::answer`].
 
@@ -21,37 +22,37 @@
 use crate::server::{HttpServer, lock};
 use crate::weights::WeightStore;
 
-/// Time that the last tokens before a crash get to leave their sockets.
+/// Delay of a crash, so that the last tokens before it are sent.
 const FLUSH_TIME: Duration = Duration::from_millis(20);
 
-/// What an engine is like.
+/// Settings of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// The models that it serves; any model when empty.
+    /// Models that the engine serves; any model if empty.
     pub models: Vec<Box<str>>,
-    /// Requests at a time.
+    /// Maximum number of requests that run at the same time.
     pub slots: usize,
-    /// Requests that may wait; more are refused.
+    /// Maximum number of queued requests; more are refused.
     pub queue: usize,
-    /// Length of a step (one token for each request) with one request.
+    /// Duration of a step with one request. Each step generates one token per request.
     pub step: Duration,
-    /// What each further request adds to a step.
+    /// Additional duration of a step for each further request.
     pub step_per_job: Duration,
-    /// Time for each prompt token that the prefix cache does not hold.
+    /// Prefill time of each prompt token that is not in the prefix cache.
     pub prefill_per_token: Duration,
-    /// Tokens in an answer when the request names no number.
+    /// Range of the number of tokens in an answer if the request sets none.
     pub answer_tokens: RangeInclusive<u32>,
-    /// Blocks (see [`crate::answer::BLOCK_BYTES`]) that the prefix cache holds.
+    /// Capacity of the prefix cache, in blocks (see [`crate::answer::BLOCK_BYTES`]).
     pub cache_blocks: usize,
-    /// Delay of cache events.
+    /// Time until a cache event becomes visible.
     pub cache_event_delay: Duration,
-    /// Each so manyth cache event is missing; none when 0.
+    /// Every how many cache events one is omitted; 0 omits none.
     pub cache_event_gap: u64,
-    /// Lag of the load report.
+    /// Age of the data in the load report.
     pub report_lag: Duration,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether an order with an outdated fencing token is refused.
     pub checks_fencing: bool,
-    /// Where weights come from; models load at once when absent.
+    /// Store from which weights are read; `None` if models load immediately.
     pub weights: Option<WeightStore>,
     /// Size of a model's weights, in bytes.
     pub model_bytes: u64,
@@ -81,11 +82,11 @@
 /// An order that reached the engine.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct OrderRecord {
-    /// Its fencing number.
+    /// Fencing token of the order.
     pub fencing: u64,
-    /// The order.
+    /// The order as JSON.
     pub order: Value,
-    /// Whether it was taken.
+    /// Whether the engine accepted it.
     pub accepted: bool,
 }
 
@@ -95,7 +96,7 @@
     pub(crate) orders: Vec<OrderRecord>,
 }
 
-/// The engine's state, shared by its tasks.
+/// State of an engine, shared by its tasks.
 pub(crate) struct Engine {
     pub(crate) settings: EngineSettings,
     pub(crate) batch: Mutex<Batch>,
@@ -107,19 +108,19 @@
 }
 
 impl Engine {
-    /// The faults that hold now.
+    /// Faults in effect.
     pub(crate) fn faults(&self) -> EngineFaults {
         *self.faults.borrow()
     }
 
     /// Waits while the engine is frozen.
-    pub(crate) async fn thaw(&self) {
+    pub(crate) async fn wait_while_frozen(&self) {
         let mut faults = self.faults.subscribe();
-        // The sender lives as long as `self`.
+        // Fails only if the sender is dropped, but `self` owns it.
         let _ = faults.wait_for(|faults| !faults.frozen).await;
     }
 
-    /// Replaces the faults; a crash without a token count comes at once.
+    /// Replaces the faults. A crash without a token count starts immediately.
     pub(crate) fn set_faults(self: &Arc<Self>, faults: EngineFaults) {
         self.faults.send_replace(faults);
         {
@@ -142,7 +143,7 @@
             return;
         };
         sleep(Duration::from_millis(pause)).await;
-        // A port that was taken meanwhile leaves the engine down.
+        // If the port has been taken in the meantime, the engine stays down.
         let _ = self.open();
     }
 
@@ -160,7 +161,7 @@
         self.server.open(api)
     }
 
-    /// Makes tokens for as long as the engine exists.
+    /// Generates tokens for as long as the engine exists.
     async fn run(self: Arc<Self>) {
         loop {
             let wait = {
@@ -172,7 +173,7 @@
                 continue;
             };
             sleep(wait.mul_f64(self.faults().straggle.max(0.01))).await;
-            self.thaw().await;
+            self.wait_while_frozen().await;
             let crash = lock(&self.batch).step(Instant::now());
             if crash {
                 let fault = self.faults().crash.unwrap_or_default();
@@ -182,13 +183,13 @@
     }
 }
 
-/// A running engine; dropping it stops the engine.
+/// Handle of a running engine. Dropping it stops the engine.
 pub struct EngineHandle {
     engine: Arc<Engine>,
     task: tokio::task::JoinHandle<()>,
 }
 
-/// Starts an engine on `address` ("127.0.0.1:0" takes any free port).
+/// Starts an engine on `address` ("127.0.0.1:0" picks a free port).
 pub async fn start(address: &str, settings: EngineSettings) -> io::Result<EngineHandle> {
     let speed = BatchSpeed {
         slots: settings.slots,
@@ -217,53 +218,53 @@
 }
 
 impl EngineHandle {
-    /// Where it listens.
+    /// Listen address, with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.engine.server.address()
     }
 
-    /// The faults that hold now.
+    /// Faults in effect.
     pub fn faults(&self) -> EngineFaults {
         self.engine.faults()
     }
 
-    /// Replaces the faults.
+    /// Replaces the faults in effect.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.engine.set_faults(faults);
     }
 
-    /// Drops every connection and request, and closes the port.
+    /// Closes all connections and the port, and ends all requests.
     pub async fn crash(&self) {
         self.engine.crash().await;
     }
 
-    /// Opens the port again after a crash.
+    /// Reopens the port after a crash.
     pub async fn restart(&self) -> io::Result<()> {
         self.engine.server.close().await;
         self.engine.open()
     }
 
-    /// Sums over the runs so far.
+    /// Totals over all runs so far.
     pub fn totals(&self) -> RunTotals {
-        lock(&self.engine.batch).book.totals()
+        lock(&self.engine.batch).run_log.totals()
     }
 
-    /// Every run so far.
+    /// All runs so far.
     pub fn runs(&self) -> Vec<RunRecord> {
-        lock(&self.engine.batch).book.records().to_vec()
+        lock(&self.engine.batch).run_log.records().to_vec()
     }
 
-    /// Every order that arrived so far.
+    /// All orders received so far, accepted or not.
     pub fn orders(&self) -> Vec<OrderRecord> {
         lock(&self.engine.orders).orders.clone()
     }
 
-    /// The models that it serves now.
+    /// Models that the engine serves now; any model if empty.
     pub fn models(&self) -> Vec<Box<str>> {
         lock(&self.engine.models).clone()
     }
 
-    /// Stops it for good.
+    /// Stops the engine permanently.
     pub async fn stop(self) {
         self.task.abort();
         self.engine.crash().await;
--- a/standin/src/faults.rs
+++ b/standin/src/faults.rs
@@ -1,38 +1,38 @@
-//! Faults that can be switched on, by the handle of a stand-in or by `POST /faults`.
+//! Faults that can be injected through the handle of a stand-in or by `POST /faults`.
 //!
-//! A set of faults replaces the set before it: what is not named is off.
+//! A set of faults replaces the previous set; faults that are not named are off.
 
 use serde::{Deserialize, Serialize};
 
-/// A crash: every connection drops and the port refuses.
+/// A crash: all connections are closed and the port refuses new ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CrashFault {
-    /// Crash when the next request has got this many tokens; at once when absent.
+    /// Crash once the next request has received this many tokens; immediately if `None`.
     pub after_tokens: Option<u32>,
-    /// Come back after this many milliseconds; stay away when absent.
+    /// Restart after this many milliseconds; never if `None`.
     pub restart_after_ms: Option<u64>,
 }
 
 /// Faults of a model engine.
-// Each fault is a switch of its own.
+// Each fault is an independent switch.
 #[allow(clippy::struct_excessive_bools)]
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineFaults {
-    /// Every step takes this many times as long; 1 is healthy.
+    /// Factor on the duration of every step; 1 is normal speed.
     pub straggle: f64,
-    /// Nothing moves, and nothing is answered, until this is off again.
+    /// The engine generates nothing and answers no request until this is off again.
     pub frozen: bool,
     /// Every request is refused without being run.
     pub refuse: bool,
-    /// Lag of the load report, in milliseconds, instead of the one in the settings.
+    /// Age of the data in the load report, in milliseconds; `None` uses the engine's settings.
     pub report_lag_ms: Option<u64>,
-    /// The load report stays as it is.
+    /// The load report stops changing.
     pub report_frozen: bool,
-    /// The engine says that it is leaving.
+    /// The load report announces that the engine is leaving.
     pub leaving: bool,
-    /// A crash.
+    /// A crash; `None` for no crash.
     pub crash: Option<CrashFault>,
 }
 
@@ -54,17 +54,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceFaults {
-    /// Every request takes this much longer, in milliseconds.
+    /// Additional duration of every request, in milliseconds.
     pub slow_ms: u64,
     /// Every request is refused without being run.
     pub refuse: bool,
-    /// Refusals ask for a pause of this many milliseconds.
+    /// Pause that refusals ask for, in milliseconds (rounded up to seconds); `None` asks for none.
     pub pause_ms: Option<u64>,
-    /// Every answer says that the service is leaving.
+    /// Every answer announces that the service is leaving.
     pub leaving: bool,
-    /// This many of the next requests run, and then their connection drops without an answer.
+    /// Number of the next requests that run but whose connections are then closed without an answer.
     pub lose_responses: u32,
-    /// A crash; `after_tokens` is ignored.
+    /// A crash; `None` for no crash. `after_tokens` is ignored.
     pub crash: Option<CrashFault>,
 }
 
@@ -72,11 +72,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogFaults {
-    /// Every connection drops without an answer, and nothing is appended.
+    /// Every connection is closed without an answer, and nothing is appended.
     pub down: bool,
-    /// Every answer comes this much later, in milliseconds.
+    /// Additional delay of every answer, in milliseconds.
     pub slow_ms: u64,
-    /// This many of the next appends take effect, and then their connection drops without an
+    /// Number of the next appends that take effect but whose connections are then closed without an
     /// answer.
     pub lose_responses: u32,
 }
@@ -85,8 +85,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct HostFaults {
-    /// The list stays as it shows now.
+    /// The visible list stops changing.
     pub stale: bool,
-    /// Every connection drops without an answer.
+    /// Every connection is closed without an answer.
     pub down: bool,
 }
--- a/standin/src/hosts.rs
+++ b/standin/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts, which lags.
+//! Stand-in of the platform's host list. Changes become visible after a delay.
 
 use std::collections::VecDeque;
 use std::io;
@@ -16,7 +16,7 @@
 use crate::reply::{JsonReply, read_json};
 use crate::server::{HttpServer, lock};
 
-/// What runs on a host.
+/// Kind of process that runs on a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostRole {
@@ -26,31 +26,31 @@
     Upstream,
 }
 
-/// A row of the list.
+/// Entry of the host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostRow {
-    /// The host's name.
+    /// Name of the host.
     pub name: Box<str>,
-    /// The availability zone.
+    /// Availability zone of the host.
     pub zone: Box<str>,
-    /// What runs there.
+    /// Kind of process that runs on the host.
     pub role: HostRole,
-    /// Where other nodes reach it; empty for upstreams.
+    /// Address for other nodes; empty for upstreams.
     #[serde(default)]
     pub peer_address: Box<str>,
-    /// Where callers reach it; empty for upstreams.
+    /// Address for callers; empty for upstreams.
     #[serde(default)]
     pub caller_address: Box<str>,
-    /// Whether it is leaving.
+    /// Whether the host is leaving the fleet.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// What a host list is like.
+/// Settings of a host list.
 #[derive(Clone, Copy, Debug)]
 pub struct HostSettings {
-    /// Time until a change shows.
+    /// Time until a change becomes visible.
     pub lag: Duration,
 }
 
@@ -63,7 +63,7 @@
 }
 
 struct Version {
-    shown_at: Instant,
+    visible_at: Instant,
     rows: Vec<HostRow>,
 }
 
@@ -83,13 +83,13 @@
 }
 
 impl HostState {
-    /// The newest version that shows by now; older ones go.
-    fn shown(&mut self, now: Instant) -> &[HostRow] {
+    /// The newest visible version; older ones are removed.
+    fn visible(&mut self, now: Instant) -> &[HostRow] {
         while !self.faults.stale
             && self
                 .versions
                 .get(1)
-                .is_some_and(|second| second.shown_at <= now)
+                .is_some_and(|second| second.visible_at <= now)
         {
             self.versions.pop_front();
         }
@@ -117,7 +117,7 @@
         }
         match (request.method(), path.as_str()) {
             (&Method::GET, "/hosts") => {
-                JsonReply::ok(lock(&self.list.state).shown(Instant::now())).write(response);
+                JsonReply::ok(lock(&self.list.state).visible(Instant::now())).write(response);
             }
             _ => JsonReply::not_run(StatusCode::NOT_FOUND, "no such path").write(response),
         }
@@ -139,18 +139,18 @@
 impl HostList {
     fn set_faults(&self, faults: HostFaults) {
         let mut state = lock(&self.state);
-        // What shows now is what stays.
-        state.shown(Instant::now());
+        // Moves on to the visible version before it may become stale.
+        state.visible(Instant::now());
         state.faults = faults;
     }
 }
 
-/// A running host list; dropping it stops the service.
+/// Handle of a running host list. Dropping it stops the service.
 pub struct HostsHandle {
     list: Arc<HostList>,
 }
 
-/// Starts a host list on `address` ("127.0.0.1:0" takes any free port).
+/// Starts a host list on `address` ("127.0.0.1:0" picks a free port).
 pub async fn start(address: &str, settings: HostSettings) -> io::Result<HostsHandle> {
     let list = Arc::new(HostList {
         settings,
@@ -168,17 +168,17 @@
 }
 
 impl HostsHandle {
-    /// Where it listens.
+    /// Listen address, with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.list.server.address()
     }
 
-    /// Replaces the faults.
+    /// Replaces the faults in effect.
     pub fn set_faults(&self, faults: HostFaults) {
         self.list.set_faults(faults);
     }
 
-    /// Replaces the rows; they show after the lag, the very first ones at once.
+    /// Replaces the rows. They become visible after the lag, the first ones immediately.
     pub fn set_rows(&self, rows: Vec<HostRow>) {
         let mut state = lock(&self.list.state);
         let lag = if state.versions.is_empty() {
@@ -187,12 +187,12 @@
             self.list.settings.lag
         };
         state.versions.push_back(Version {
-            shown_at: Instant::now() + lag,
+            visible_at: Instant::now() + lag,
             rows,
         });
     }
 
-    /// The rows as they truly are, whatever shows.
+    /// The current rows, visible or not.
     pub fn rows(&self) -> Vec<HostRow> {
         lock(&self.list.state)
             .versions
@@ -201,7 +201,7 @@
             .unwrap_or_default()
     }
 
-    /// Stops it for good.
+    /// Stops the service permanently.
     pub async fn stop(self) {
         self.list.server.close().await;
     }
--- a/standin/src/keyed.rs
+++ b/standin/src/keyed.rs
@@ -1,4 +1,5 @@
-//! A store of topics that keep the newest record of each key, with faults that can be switched on.
+//! Stand-in of the platform's keyed store: topics that keep the newest record of each key, with fault
+//! injection.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,19 +18,19 @@
 use crate::raw::{RawRequest, read_request, write_answer};
 use crate::server::lock;
 
-/// How the store answers.
+/// Condition of the store, which determines how it answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreCondition {
-    /// Well.
+    /// Answers correctly.
     #[default]
     Healthy,
-    /// Not at all; connections stay open.
+    /// Does not answer; connections stay open.
     Silent,
-    /// It resets every connection.
+    /// Resets every connection.
     Resetting,
-    /// With 503.
+    /// Answers with status 503.
     Busy,
-    /// With bytes that are not its form.
+    /// Answers with bytes that cannot be parsed.
     Garbage,
 }
 
@@ -81,30 +82,30 @@
     topics: BTreeMap<String, StoreTopic>,
     condition: StoreCondition,
     calls: usize,
-    /// Grows each time that the store comes back from an older copy.
+    /// Incremented each time that the store is restored from an older copy.
     era: u64,
 }
 
 #[derive(Debug, Default)]
-struct StoreShare {
+struct StoreShared {
     state: Mutex<StoreState>,
     appended: Notify,
 }
 
-/// A running store.
+/// Handle of a running store. Dropping it stops the store.
 pub struct KeyedStore {
     address: SocketAddr,
-    share: Arc<StoreShare>,
+    shared: Arc<StoreShared>,
     _tasks: JoinSet<()>,
 }
 
 impl KeyedStore {
-    /// Starts one on an address; port 0 takes any free one.
+    /// Starts a store on an address; port 0 picks a free port.
     pub async fn start(address: &str) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let share = Arc::new(StoreShare::default());
-        let served = share.clone();
+        let shared = Arc::new(StoreShared::default());
+        let served = shared.clone();
         let mut tasks = JoinSet::new();
         tasks.spawn(async move {
             let mut connections = JoinSet::new();
@@ -114,63 +115,64 @@
         });
         Ok(Self {
             address,
-            share,
+            shared,
             _tasks: tasks,
         })
     }
 
-    /// Where it listens.
+    /// Listen address, with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Appends a record; an empty value drops the key.
+    /// Appends a record; an empty value deletes the key.
     pub fn put(&self, topic: &str, key: &str, value: &[u8]) {
-        let mut state = lock(&self.share.state);
+        let mut state = lock(&self.shared.state);
         let topic = state.topics.entry(topic.into()).or_default();
         topic.append(key.as_bytes(), value);
         drop(state);
-        self.share.appended.notify_waiters();
+        self.shared.appended.notify_waiters();
     }
 
-    /// Deletes the records of a topic but the newest of each key.
+    /// Compacts a topic: its log is emptied, and the newest record of each key remains.
     pub fn compact(&self, topic: &str) {
-        let mut state = lock(&self.share.state);
+        let mut state = lock(&self.shared.state);
         if let Some(topic) = state.topics.get_mut(topic) {
             topic.first = topic.end();
             topic.records.clear();
         }
     }
 
-    /// Comes back from a copy that lacks the newest records of a topic. Their offsets are given out again.
+    /// Restores the store from a copy that lacks the `lost` newest records of a topic. Their offsets are
+    /// reused, and the store's era is incremented.
     pub fn roll_back(&self, topic: &str, lost: usize) {
-        let mut state = lock(&self.share.state);
+        let mut state = lock(&self.shared.state);
         state.era += 1;
         if let Some(topic) = state.topics.get_mut(topic) {
             topic.roll_back(lost);
         }
         drop(state);
-        self.share.appended.notify_waiters();
+        self.shared.appended.notify_waiters();
     }
 
-    /// Changes how it answers; calls that wait see it at once.
+    /// Changes the condition. Delayed reads are answered immediately.
     pub fn set_condition(&self, condition: StoreCondition) {
-        lock(&self.share.state).condition = condition;
-        self.share.appended.notify_waiters();
+        lock(&self.shared.state).condition = condition;
+        self.shared.appended.notify_waiters();
     }
 
-    /// Calls so far.
+    /// Number of requests received so far.
     pub fn calls(&self) -> usize {
-        lock(&self.share.state).calls
+        lock(&self.shared.state).calls
     }
 }
 
-async fn serve(mut stream: TcpStream, share: Arc<StoreShare>) {
-    let mut held = Vec::new();
-    while let Ok(Some(request)) = read_request(&mut stream, &mut held).await {
-        lock(&share.state).calls += 1;
-        let mut answer = answer(&request, &share).await;
-        let condition = lock(&share.state).condition;
+async fn serve(mut stream: TcpStream, shared: Arc<StoreShared>) {
+    let mut buffered = Vec::new();
+    while let Ok(Some(request)) = read_request(&mut stream, &mut buffered).await {
+        lock(&shared.state).calls += 1;
+        let mut answer = answer(&request, &shared).await;
+        let condition = lock(&shared.state).condition;
         match condition {
             StoreCondition::Healthy => {}
             StoreCondition::Silent => {
@@ -178,14 +180,14 @@
                 return;
             }
             StoreCondition::Resetting => {
-                // A close in good order would do as well.
+                // If this fails, the connection is closed instead of reset, which does as well.
                 let _ = stream.set_zero_linger();
                 return;
             }
             StoreCondition::Busy => answer = ("503 Service Unavailable", Vec::new()),
             StoreCondition::Garbage => answer.1 = b"\x00\x01garbage".to_vec(),
         }
-        let era = format!("Store-Era: {}\r\n", lock(&share.state).era);
+        let era = format!("Store-Era: {}\r\n", lock(&shared.state).era);
         if write_answer(&mut stream, answer.0, &era, &answer.1)
             .await
             .is_err()
@@ -197,18 +199,18 @@
 
 type StoreAnswer = (&'static str, Vec<u8>);
 
-async fn answer(request: &RawRequest, share: &StoreShare) -> StoreAnswer {
+async fn answer(request: &RawRequest, shared: &StoreShared) -> StoreAnswer {
     let path = request.target.split('?').next().unwrap_or_default();
     match path {
-        names::NEWEST_PATH => newest(request, share),
-        names::READ_PATH => read(request, share).await,
-        names::APPEND_PATH => append(request, share),
+        names::NEWEST_PATH => newest(request, shared),
+        names::READ_PATH => read(request, shared).await,
+        names::APPEND_PATH => append(request, shared),
         _ => ("404 Not Found", Vec::new()),
     }
 }
 
-fn newest(request: &RawRequest, share: &StoreShare) -> StoreAnswer {
-    let mut state = lock(&share.state);
+fn newest(request: &RawRequest, shared: &StoreShared) -> StoreAnswer {
+    let mut state = lock(&shared.state);
     let topic = state
         .topics
         .entry(request.query("topic").into())
@@ -225,14 +227,14 @@
     ("200 OK", body.to_string().into_bytes())
 }
 
-async fn read(request: &RawRequest, share: &StoreShare) -> StoreAnswer {
+async fn read(request: &RawRequest, shared: &StoreShared) -> StoreAnswer {
     let from: u64 = request.query("from").parse().unwrap_or(0);
     let wait: u64 = request.query("waitMs").parse().unwrap_or(0);
     let until = Instant::now() + Duration::from_millis(wait);
     loop {
-        let appended = share.appended.notified();
+        let appended = shared.appended.notified();
         {
-            let mut state = lock(&share.state);
+            let mut state = lock(&shared.state);
             let condition = state.condition;
             let topic = state
                 .topics
@@ -247,7 +249,7 @@
                 return ("200 OK", records(topic, from));
             }
         }
-        // The end of the wait is seen above.
+        // The loop checks whether the wait has ended.
         let _ = timeout_at(until, appended).await;
     }
 }
@@ -265,8 +267,8 @@
     body
 }
 
-fn append(request: &RawRequest, share: &StoreShare) -> StoreAnswer {
-    let mut state = lock(&share.state);
+fn append(request: &RawRequest, shared: &StoreShared) -> StoreAnswer {
+    let mut state = lock(&shared.state);
     let topic = state
         .topics
         .entry(request.query("topic").into())
@@ -294,6 +296,6 @@
     }
     let body = json!({ "offset": offset, "end": topic.end() });
     drop(state);
-    share.appended.notify_waiters();
+    shared.appended.notify_waiters();
     ("200 OK", body.to_string().into_bytes())
 }
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins for the systems around monsoonbank, with faults that can be switched on.
+//! Stand-ins for the systems around monsoonbank, with fault injection.
 //!
 //! Each stand-in is an HTTP server on a loopback port of its own, run as tasks of the calling
-//! process, so that several dozen fit into one test. Each counts what it ran by itself: tests
-//! compare those counts with what the router said.
+//! process, so that several dozen fit into one test. Each counts the requests that it ran, so that
+//! tests can compare the counts with the outcomes that the router reported.
 
 pub mod answer;
 mod api;
--- a/standin/src/link.rs
+++ b/standin/src/link.rs
@@ -1,4 +1,4 @@
-//! A host's thin link.
+//! A slow network link of a host.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,10 +12,11 @@
 
 use crate::server::lock;
 
-/// Bytes that take their turn on a link at once; two connections share it evenly.
-const PIECE_BYTES: usize = 8 << 10;
+/// Number of bytes that a connection sends over the link at a time, so that several connections share
+/// it evenly.
+const CHUNK_BYTES: usize = 8 << 10;
 
-/// A link: all that comes to its host shares its bytes a second.
+/// A link whose rate is shared by everything that is sent to its host.
 #[derive(Clone, Debug)]
 pub struct SlowLink {
     bytes_per_second: f64,
@@ -24,7 +25,7 @@
 }
 
 impl SlowLink {
-    /// A link of some megabits a second.
+    /// Creates a link with a rate in megabits per second.
     pub fn new(megabits: f64) -> Self {
         Self {
             bytes_per_second: megabits * 125_000.0,
@@ -33,13 +34,13 @@
         }
     }
 
-    /// Bytes that it has carried to its host.
+    /// Number of bytes sent to the host so far.
     pub fn bytes_carried(&self) -> u64 {
         self.carried.load(Ordering::Relaxed)
     }
 
-    /// Gives an address at which the host reaches `to` over this link, for as long as the runtime
-    /// lives.
+    /// Opens an address at which the host reaches `to` over this link. It works until the runtime
+    /// ends.
     pub async fn relay(&self, to: SocketAddr) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -48,9 +49,9 @@
             while let Ok((host, _)) = listener.accept().await {
                 let link = link.clone();
                 tokio::spawn(async move {
-                    // Without its target the connection just ends.
+                    // If the target is unreachable, the connection is closed.
                     if let Ok(target) = TcpStream::connect(to).await {
-                        link.pass(host, target).await;
+                        link.forward(host, target).await;
                     }
                 });
             }
@@ -58,30 +59,30 @@
         Ok(address)
     }
 
-    async fn pass(&self, mut host: TcpStream, mut target: TcpStream) {
+    async fn forward(&self, mut host: TcpStream, mut target: TcpStream) {
         let (mut from_host, mut to_host) = host.split();
         let (mut from_target, mut to_target) = target.split();
         let down = async {
-            let mut piece = vec![0; PIECE_BYTES];
+            let mut chunk = vec![0; CHUNK_BYTES];
             loop {
-                let count = from_target.read(&mut piece).await.unwrap_or(0);
+                let count = from_target.read(&mut chunk).await.unwrap_or(0);
                 if count == 0 {
                     return;
                 }
-                self.take_turn(count).await;
-                if to_host.write_all(&piece[..count]).await.is_err() {
+                self.transmit(count).await;
+                if to_host.write_all(&chunk[..count]).await.is_err() {
                     return;
                 }
             }
         };
-        // Either side's end ends both.
+        // If one direction ends, the other is closed, too.
         tokio::select! {
             () = down => {}
             _ = tokio::io::copy(&mut from_host, &mut to_target) => {}
         }
     }
 
-    async fn take_turn(&self, count: usize) {
+    async fn transmit(&self, count: usize) {
         let time = Duration::from_secs_f64(count as f64 / self.bytes_per_second);
         let arrives = {
             let mut free_at = lock(&self.free_at);
--- a/standin/src/log.rs
+++ b/standin/src/log.rs
@@ -1,4 +1,4 @@
-//! An append-only log service with offsets, limited retention and a limited append rate.
+//! Stand-in of the platform's append-only log, with offsets, limited retention and a limited append rate.
 
 use std::collections::VecDeque;
 use std::io;
@@ -17,18 +17,18 @@
 use crate::reply::{JsonReply, read_json};
 use crate::server::{HttpServer, lock};
 
-/// Longest long poll.
+/// Maximum duration of a long poll.
 const LONGEST_WAIT: Duration = Duration::from_mins(1);
 
-/// Records in one answer when the reader names no limit.
+/// Maximum number of records in one answer if the reader sets no limit.
 const PAGE_RECORDS: usize = 500;
 
-/// What a log is like.
+/// Settings of a log.
 #[derive(Clone, Copy, Debug)]
 pub struct LogSettings {
-    /// Records kept.
+    /// Maximum number of records that are kept.
     pub retention: usize,
-    /// Appends a second; more are refused. As many as a tenth of it may come at once.
+    /// Appends per second; more are refused. Bursts of up to a tenth of this number are accepted.
     pub appends_per_second: f64,
 }
 
@@ -41,12 +41,12 @@
     }
 }
 
-/// A record with its place.
+/// A record with its offset in the log.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct StoredRecord {
-    /// The offset.
+    /// Offset of the record.
     pub offset: u64,
-    /// The record.
+    /// The record as JSON.
     pub record: Value,
 }
 
@@ -64,7 +64,7 @@
 struct Log {
     settings: LogSettings,
     state: Mutex<LogState>,
-    grown: Notify,
+    appended: Notify,
     server: HttpServer,
 }
 
@@ -92,7 +92,7 @@
 }
 
 impl Log {
-    /// Appends a record; none when the rate is used up.
+    /// Appends a record and returns its offset; `None` if the rate is exceeded.
     fn append(&self, record: Value) -> Option<u64> {
         let mut state = lock(&self.state);
         state.refill(self.settings.appends_per_second);
@@ -110,21 +110,21 @@
         state.appends += 1;
         let kept = self.settings.retention as u64;
         state.truncate(state.end().saturating_sub(kept));
-        self.grown.notify_waiters();
+        self.appended.notify_waiters();
         offset
     }
 
     async fn wait_for(&self, from: u64, wait: Duration) {
         let reached = async {
             loop {
-                let grown = self.grown.notified();
+                let appended = self.appended.notified();
                 if lock(&self.state).end() > from {
                     return;
                 }
-                grown.await;
+                appended.await;
             }
         };
-        // Running out of time gives an empty page.
+        // After a timeout the page is empty.
         let _ = timeout(wait.min(LONGEST_WAIT), reached).await;
     }
 
@@ -180,7 +180,7 @@
             _ => Some(JsonReply::not_run(StatusCode::NOT_FOUND, "no such path")),
         };
         match reply {
-            // A reader that was waiting when the log went down gets nothing, either.
+            // A reader that was waiting when the log went down gets no answer, either.
             Some(reply) if !lock(&self.log.state).faults.down => reply.write(response),
             _ => control.conn().abort(),
         }
@@ -198,7 +198,7 @@
         }
     }
 
-    /// None when the response is to be lost.
+    /// Appends the record of a request; `None` if the response has to be dropped.
     async fn append(&self, request: &mut Request) -> Option<JsonReply> {
         let record: Value = match read_json(request).await {
             Ok(record) => record,
@@ -227,23 +227,23 @@
     }
 }
 
-/// A running log service; dropping it stops the service.
+/// Handle of a running log. Dropping it stops the service.
 pub struct LogHandle {
     log: Arc<Log>,
 }
 
-/// What a log did so far.
+/// Counts of a log's operations so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LogTotals {
-    /// Appends that took effect.
+    /// Number of appends that took effect by request or by handle.
     pub appends: u64,
-    /// Appends refused for the rate.
+    /// Number of appends refused because of the rate.
     pub refused: u64,
-    /// Pages read.
+    /// Number of pages read.
     pub reads: u64,
 }
 
-/// Starts a log service on `address` ("127.0.0.1:0" takes any free port).
+/// Starts a log service on `address` ("127.0.0.1:0" picks a free port).
 pub async fn start(address: &str, settings: LogSettings) -> io::Result<LogHandle> {
     let log = Arc::new(Log {
         state: Mutex::new(LogState {
@@ -256,7 +256,7 @@
             refused: 0,
             reads: 0,
         }),
-        grown: Notify::new(),
+        appended: Notify::new(),
         server: HttpServer::bind(address).await?,
         settings,
     });
@@ -268,23 +268,23 @@
 }
 
 impl LogHandle {
-    /// Where it listens.
+    /// Listen address, with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.log.server.address()
     }
 
-    /// Replaces the faults.
+    /// Replaces the faults in effect.
     pub fn set_faults(&self, faults: LogFaults) {
         lock(&self.log.state).faults = faults;
     }
 
-    /// Appends a record past rate and faults; gives its offset.
+    /// Appends a record regardless of rate and faults and returns its offset.
     pub fn append(&self, record: Value) -> u64 {
         let mut state = lock(&self.log.state);
         self.log.store(&mut state, record)
     }
 
-    /// Every record that is still kept.
+    /// All records that are still kept.
     pub fn records(&self) -> Vec<StoredRecord> {
         let state = lock(&self.log.state);
         (state.first..)
@@ -296,12 +296,12 @@
             .collect()
     }
 
-    /// Drops every record before an offset.
+    /// Removes all records before an offset.
     pub fn truncate(&self, first: u64) {
         lock(&self.log.state).truncate(first);
     }
 
-    /// What it did so far.
+    /// Counts of the operations so far.
     pub fn totals(&self) -> LogTotals {
         let state = lock(&self.log.state);
         LogTotals {
@@ -311,7 +311,7 @@
         }
     }
 
-    /// Stops it for good.
+    /// Stops the service permanently.
     pub async fn stop(self) {
         self.log.server.close().await;
     }
--- a/standin/src/raw.rs
+++ b/standin/src/raw.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 requests read straight from a connection, for stand-ins that answer with any bytes.
+//! Reads HTTP/1.1 requests directly from a connection, for stand-ins that answer with arbitrary bytes.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -6,26 +6,26 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A request as it came.
+/// A request as received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RawRequest {
-    /// Its method.
+    /// HTTP method.
     pub method: Box<str>,
-    /// Its path and query.
+    /// Path and query.
     pub target: Box<str>,
-    /// Its headers; names in lower case, a name that stands twice has its values joined by `|`.
+    /// Headers by lower-case name; the values of a repeated header are joined by `|`.
     pub headers: BTreeMap<Box<str>, Box<str>>,
-    /// Its body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
 impl RawRequest {
-    /// A header's value; empty if it is missing.
+    /// Value of a header; empty if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", |value| value)
     }
 
-    /// A value of the query; empty if it is missing.
+    /// Value of a query parameter; empty if it is missing.
     pub fn query(&self, name: &str) -> &str {
         let query = self.target.split_once('?').map_or("", |(_, query)| query);
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -37,28 +37,29 @@
     }
 }
 
-/// Reads the next request; none if the connection ends before it. `held` keeps what came behind.
+/// Reads the next request; `None` if the connection is closed before its end. `buffered` holds the bytes
+/// received after it, for the next read.
 pub async fn read_request(
     stream: &mut TcpStream,
-    held: &mut Vec<u8>,
+    buffered: &mut Vec<u8>,
 ) -> io::Result<Option<RawRequest>> {
     let head_end = loop {
-        if let Some(end) = held.windows(4).position(|window| window == b"\r\n\r\n") {
+        if let Some(end) = buffered.windows(4).position(|window| window == b"\r\n\r\n") {
             break end + 4;
         }
-        if stream.read_buf(held).await? == 0 {
+        if stream.read_buf(buffered).await? == 0 {
             return Ok(None);
         }
     };
-    let text: Vec<u8> = held.drain(..head_end).collect();
+    let text: Vec<u8> = buffered.drain(..head_end).collect();
     let mut request = parse_head(&String::from_utf8_lossy(&text));
     let length: usize = request.header("content-length").parse().unwrap_or(0);
-    while held.len() < length {
-        if stream.read_buf(held).await? == 0 {
+    while buffered.len() < length {
+        if stream.read_buf(buffered).await? == 0 {
             return Ok(None);
         }
     }
-    request.body = held.drain(..length).collect();
+    request.body = buffered.drain(..length).collect();
     Ok(Some(request))
 }
 
@@ -82,7 +83,7 @@
     request
 }
 
-/// Writes an answer with a length.
+/// Writes an answer with a `Content-Length` header. Each of the `headers` ends with a line break.
 pub async fn write_answer(
     stream: &mut TcpStream,
     status: &str,
--- a/standin/src/reply.rs
+++ b/standin/src/reply.rs
@@ -1,4 +1,4 @@
-//! Writing JSON answers, and reading JSON bodies.
+//! Writes JSON answers and reads JSON bodies.
 
 use salvo::http::{HeaderName, StatusCode};
 use salvo::writing::Json;
@@ -7,27 +7,27 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
 
-/// Largest request body that a stand-in reads, in bytes.
+/// Maximum size of a request body that a stand-in reads, in bytes.
 const MAX_BODY: usize = 64 * 1024 * 1024;
 
-/// Says that the request did not run.
+/// Response header that states that the request was not run.
 pub(crate) const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
 
-/// Says that the upstream that answers is leaving.
+/// Response header that announces that the upstream is leaving.
 pub(crate) const LEAVING: HeaderName = HeaderName::from_static("x-leaving");
 
-/// A plain answer: status and JSON body.
+/// An answer with a status and a JSON body.
 pub(crate) struct JsonReply {
-    /// The status.
+    /// HTTP status code.
     pub(crate) status: StatusCode,
-    /// The body.
+    /// Body of the answer.
     pub(crate) body: Value,
-    /// Whether to say that the request did not run.
+    /// Whether to state that the request was not run.
     pub(crate) not_run: bool,
 }
 
 impl JsonReply {
-    /// 200 with `body`.
+    /// Creates an answer with status 200.
     pub(crate) fn ok(body: impl Serialize) -> Self {
         Self {
             status: StatusCode::OK,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// An error in the shape of the `OpenAI` API, for a request that did not run.
+    /// Creates an error in the shape of the `OpenAI` API, for a request that was not run.
     pub(crate) fn not_run(status: StatusCode, message: &str) -> Self {
         Self {
             status,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Writes it out.
+    /// Writes the answer to a response.
     pub(crate) fn write(self, response: &mut Response) {
         response.status_code(self.status);
         if self.not_run {
@@ -57,7 +57,7 @@
     }
 }
 
-/// The request's body as JSON, or the answer that says what is wrong with it.
+/// Reads a request's body as JSON. If it is invalid, the error is the answer to send.
 pub(crate) async fn read_json<T: DeserializeOwned>(request: &mut Request) -> Result<T, JsonReply> {
     let body = request
         .payload_with_max_size(MAX_BODY)
@@ -67,7 +67,7 @@
         .map_err(|error| JsonReply::not_run(StatusCode::BAD_REQUEST, &error.to_string()))
 }
 
-/// The request's body as text; bytes that are no UTF-8 are replaced.
+/// Reads a request's body as text. Invalid UTF-8 is replaced; a body that cannot be read is empty.
 pub(crate) async fn read_text(request: &mut Request) -> String {
     match request.payload_with_max_size(MAX_BODY).await {
         Ok(body) => String::from_utf8_lossy(body).into_owned(),
--- a/standin/src/report.rs
+++ b/standin/src/report.rs
@@ -1,4 +1,4 @@
-//! An engine's report of its own load, which lags behind the truth.
+//! An engine's report of its own load, which is out of date by a configurable lag.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,14 +6,14 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-/// What `GET /load` shows.
+/// Answer to `GET /load`.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct LoadPage {
-    /// Requests in slots.
+    /// Number of running requests.
     pub(crate) running: usize,
-    /// Requests waiting.
+    /// Number of queued requests.
     pub(crate) waiting: usize,
-    /// Age of these figures, in milliseconds.
+    /// Age of the other values, in milliseconds.
     pub(crate) age_ms: u64,
     /// Whether the engine is leaving.
     pub(crate) leaving: bool,
@@ -26,10 +26,10 @@
     waiting: usize,
 }
 
-/// Longest lag that can be shown; older samples go.
+/// Maximum lag of the report; older samples are removed.
 const LONGEST_LAG: Duration = Duration::from_mins(1);
 
-/// The load over time.
+/// Load of an engine over time.
 #[derive(Default)]
 pub(crate) struct LoadHistory {
     samples: VecDeque<LoadSample>,
@@ -37,7 +37,7 @@
 }
 
 impl LoadHistory {
-    /// Notes the load now.
+    /// Records the current load.
     pub(crate) fn record(&mut self, running: usize, waiting: usize, now: Instant) {
         if self
             .samples
@@ -60,23 +60,27 @@
         }
     }
 
-    /// Stops, or starts again, the report's progress.
+    /// Freezes or unfreezes the report.
     pub(crate) fn freeze(&mut self, frozen: bool, now: Instant) {
         self.frozen_at = frozen.then(|| self.frozen_at.unwrap_or(now));
     }
 
-    /// The load as it was `lag` ago.
+    /// The load `lag` before `now`, or before the report was frozen.
     pub(crate) fn page(&self, lag: Duration, leaving: bool, now: Instant) -> LoadPage {
-        let shown = self
+        let reported_at = self
             .frozen_at
             .unwrap_or(now)
             .checked_sub(lag)
             .unwrap_or(now);
-        let sample = self.samples.iter().rev().find(|sample| sample.at <= shown);
+        let sample = self
+            .samples
+            .iter()
+            .rev()
+            .find(|sample| sample.at <= reported_at);
         LoadPage {
             running: sample.map_or(0, |sample| sample.running),
             waiting: sample.map_or(0, |sample| sample.waiting),
-            age_ms: u64::try_from((now - shown).as_millis()).unwrap_or(u64::MAX),
+            age_ms: u64::try_from((now - reported_at).as_millis()).unwrap_or(u64::MAX),
             leaving,
         }
     }
--- a/standin/src/runs.rs
+++ b/standin/src/runs.rs
@@ -1,80 +1,80 @@
-//! What an engine ran, counted by the engine itself and independent of the router.
+//! Runs of an engine, counted by the engine itself and independently of the router.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-/// How a run ended, or that it has not.
+/// State of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunEnd {
-    /// It is in a slot.
+    /// The run occupies a slot.
     Running,
-    /// Every token was made.
+    /// All tokens were generated.
     Finished,
-    /// The caller closed the connection.
+    /// The caller closed the connection before the end.
     Cancelled,
-    /// The engine crashed.
+    /// The engine crashed during the run.
     Broken,
 }
 
-/// One run: a request that got a slot.
+/// A run: a request that got a slot.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunRecord {
-    /// The request's `x-request-id`; empty when it had none.
+    /// Value of the request's `x-request-id` header; empty if it had none.
     pub request: Box<str>,
     /// Hash of the prompt, see [`crate::answer::prompt_hash`].
     pub prompt: u64,
-    /// The index of the first token that was wanted.
+    /// Index of the first requested token; above 0 if an answer was resumed.
     pub resumed_from: u32,
-    /// Tokens made in this run.
+    /// Number of tokens generated in this run.
     pub tokens: u32,
-    /// How it ended.
+    /// State of the run.
     pub end: RunEnd,
 }
 
-/// Sums over an engine's runs.
+/// Totals over an engine's runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RunTotals {
-    /// Runs that got a slot.
+    /// Number of runs started.
     pub started: u64,
-    /// Runs that made every token.
+    /// Number of runs that generated all tokens.
     pub finished: u64,
-    /// Runs whose caller left.
+    /// Number of runs whose caller disconnected.
     pub cancelled: u64,
-    /// Runs that a crash ended.
+    /// Number of runs that a crash ended.
     pub broken: u64,
-    /// Requests refused without a run.
+    /// Number of requests refused without a run.
     pub refused: u64,
-    /// Tokens made.
+    /// Number of tokens generated.
     pub tokens: u64,
-    /// Tokens made in runs that finished.
+    /// Number of tokens generated in finished runs.
     pub finished_tokens: u64,
-    /// Tokens made in runs whose caller left.
+    /// Number of tokens generated in runs whose caller disconnected.
     pub cancelled_tokens: u64,
-    /// Tokens made in runs that a crash ended.
+    /// Number of tokens generated in runs that a crash ended.
     pub broken_tokens: u64,
-    /// Prompt tokens worked through.
+    /// Number of prompt tokens that needed prefill.
     pub prefill_tokens: u64,
-    /// Prompt tokens that the prefix cache held.
+    /// Number of prompt tokens found in the prefix cache.
     pub cached_tokens: u64,
 }
 
 impl RunTotals {
-    /// Runs in slots now.
+    /// Number of runs that occupy a slot now.
     pub fn running(&self) -> u64 {
         self.started - self.finished - self.cancelled - self.broken
     }
 }
 
-/// The runs of one engine.
+/// Runs of one engine and their totals.
 #[derive(Debug, Default)]
 pub(crate) struct RunLog {
     records: Vec<RunRecord>,
     totals: RunTotals,
 }
 
-/// What `GET /runs` shows.
+/// Answer to `GET /runs`.
 #[derive(Debug, Serialize)]
 pub(crate) struct RunPage {
     totals: RunTotals,
@@ -83,7 +83,7 @@
 }
 
 impl RunLog {
-    /// A run got a slot; gives its index.
+    /// Records a new run and returns its index.
     pub(crate) fn start(&mut self, request: Box<str>, prompt: u64, resumed_from: u32) -> usize {
         self.totals.started += 1;
         self.records.push(RunRecord {
@@ -96,19 +96,19 @@
         self.records.len() - 1
     }
 
-    /// A run worked through its prompt.
-    pub(crate) fn prefill(&mut self, worked: u32, cached: u32) {
-        self.totals.prefill_tokens += u64::from(worked);
+    /// Records the prefill of a run: the prompt tokens processed and those found in the cache.
+    pub(crate) fn prefill(&mut self, uncached: u32, cached: u32) {
+        self.totals.prefill_tokens += u64::from(uncached);
         self.totals.cached_tokens += u64::from(cached);
     }
 
-    /// A run made a token.
+    /// Records a generated token.
     pub(crate) fn token(&mut self, run: usize) {
         self.records[run].tokens += 1;
         self.totals.tokens += 1;
     }
 
-    /// A run ended.
+    /// Records the end of a run.
     pub(crate) fn end(&mut self, run: usize, end: RunEnd) {
         let record = &mut self.records[run];
         record.end = end;
@@ -131,22 +131,22 @@
         }
     }
 
-    /// A request was refused.
+    /// Records a refused request.
     pub(crate) fn refuse(&mut self) {
         self.totals.refused += 1;
     }
 
-    /// The sums.
+    /// Totals over all runs so far.
     pub(crate) fn totals(&self) -> RunTotals {
         self.totals
     }
 
-    /// Every run so far.
+    /// All runs so far.
     pub(crate) fn records(&self) -> &[RunRecord] {
         &self.records
     }
 
-    /// Runs by request and by prompt.
+    /// Totals, and the number of runs by request and by prompt.
     pub(crate) fn page(&self) -> RunPage {
         let mut by_request = BTreeMap::new();
         let mut by_prompt = BTreeMap::new();
--- a/standin/src/scripted.rs
+++ b/standin/src/scripted.rs
@@ -1,4 +1,4 @@
-//! An upstream that answers each call by a script, byte by byte, well or badly.
+//! An upstream that answers each call by a script of arbitrary bytes, pauses and connection errors.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,33 +17,33 @@
 /// One step of an answer.
 #[derive(Clone, Debug)]
 pub enum ScriptStep {
-    /// Writes bytes.
+    /// Sends bytes.
     Send(Vec<u8>),
-    /// Waits.
+    /// Waits for a time.
     Wait(Duration),
-    /// Closes the connection in good order.
+    /// Closes the connection gracefully.
     Close,
     /// Resets the connection.
     Reset,
-    /// Never answers, and notes when the router closes the connection.
+    /// Never answers, and records when the router closes the connection.
     Hang,
 }
 
-/// A call that arrived.
+/// A received call.
 #[derive(Clone, Debug)]
 pub struct ScriptedCall {
-    /// The request.
+    /// The received request.
     pub request: RawRequest,
-    /// When it arrived.
+    /// Time at which the call arrived.
     pub at: Instant,
-    /// When the router closed its connection before the script had ended.
+    /// Time at which the connection ended during a step; `None` if all steps ended before it.
     pub abandoned_at: Option<Instant>,
 }
 
-/// Chooses the steps for a call; the number counts the upstream's calls from 0.
+/// Returns the steps for a call; the number counts the upstream's calls from 0.
 pub type AnswerScript = Arc<dyn Fn(&RawRequest, usize) -> Vec<ScriptStep> + Send + Sync>;
 
-/// A running scripted upstream.
+/// Handle of a running scripted upstream. Dropping it stops the upstream.
 pub struct ScriptedUpstream {
     address: SocketAddr,
     calls: Arc<Mutex<Vec<ScriptedCall>>>,
@@ -53,7 +53,7 @@
 }
 
 impl ScriptedUpstream {
-    /// Starts one on an address; port 0 takes any free one.
+    /// Starts an upstream on an address; port 0 picks a free port.
     pub async fn start(address: &str, script: AnswerScript) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -87,30 +87,30 @@
         })
     }
 
-    /// Where it listens.
+    /// Listen address, with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// All calls so far.
+    /// All calls received so far.
     pub fn calls(&self) -> Vec<ScriptedCall> {
         lock(&self.calls).clone()
     }
 
-    /// Takes no more connections, as a host that went dark; those that are open stay open.
+    /// Stops accepting connections, like a host that failed. Open connections stay open.
     pub fn stop_accepting(&self) {
         self.closing.notify_one();
     }
 
-    /// Connections that were opened.
+    /// Number of connections accepted so far.
     pub fn connections(&self) -> usize {
         *lock(&self.connections)
     }
 }
 
 async fn serve(mut stream: TcpStream, calls: Arc<Mutex<Vec<ScriptedCall>>>, script: AnswerScript) {
-    let mut held = Vec::new();
-    while let Ok(Some(request)) = read_request(&mut stream, &mut held).await {
+    let mut buffered = Vec::new();
+    while let Ok(Some(request)) = read_request(&mut stream, &mut buffered).await {
         let number = {
             let mut calls = lock(&calls);
             calls.push(ScriptedCall {
@@ -121,7 +121,7 @@
             calls.len() - 1
         };
         for step in script(&request, number) {
-            if !play(&mut stream, step).await {
+            if !execute(&mut stream, step).await {
                 lock(&calls)[number].abandoned_at = Some(Instant::now());
                 return;
             }
@@ -129,8 +129,8 @@
     }
 }
 
-/// Plays a step. Gives false once the connection is over.
-async fn play(stream: &mut TcpStream, step: ScriptStep) -> bool {
+/// Executes a step. Returns false once the connection has ended.
+async fn execute(stream: &mut TcpStream, step: ScriptStep) -> bool {
     match step {
         ScriptStep::Send(bytes) => stream.write_all(&bytes).await.is_ok(),
         ScriptStep::Wait(time) => {
@@ -141,18 +141,18 @@
             }
         }
         ScriptStep::Close => {
-            // Either way the connection is over.
+            // The connection ends even if this fails.
             let _ = stream.shutdown().await;
             false
         }
         ScriptStep::Reset => {
-            // Without it the close would be in good order, which the test then shows.
+            // If this fails, the connection is closed gracefully, and the test fails.
             let _ = stream.set_zero_linger();
             false
         }
         ScriptStep::Hang => {
             let mut byte = [0];
-            // Any end of the connection ends the wait.
+            // Any end of the connection ends the step.
             let _ = stream.read(&mut byte).await;
             false
         }
--- a/standin/src/server.rs
+++ b/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! A listening HTTP server that can be closed hard, and opened again on the same port.
+//! HTTP server that can be closed abruptly and reopened on the same port.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,16 +9,16 @@
 use tokio::net::{TcpListener, TcpSocket, lookup_host};
 use tokio::task::JoinHandle;
 
-/// Locks a mutex whose holder cannot have left it half changed.
+/// Locks a mutex. A poisoned one is used anyway, as no holder can leave its value inconsistent.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Connections waiting to be accepted.
+/// Maximum number of connections in the listening socket's accept queue.
 const BACKLOG: u32 = 1024;
 
-/// Listens on a port. Accepted connections inherit `TCP_NODELAY`: otherwise a token waits for the
-/// acknowledgement of the one before.
+/// Opens a listening socket. Accepted connections inherit `TCP_NODELAY`; without it each token of a
+/// stream would wait for the TCP acknowledgement of the previous one.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -30,7 +30,7 @@
     socket.listen(BACKLOG)
 }
 
-/// A server on a fixed address.
+/// An HTTP server on a fixed address.
 pub(crate) struct HttpServer {
     address: SocketAddr,
     listener: Mutex<Option<TcpListener>>,
@@ -38,7 +38,7 @@
 }
 
 impl HttpServer {
-    /// Takes the port; port 0 takes any free one.
+    /// Binds an address; port 0 picks a free port.
     pub(crate) async fn bind(address: &str) -> io::Result<Self> {
         let address = lookup_host(address).await?.next();
         let listener = listen(address.ok_or(io::ErrorKind::InvalidInput)?)?;
@@ -49,36 +49,36 @@
         })
     }
 
-    /// The address that was taken.
+    /// Bound address, with the actual port.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Serves every path with `handler`; takes the port again if it was closed.
+    /// Serves every path with `handler`. Rebinds the port if it was closed.
     pub(crate) fn open(&self, handler: impl Handler) -> io::Result<()> {
-        let held = lock(&self.listener).take();
-        let listener = match held {
+        let bound = lock(&self.listener).take();
+        let listener = match bound {
             Some(listener) => listener,
             None => listen(self.address)?,
         };
         let acceptor = TcpAcceptor::try_from(listener)?;
         let router = Router::with_path("{**path}").goal(handler);
         let task = tokio::spawn(async move {
-            // An accept loop that fails shows as a refused connection.
+            // If the server fails, clients see refused connections.
             let _ = Server::new(acceptor).try_serve(router).await;
         });
         *lock(&self.task) = Some(task);
         Ok(())
     }
 
-    /// Begins to drop every connection and to free the port.
+    /// Starts closing all connections and the port, without waiting for it.
     pub(crate) fn abort(&self) {
         if let Some(task) = lock(&self.task).as_ref() {
             task.abort();
         }
     }
 
-    /// Drops every connection and frees the port.
+    /// Closes all connections and the port.
     pub(crate) async fn close(&self) {
         let task = lock(&self.task).take();
         let Some(task) = task else {
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service: echoes what it is sent, and counts runs by idempotency key.
+//! Stand-in of a plain service: echoes requests and counts runs by idempotency key.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -18,14 +18,14 @@
 use crate::reply::{JsonReply, LEAVING, read_json, read_text};
 use crate::server::{HttpServer, lock};
 
-/// What a service is like.
+/// Settings of a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceSettings {
-    /// Its name, which it puts into every answer.
+    /// Name of the service, included in every answer.
     pub name: Box<str>,
-    /// Time that a request takes.
+    /// Duration of a request.
     pub work: Duration,
-    /// Requests at a time; others wait.
+    /// Maximum number of requests that run at the same time; others wait.
     pub slots: usize,
 }
 
@@ -49,7 +49,7 @@
     by_body: BTreeMap<u64, u32>,
 }
 
-/// Hash of a request body, by which runs are counted.
+/// Hash of a request body, the key of [`ServiceHandle::runs_by_body`].
 pub fn body_hash(body: &str) -> u64 {
     xxh3_64(body.as_bytes())
 }
@@ -87,7 +87,7 @@
             return;
         };
         sleep(Duration::from_millis(pause)).await;
-        // A port that was taken meanwhile leaves the service down.
+        // If the port has been taken in the meantime, the service stays down.
         let _ = self.open();
     }
 
@@ -109,9 +109,9 @@
         }
     }
 
-    /// Runs a request; whether its response is to be lost.
+    /// Runs a request and returns whether its response has to be dropped.
     async fn run(&self, key: Option<Box<str>>, body: u64) -> bool {
-        let _presence = Presence::enter(self);
+        let _guard = RunningGuard::new(self);
         // The semaphore is never closed.
         let _slot = self.slots.acquire().await;
         let slow = {
@@ -131,19 +131,19 @@
     }
 }
 
-/// Counts a request as present until it is dropped.
-struct Presence<'a> {
+/// Counts a request as running or waiting until it is dropped.
+struct RunningGuard<'a> {
     service: &'a Service,
 }
 
-impl<'a> Presence<'a> {
-    fn enter(service: &'a Service) -> Self {
+impl<'a> RunningGuard<'a> {
+    fn new(service: &'a Service) -> Self {
         lock(&service.state).running += 1;
         Self { service }
     }
 }
 
-impl Drop for Presence<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         lock(&self.service.state).running -= 1;
     }
@@ -207,12 +207,12 @@
     }
 }
 
-/// A running service; dropping it stops the service.
+/// Handle of a running service. Dropping it stops the service.
 pub struct ServiceHandle {
     service: Arc<Service>,
 }
 
-/// Starts a service on `address` ("127.0.0.1:0" takes any free port).
+/// Starts a service on `address` ("127.0.0.1:0" picks a free port).
 pub async fn start(address: &str, settings: ServiceSettings) -> io::Result<ServiceHandle> {
     let service = Arc::new(Service {
         slots: Semaphore::new(settings.slots),
@@ -225,48 +225,48 @@
 }
 
 impl ServiceHandle {
-    /// Where it listens.
+    /// Listen address, with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.service.server.address()
     }
 
-    /// Replaces the faults.
+    /// Replaces the faults in effect.
     pub fn set_faults(&self, faults: ServiceFaults) {
         self.service.set_faults(faults);
     }
 
-    /// Drops every connection and closes the port.
+    /// Closes all connections and the port.
     pub async fn crash(&self) {
         self.service.server.close().await;
     }
 
-    /// Opens the port again after a crash.
+    /// Reopens the port after a crash.
     pub async fn restart(&self) -> io::Result<()> {
         self.service.server.close().await;
         self.service.open()
     }
 
-    /// Runs by idempotency key.
+    /// Number of runs by idempotency key; runs without a key are not included.
     pub fn runs_by_key(&self) -> BTreeMap<Box<str>, u32> {
         lock(&self.service.state).by_key.clone()
     }
 
-    /// Runs by the hash of their body, see [`body_hash`].
+    /// Number of runs by the hash of their body, see [`body_hash`].
     pub fn runs_by_body(&self) -> BTreeMap<u64, u32> {
         lock(&self.service.state).by_body.clone()
     }
 
-    /// Requests that were refused.
+    /// Number of refused requests.
     pub fn refused(&self) -> u64 {
         lock(&self.service.state).refused
     }
 
-    /// Runs in all.
+    /// Total number of runs.
     pub fn runs(&self) -> u64 {
         lock(&self.service.state).runs
     }
 
-    /// Stops it for good.
+    /// Stops the service permanently.
     pub async fn stop(self) {
         self.service.server.close().await;
     }
--- a/standin/src/weights.rs
+++ b/standin/src/weights.rs
@@ -7,7 +7,7 @@
 
 use crate::server::lock;
 
-/// Hands out bytes at a limited rate, first come first served.
+/// Store with a limited read rate. Reads are served one after another, in order of arrival.
 #[derive(Clone, Debug)]
 pub struct WeightStore {
     bytes_per_second: f64,
@@ -15,7 +15,7 @@
 }
 
 impl WeightStore {
-    /// A store that gives this many bytes a second to all engines together.
+    /// Creates a store with a read rate in bytes per second, shared by all engines.
     pub fn new(bytes_per_second: f64) -> Self {
         Self {
             bytes_per_second,
--- a/standin/tests/standins/engine.rs
+++ b/standin/tests/standins/engine.rs
@@ -1,4 +1,4 @@
-//! The model engine over real sockets.
+//! Tests of the model engine over real sockets.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use monsoonbank_standin::weights::WeightStore;
 use serde_json::json;
 
-use crate::support::{LOOPBACK, chat, fast_engine, get, post, streamed_text, until};
+use crate::support::{LOOPBACK, chat, fast_engine, get, post, streamed_text, wait_until};
 
 async fn start(settings: EngineSettings) -> (EngineHandle, String) {
     let engine = engine::start(LOOPBACK, settings).await.expect("a port");
@@ -19,7 +19,7 @@
 }
 
 cases! {
-    whole_answer_follows_from_the_prompt => {
+    the_prompt_determines_the_whole_answer => {
         let (engine, url) = start(fast_engine()).await;
         let body = chat("tag this envelope", &json!({ "max_tokens": 7 }));
         let answer = post(&format!("{url}/v1/chat/completions"), "a", &body).await.unwrap();
@@ -32,7 +32,7 @@
         assert_eq!(runs[0].prompt, prompt_hash("tag this envelope"));
     }
 
-    stream_resumes_behind_the_skipped_tokens => {
+    stream_resumes_after_the_skipped_tokens => {
         let (_engine, url) = start(fast_engine()).await;
         let extra = json!({
             "max_tokens": 9, "resume_tokens": 4, "stream": true,
@@ -81,9 +81,9 @@
                 while parts.next().await.is_some() {}
             });
             let before = engine.totals();
-            until("the run started", || engine.totals().tokens > before.tokens).await;
+            wait_until("the run started", || engine.totals().tokens > before.tokens).await;
             call.abort();
-            until("the run was cancelled", || engine.totals().cancelled > before.cancelled).await;
+            wait_until("the run was cancelled", || engine.totals().cancelled > before.cancelled).await;
         }
         assert_eq!(engine.totals().finished, 0);
     }
@@ -101,14 +101,14 @@
         }
         let seen = String::from_utf8(seen).unwrap();
         assert_eq!(streamed_text(&seen), (answer_part("lease", 0, 3), false));
-        until("the run broke", || engine.totals().broken == 1).await;
+        wait_until("the run broke", || engine.totals().broken == 1).await;
         assert!(post(&path, "b", &body).await.unwrap_err().is_connect());
         engine.restart().await.unwrap();
         let again = post(&path, "b", &body).await.unwrap().text().await.unwrap();
         assert_eq!(streamed_text(&again), (expected_answer("lease", 50), true));
     }
 
-    refusal_says_that_nothing_ran => {
+    refusal_states_that_the_request_was_not_run => {
         let (engine, url) = start(EngineSettings { slots: 1, queue: 0, ..fast_engine() }).await;
         let path = format!("{url}/v1/completions");
         let busy = {
@@ -116,7 +116,7 @@
             let path = path.clone();
             tokio::spawn(async move { post(&path, "a", &body).await })
         };
-        until("the slot is taken", || engine.totals().started == 1).await;
+        wait_until("the slot is taken", || engine.totals().started == 1).await;
         let body = json!({ "model": "small", "prompt": "b", "max_tokens": 1 });
         let full = post(&path, "b", &body).await.unwrap();
         assert_eq!((full.status().as_u16(), &full.headers()["x-not-run"]), (503, &"true".parse().unwrap()));
@@ -124,7 +124,7 @@
         assert!(engine.runs().iter().all(|run| &*run.request != "b"));
     }
 
-    shared_prefix_is_worked_through_once => {
+    shared_prefix_needs_prefill_once => {
         let (engine, url) = start(fast_engine()).await;
         let prefix = "building log ".repeat(100);
         for tail in ["gate", "lift"] {
@@ -142,7 +142,7 @@
         assert_eq!(rest, json!({ "next": next, "events": [] }));
     }
 
-    old_order_is_refused_only_by_an_engine_that_checks => {
+    outdated_order_is_refused_only_by_an_engine_that_checks_fencing => {
         for checks_fencing in [true, false] {
             let weights = Some(WeightStore::new(1e9));
             let (engine, url) =
@@ -153,11 +153,11 @@
             assert_eq!(new.status(), 200);
             let old = post(&path, "", &json!({ "fencing": 6, "order": order })).await.unwrap();
             assert_eq!(old.status() == 409, checks_fencing);
-            until("the model is loaded", || engine.models().contains(&"large".into())).await;
+            wait_until("the model is loaded", || engine.models().contains(&"large".into())).await;
         }
     }
 
-    frozen_engine_answers_after_it_thaws => {
+    frozen_engine_answers_after_it_is_unfrozen => {
         let (engine, url) = start(fast_engine()).await;
         engine.set_faults(EngineFaults { frozen: true, ..EngineFaults::default() });
         let path = format!("{url}/v1/chat/completions");
--- a/standin/tests/standins/platform.rs
+++ b/standin/tests/standins/platform.rs
@@ -1,4 +1,4 @@
-//! The plain service, the log and the host list over real sockets.
+//! Tests of the plain service, the log and the host list over real sockets.
 
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
         assert_eq!(service.runs_by_body(), [(service::body_hash("open"), 2)].into());
     }
 
-    log_keeps_order_and_says_what_is_gone => {
+    log_keeps_order_and_reports_truncated_offsets => {
         let (_log, url) = start_log(LogSettings { retention: 3, ..LogSettings::default() }).await;
         for number in 0..5 {
             let answer = post(&format!("{url}/append"), "", &json!({ "n": number })).await.unwrap();
@@ -68,7 +68,7 @@
         assert_eq!(poll.await.unwrap()["end"], 1);
     }
 
-    lost_response_stands_and_an_outage_appends_nothing => {
+    append_with_a_lost_response_takes_effect_and_one_during_an_outage_does_not => {
         let (log, url) = start_log(LogSettings::default()).await;
         let append = format!("{url}/append");
         log.set_faults(LogFaults { lose_responses: 1, ..LogFaults::default() });
@@ -88,7 +88,7 @@
         assert_eq!(log.records().len(), 1);
     }
 
-    host_list_lags_and_can_go_stale => {
+    host_list_lags_and_can_be_stale => {
         let lag = Duration::from_millis(100);
         let hosts = hosts::start(LOOPBACK, HostSettings { lag }).await.unwrap();
         let url = format!("http://{}/hosts", hosts.address());
--- a/standin/tests/standins/support.rs
+++ b/standin/tests/standins/support.rs
@@ -1,4 +1,4 @@
-//! Helpers of the stand-ins' tests.
+//! Helpers for the tests of the stand-ins.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 use reqwest::{Client, Response};
 use serde_json::{Value, json};
 
-/// Any free port.
+/// Loopback address with any free port.
 pub const LOOPBACK: &str = "127.0.0.1:0";
 
-/// Names each case and gives it a runtime.
+/// Turns each named block into an asynchronous test.
 macro_rules! cases {
     ($($name:ident => $body:block)*) => {
         $(#[tokio::test(flavor = "multi_thread", worker_threads = 2)] async fn $name() $body)*
     };
 }
 
-/// An engine fast enough for tests.
+/// Settings of an engine that is fast enough for tests.
 pub fn fast_engine() -> EngineSettings {
     EngineSettings {
         models: vec!["small".into()],
@@ -29,7 +29,7 @@
     }
 }
 
-/// A chat request of one message.
+/// A chat request with one message and additional fields.
 pub fn chat(prompt: &str, extra: &Value) -> Value {
     let mut body = json!({
         "model": "small",
@@ -57,7 +57,7 @@
     response.json().await.expect("JSON")
 }
 
-/// The joined tokens of an event stream, and whether it came to its end.
+/// The joined tokens of an event stream, and whether its end marker was received.
 pub fn streamed_text(events: &str) -> (String, bool) {
     let mut text = String::new();
     let mut done = false;
@@ -77,13 +77,13 @@
     (text, done)
 }
 
-/// Waits until the condition holds.
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds; panics after 30 s.
+pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     for _ in 0..3000 {
         if holds() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("never happened: {what}");
+    panic!("timed out waiting until {what}");
 }
