--- a/kernel/src/gateway.rs
+++ b/kernel/src/gateway.rs
@@ -1,7 +1,8 @@
-//! Decisions of a node that passes calls on unchanged: which rule a call falls under, which upstream
-//! takes it, whether it may be tried again and what its end means.
+//! Decisions of a node that forwards calls unchanged: which rule a call matches, which upstream
+//! gets it, whether it may be retried and what the end of an attempt means for the call.
 //!
-//! Every part is a plain value that is told the time; the daemon's gateway owns the sockets.
+//! Every part is a plain value whose methods take the current time as an argument; the daemon's
+//! gateway owns the sockets.
 
 pub mod budget;
 pub mod cache;
--- a/kernel/src/gateway/cache.rs
+++ b/kernel/src/gateway/cache.rs
@@ -1,7 +1,7 @@
-//! Which parts of prompts an engine keeps in its KV cache, as far as this node knows.
+//! Estimate of the prompt parts that an engine has in its KV cache, as far as this node knows.
 //!
-//! Engines drop what was used least lately once they need the room, so a part stays until as many
-//! tokens as the cache has room for were taken in after its last use: seconds under load, minutes
+//! Engines evict the least recently used tokens when they need space, so a part stays cached until
+//! as many tokens as the cache holds were added after its last use: seconds under load, minutes
 //! without.
 
 use std::collections::BTreeMap;
@@ -9,65 +9,68 @@
 
 use crate::gateway::prompt::PromptShape;
 
-/// Time after which a part is no longer counted on, whatever else the engine took in: its use by
-/// nodes whose heartbeats were lost is not known.
+/// Time after its last use after which a part is no longer assumed to be cached, whatever the
+/// engine added since: other nodes' heartbeats may have been lost.
 const LONGEST_KEPT: Duration = Duration::from_mins(1);
-/// Part of the room in the cache that is counted on. What calls generate and what lost heartbeats told
-/// of takes room too.
+/// Share of the cache that is assumed to be available for parts. Generated tokens, and prompts in
+/// lost heartbeats, occupy space too.
 const COUNTED_PART: f64 = 0.9;
-/// Parts that are remembered before old ones are dropped: bounds memory to some 100 kB an engine.
+/// Number of recorded parts above which old ones are removed: limits memory to some 100 kB per
+/// engine.
 const MOST_PARTS: usize = 4096;
 
-/// An engine's cache at a moment.
+/// Time and occupancy at which a cache is examined.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheMoment {
-    /// Now.
+    /// Current time.
     pub now: Duration,
-    /// Tokens that running calls may come to hold.
+    /// Maximum number of tokens that running calls may occupy.
     pub held_tokens: u32,
 }
 
-/// What an engine keeps of prompts.
+/// Estimate of the prompt parts that an engine has cached.
 #[derive(Clone, Debug, Default)]
 pub struct PromptCache {
     parts: BTreeMap<u64, PartUse>,
-    /// Tokens that the cache holds; none until a call tells.
+    /// Size of the cache in tokens; `None` until a call gives it.
     size: Option<u64>,
-    /// Tokens that calls of this node made it take in.
+    /// Tokens that calls of this node added to the cache.
     own_taken: u64,
-    /// Tokens that calls of all nodes made it take in.
+    /// Tokens that calls of all nodes added to the cache.
     taken: u64,
     others_taken: BTreeMap<Box<str>, u64>,
 }
 
 impl PromptCache {
-    /// A call of this node makes an engine, whose cache holds `size` tokens, take `tokens` in.
+    /// Records that a call of this node adds `tokens` to the cache of an engine, which holds `size`
+    /// tokens.
     pub fn take(&mut self, tokens: u32, size: u64) {
         self.size = Some(size);
         self.own_taken += u64::from(tokens);
         self.taken += u64::from(tokens);
     }
 
-    /// Tokens that calls of this node made it take in so far.
+    /// Number of tokens that calls of this node have added to the cache.
     pub fn own_taken(&self) -> u64 {
         self.own_taken
     }
 
-    /// Tokens that calls of all nodes made it take in, since this node first heard of each.
+    /// Number of tokens that calls of all nodes have added to the cache, since this node's first
+    /// report from each.
     pub fn taken(&self) -> u64 {
         self.taken
     }
 
-    /// Another node's report of how much its calls made it take in so far. What came before its first
-    /// report is no news; after a new start of the node it counts from nothing.
+    /// Records another node's report of the number of tokens that its calls have added. The count
+    /// in its first report is not added here; after a restart the node counts from zero.
     pub fn heard(&mut self, node: &str, taken: u64) {
         let before = self.others_taken.insert(node.into(), taken);
         let before = before.unwrap_or(taken);
         self.taken += taken.checked_sub(before).unwrap_or(taken);
     }
 
-    /// A part was used by a call now; the engine has read it at `read_at` unless it kept it before.
-    /// Gives whether it was not known to be kept.
+    /// Records that a call uses a part now; the engine has prefilled it at `read_at` unless it was
+    /// cached before. Returns whether it was not known to be cached.
     pub fn note(&mut self, part: u64, read_at: Duration, moment: CacheMoment) -> bool {
         let kept = self.parts.get(&part).copied();
         let kept = kept.filter(|old| self.keeps(old, moment));
@@ -86,13 +89,13 @@
         kept.is_none()
     }
 
-    /// Tokens of the prompt's shared parts that the engine keeps or will have read before it comes
-    /// to a call that is sent now: a part is kept together with all before it.
+    /// Number of tokens of the prompt's shared parts that the engine has cached or will have
+    /// prefilled before a call that is sent now: a part is cached together with all before it.
     pub fn kept_tokens(&self, prompt: &PromptShape, moment: CacheMoment) -> u32 {
         self.tokens_up_to(prompt, |part| self.keeps(part, moment))
     }
 
-    /// Tokens of them that are read already, so that others can fetch them.
+    /// Number of such tokens that are prefilled already, so that other engines can fetch them.
     pub fn read_tokens(&self, prompt: &PromptShape, moment: CacheMoment) -> u32 {
         self.tokens_up_to(prompt, |part| {
             part.read_at <= moment.now && self.keeps(part, moment)
@@ -114,7 +117,7 @@
         part.at + LONGEST_KEPT > moment.now && after <= self.room(moment)
     }
 
-    /// Tokens that the cache keeps beside what running calls hold.
+    /// Number of tokens that the cache can keep beside those of running calls.
     fn room(&self, moment: CacheMoment) -> u64 {
         let size = self.size.unwrap_or(u64::MAX);
         let room = size.saturating_sub(u64::from(moment.held_tokens));
@@ -122,8 +125,8 @@
     }
 }
 
-/// When a part of a prompt was used last, from when on it is read, and what the engine had taken in
-/// by that use.
+/// Last use of a prompt part, the time from which on it is prefilled, and the number of tokens that
+/// had been added to the cache by that use.
 #[derive(Clone, Copy, Debug)]
 struct PartUse {
     at: Duration,
--- a/kernel/src/gateway/choice.rs
+++ b/kernel/src/gateway/choice.rs
@@ -1,7 +1,8 @@
-//! Which upstream takes a call, and from which other one it fetches what that keeps of the prompt.
+//! Selects the upstream that gets a call, and the upstream from which it fetches cached parts of
+//! the prompt.
 //!
-//! Costs are in thousandths of the call's own target: a cost of 1,000 is a wait as long as the
-//! target.
+//! Costs are in thousandths of the call's own latency target: a cost of 1,000 is a wait as long as
+//! the target.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,98 +17,103 @@
 use crate::gateway::registry::{Upstream, UpstreamKey, UpstreamRegistry};
 use crate::gateway::room;
 
-/// What one more call in a batch costs each other, in ms: it lengthens each of some hundred steps
-/// by a few hundredths of a ms.
+/// Delay in ms that each call in a batch adds to the others: it lengthens each of some hundred
+/// steps by a few hundredths of a ms.
 const CALL_MS: f64 = 4.0;
-/// Prompt tokens in a row that stretch a tight stream's pause to its bound: a piece is a handful of
-/// tokens, and each waits for a chunk of 2,048 tokens or so.
+/// Consecutive prompt tokens that stretch a tight stream's gap to its bound: an event is a handful
+/// of tokens, and each token waits for a prefill chunk of about 2,048 tokens.
 const STALL_TOKENS: f64 = 12_000.0;
-/// What a tight stream loses by such a pause.
+/// Cost to a tight stream of such a gap.
 const STALL_COST: f64 = 100.0;
-/// What a tight stream loses where engines are not kept for such: prompts that come after it.
+/// Cost to a tight stream on an engine that is not reserved for tight streams: prompts that arrive
+/// later delay it.
 const COMING_COST: f64 = 400.0;
-/// Tight streams that a kept engine is taken to have when it has fewer: those that come.
+/// Minimum number of tight streams that a reserved engine is assumed to have, to account for those
+/// still to arrive.
 const COMING_STREAMS: f64 = 8.0;
-/// What bytes between availability zones cost, against the worth of an answer in time.
+/// Cost of traffic between availability zones, relative to the value of an answer in time.
 const ZONE_COST: f64 = 150.0;
-/// What a call that is sent in vain costs.
+/// Cost of a failed attempt.
 const FAILURE_COST: f64 = 1500.0;
-/// Running share of failures above which a call is more likely lost than answered.
+/// Running share of failures above which a call is more likely to fail than to succeed.
 const LIKELY_LOST: f64 = 0.5;
-/// What a token that is fetched costs, against one that is read.
+/// Cost of fetching a cached token, relative to prefilling it.
 const FETCH_PART: f64 = 0.07;
-/// What a thousand tokens cost that some engine has read and another reads again. A prompt's shared
-/// part of 4,900 is worth as much as the call; being late by one target costs half of that.
+/// Cost of prefilling a thousand tokens that some engine has cached already. A prompt's shared part
+/// of 4,900 tokens is worth as much as the call; being late by one target costs half of that.
 const REREAD_COST: f64 = 250.0;
-/// What a thousand tokens cost that are fetched: a tenth of that.
+/// Cost of fetching a thousand cached tokens: a tenth of `REREAD_COST`.
 const FETCH_COST: f64 = 25.0;
-/// What speaks for the upstream on which all nodes agree when none is known to keep the prompt, for
-/// each thousand shared tokens: without it nodes that get calls at once read them several times.
+/// Bonus, for each thousand shared tokens, of the upstream on which all nodes agree when none is
+/// known to have the prompt cached. Without it, nodes that receive calls at the same time would
+/// have the prompt prefilled several times.
 const HOME_COST: f64 = 50.0;
-/// What speaks against the upstream to which a node leans least. Nodes lean to different ones, so
-/// that they do not all find the same cheapest one between two heartbeats.
+/// Cost of the upstream that this node ranks last. Nodes rank upstreams differently, so that they
+/// do not all select the same cheapest one between two heartbeats.
 const LEAN_COST: f64 = 100.0;
 
-/// Where a call comes from and what it needs.
+/// Origin and requirements of a call, as input to the selection of an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct ChoiceInput<'a> {
-    /// The pool.
+    /// Name of the pool whose upstreams are considered.
     pub pool: &'a str,
-    /// This node's availability zone.
+    /// Availability zone of this node.
     pub zone: &'a str,
-    /// Tells this node from others.
+    /// Hash that identifies this node.
     pub node: u64,
-    /// The other nodes that send calls.
+    /// Hashes of the other nodes that send calls.
     pub rivals: &'a [u64],
-    /// How many of them are silent: each is taken to have as much work everywhere as this node.
+    /// Number of those nodes whose heartbeats stopped: each is assumed to have as much work at
+    /// every upstream as this node.
     pub silent: u32,
-    /// The call's prompt.
+    /// Prompt of the call.
     pub prompt: &'a PromptShape,
-    /// Time within which the first piece of its answer is wanted.
+    /// Target latency of the first event of the answer.
     pub target: Duration,
-    /// Its rank; 0 is the most urgent.
+    /// Tier of the call; 0 is the most urgent.
     pub tier: u8,
-    /// Number of ranks.
+    /// Number of tiers.
     pub tiers: u8,
-    /// Whether its pauses have to be the shortest of its pool.
+    /// Whether the call's stream needs the shortest gaps between events in its pool.
     pub tight: bool,
-    /// Whether it may be sent again if its answer is lost.
+    /// Whether the call may be sent again if its answer is lost.
     pub repeatable: bool,
-    /// Tokens that an engine of the pool keeps; 0 if the pool runs no engines.
+    /// Size of an engine's KV cache in tokens; 0 if the pool runs no engines.
     pub cache_tokens: u64,
-    /// Upstreams that it was sent to already.
+    /// Upstreams that the call was already sent to.
     pub tried: &'a [UpstreamKey],
-    /// Now.
+    /// Current time.
     pub now: Duration,
 }
 
-/// An upstream and what spoke for it.
+/// A selected upstream and the figures behind the selection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UpstreamChoice {
-    /// The upstream.
+    /// Key of the upstream.
     pub key: UpstreamKey,
-    /// Its cost.
+    /// Cost of the call there, in thousandths of its latency target.
     pub cost: f64,
-    /// Prompt tokens that it has to read.
+    /// Prompt tokens that the upstream has to prefill.
     pub unread_tokens: u32,
-    /// Tokens of the prompt's shared parts that it keeps or is about to read.
+    /// Tokens of the prompt's shared parts that the upstream has cached or is about to prefill.
     pub kept_tokens: u32,
-    /// Tokens of them that any upstream does.
+    /// Largest number of such tokens at any upstream of the pool.
     pub known_tokens: u32,
-    /// Prompt tokens that its cache has to take in: what it reads and what it fetches.
+    /// Prompt tokens that are added to the upstream's cache: prefilled and fetched ones.
     pub taken_tokens: u32,
-    /// The upstream that keeps more of the prompt.
+    /// Upstream to fetch cached tokens from; `None` if no other one has more of the prompt cached.
     pub fetch_from: Option<UpstreamKey>,
 }
 
-/// The upstream that has read most of a call's prompt.
+/// Upstream that has the most of a call's prompt cached.
 #[derive(Clone, Copy, Debug)]
 struct PromptKeeper {
     key: UpstreamKey,
     tokens: u32,
 }
 
-/// The cheapest upstream that takes new work, if there is any.
+/// Selects the cheapest upstream that accepts new calls and has capacity for this one; `None` if
+/// there is none. Upstreams that are backed off are used only if no healthy one has capacity.
 pub fn choose(registry: &UpstreamRegistry, input: &ChoiceInput) -> Option<UpstreamChoice> {
     let all: Vec<UpstreamOption> = gate::open_upstreams(registry, input.pool, input.now)
         .map(|(key, upstream)| UpstreamOption {
@@ -155,9 +161,9 @@
     cheapest(&sound).or_else(|| cheapest(&overflow(&resting, input)))
 }
 
-/// Resting upstreams that take what finds no room at sound ones: they lose some answers and give
-/// others. With most of a pool resting, the few others cannot carry its calls. A call that may run
-/// only once goes there if it is more likely answered than not.
+/// Backed-off upstreams that get the calls for which healthy ones have no capacity: they still
+/// answer some calls, and with most of a pool backed off, the few others cannot serve its load. A
+/// call that may run only once goes there if it is more likely to succeed than to fail.
 fn overflow<'a>(
     resting: &[&'a UpstreamOption<'a>],
     input: &ChoiceInput,
@@ -169,20 +175,21 @@
     resting.iter().filter(fits).copied().collect()
 }
 
-/// An upstream and what it is to its pool.
+/// An upstream and its role in its pool for one call.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamPlace<'a> {
-    /// The upstream.
+    /// Upstream and its total work.
     pub option: &'a UpstreamOption<'a>,
-    /// Whether it is kept for tight streams.
+    /// Whether it is reserved for tight streams.
     pub kept: bool,
-    /// Whether all nodes agree on it for the call's prompt.
+    /// Whether all nodes agree on it for the call's prompt while none is known to have it cached.
     pub home: bool,
-    /// How many busy nodes go before this one there.
+    /// Number of sending nodes that rank before this one at this upstream.
     pub rank: usize,
 }
 
-/// Tokens of the prompt's shared parts that some upstream keeps or is about to read.
+/// Largest number of tokens of the prompt's shared parts that any upstream has cached or is about
+/// to prefill.
 fn known_tokens(all: &[UpstreamOption], input: &ChoiceInput) -> u32 {
     let tokens = all.iter().map(|option| kept_tokens(option, input));
     tokens.max().unwrap_or(0)
@@ -218,8 +225,8 @@
     &*option.upstream.entry.zone == input.zone
 }
 
-/// The upstream that all nodes of a zone agree on for the call's last shared part, of those that are
-/// for calls of its kind: the highest hash wins.
+/// Upstream on which all nodes of a zone agree for the call's last shared part, among those for
+/// calls of its kind: the one with the highest hash.
 fn anchor_home(
     all: &[UpstreamOption],
     kept: &BTreeSet<UpstreamKey>,
@@ -285,8 +292,8 @@
     }
 }
 
-/// How many busy nodes go before this one at an upstream: in an order that all nodes find and that
-/// differs from upstream to upstream.
+/// Number of sending nodes that rank before this one at an upstream. All nodes compute the same
+/// order, and it differs from upstream to upstream.
 fn own_rank(upstream: &Upstream, input: &ChoiceInput) -> usize {
     let id = upstream.entry.id.as_bytes();
     let own = xxh3_64_with_seed(id, input.node);
@@ -294,14 +301,14 @@
     input.rivals.iter().filter(before).count()
 }
 
-/// What the call itself waits.
+/// Cost of the call's own wait.
 fn wait_cost(input: &ChoiceInput, total: WorkCount, unread: f64) -> f64 {
     let wait_ms = (f64::from(total.prompt_tokens) + unread) / TOKENS_PER_MS
         + CALL_MS * f64::from(total.calls);
     wait_ms / input.target.as_secs_f64().max(0.001)
 }
 
-/// What tight streams lose by prompts that are read beside them, now and in the time to come.
+/// Cost to tight streams of prompts that are prefilled beside them, now and later.
 fn stall_cost(place: UpstreamPlace, input: &ChoiceInput, unread: f64) -> f64 {
     let total = place.option.total;
     let pending = (f64::from(total.prompt_tokens) + unread) / STALL_TOKENS;
--- a/kernel/src/gateway/crashes.rs
+++ b/kernel/src/gateway/crashes.rs
@@ -1,9 +1,9 @@
 //! Calls whose content crashes the upstreams that run it.
 //!
-//! A crash takes along every call that is at the upstream, so one crash accuses no one. Content that was
-//! at three runs of upstreams when these broke off is quarantined: no node sends it any more, but for a
-//! few trials that one node makes. Nodes tell each other what they saw; what they hold is a union, so
-//! reports may come late, twice and in any order.
+//! A crash ends every call at the upstream, so a single crash does not show which call caused it.
+//! Content that was at three runs of upstreams when they crashed is quarantined: no node sends it
+//! any more, except for a few trials that one node makes. Nodes exchange their records and merge
+//! them as a union, so reports may arrive late, twice and in any order.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -14,36 +14,37 @@
 
 use crate::gateway::content::ContentDigest;
 
-/// Runs of upstreams that content may break before it is quarantined.
+/// Crashed runs of upstreams at which content is quarantined.
 pub const MOST_CRASHES: usize = 3;
-/// Runs that are kept for each content: those beyond tell nothing new.
+/// Maximum number of runs recorded for each content; further ones would not change any decision.
 const MOST_RUNS: usize = 8;
-/// Times since the newest crash at which quarantined content is sent once more: a pool that lost all its
-/// upstreams at once accuses calls that do no harm.
+/// Times since the newest crash at which quarantined content is sent once more: if a pool lost all
+/// its upstreams at once, harmless calls are quarantined too.
 const TRIAL_PAUSES: [Duration; 2] = [Duration::from_secs(30), Duration::from_mins(5)];
-/// Time since the newest crash after which quarantined content is sent again.
+/// Time since the newest crash after which a quarantine ends.
 const QUARANTINE_LIFE: Duration = Duration::from_hours(1);
-/// Time since the newest crash after which suspicion is dropped.
+/// Time since the newest crash after which a record below the quarantine threshold expires.
 const SUSPICION_LIFE: Duration = Duration::from_mins(10);
-/// Time for which a change is told: two of the longest pauses between heartbeats.
+/// Time for which a change is sent in heartbeats: two of the longest intervals between heartbeats.
 const NEWS_AGE: Duration = Duration::from_millis(1500);
-/// Changes that one heartbeat tells, some 20 bytes each.
+/// Maximum number of changes in one heartbeat, some 20 bytes each.
 const MOST_NEWS: usize = 8;
-/// Changes by which the next heartbeat's begin further on: fewer than one tells, as some are always told.
+/// Step by which the start of the next heartbeat's changes advances: smaller than `MOST_NEWS`, as
+/// those closest to quarantine are in every heartbeat.
 const NEWS_STEP: usize = MOST_NEWS / 2;
-/// Contents that are kept.
+/// Maximum number of recorded contents.
 const MOST_RECORDS: usize = 4096;
 
-/// What a node knows of content that upstreams crashed under, as others are told.
+/// One node's record of content during whose calls upstreams crashed, as sent to other nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct CrashReport {
-    /// The content.
+    /// Digest of the content.
     pub content: ContentDigest,
-    /// How often it has been cleared.
+    /// Number of times that its quarantine was cleared.
     pub round: u32,
-    /// Trials since then.
+    /// Number of trials since the last clearing.
     pub trials: u8,
-    /// Hashes of the runs of upstreams that broke off under it since then.
+    /// Hashes of the runs of upstreams that crashed during a call with it since the last clearing.
     pub runs: BTreeSet<u64>,
     /// Time since the newest crash or clearing, in ms.
     pub age_ms: u64,
@@ -56,29 +57,30 @@
     }
 }
 
-/// What a report changed.
+/// Effect of a report on this node's records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashNews {
-    /// Nothing.
+    /// The report contained nothing new, or was too old.
     Known,
-    /// More is known of the content, and it is treated as before.
+    /// The record changed, but the content is admitted or rejected as before.
     Noted,
-    /// The content is quarantined from now on.
+    /// The content is newly quarantined.
     Quarantined,
-    /// Quarantined content was answered well.
+    /// The quarantine ended, since a call with the content was answered successfully.
     Cleared,
 }
 
-/// What to do with a call.
+/// Whether a call with given content may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ContentVerdict {
-    /// It may be sent.
+    /// The content is not quarantined; the call may be sent.
     Clear,
-    /// It is quarantined, and this node may send it once to see whether that is right.
+    /// The content is quarantined, and this node may send the call once to test whether it still
+    /// causes a crash.
     Trial,
-    /// It is quarantined.
+    /// The content is quarantined; the call is rejected.
     Quarantined {
-        /// Time until it may be sent again.
+        /// Time until the content may be sent again.
         pause: Duration,
     },
 }
@@ -96,7 +98,8 @@
         self.runs.len() >= MOST_CRASHES
     }
 
-    /// Whether nodes have to agree on it.
+    /// Whether all nodes have to agree on the record: the content is quarantined or was cleared
+    /// before.
     fn is_settled(&self) -> bool {
         self.is_quarantined() || self.round > 0
     }
@@ -115,7 +118,7 @@
         Some(self.changed_at + *pause)
     }
 
-    /// Takes a report in. Gives whether that changed anything but the time.
+    /// Merges a report and returns whether anything but the time changed.
     fn merge(&mut self, report: &CrashReport, at: Duration) -> bool {
         if report.round < self.round {
             return false;
@@ -148,7 +151,7 @@
     }
 }
 
-/// Contents that upstreams crashed under.
+/// Records of contents during whose calls upstreams crashed.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLedger {
     records: BTreeMap<ContentDigest, ContentRecord>,
@@ -158,7 +161,8 @@
 }
 
 impl CrashLedger {
-    /// A connection to this run of an upstream broke while a call with this content was there.
+    /// Records that the connection to this run of an upstream broke during a call with this
+    /// content.
     pub fn crashed(&mut self, content: ContentDigest, run: u64, now: Duration) -> CrashNews {
         let known = self.records.get(&content);
         let report = CrashReport {
@@ -171,7 +175,7 @@
         self.receive(&report, now)
     }
 
-    /// Takes in what another node knows.
+    /// Merges another node's report.
     pub fn receive(&mut self, report: &CrashReport, now: Duration) -> CrashNews {
         let at = now.saturating_sub(Duration::from_millis(report.age_ms));
         let mut record = self
@@ -192,7 +196,8 @@
         }
     }
 
-    /// A call with this content was answered well. Gives whether that ends its quarantine.
+    /// Records that a call with this content was answered successfully. Returns whether that ends
+    /// its quarantine.
     pub fn answered(&mut self, content: ContentDigest, now: Duration) -> bool {
         let Some(record) = self.records.get(&content) else {
             return false;
@@ -212,8 +217,9 @@
         true
     }
 
-    /// What to do with a call. `may_try` says whether this node is the one that makes trials. A trial is
-    /// one send: what follows asks anew.
+    /// Decides whether a call with this content may be sent. `may_try` returns whether this node is
+    /// the one that makes trials. A trial covers one attempt: each further one needs a new
+    /// decision.
     pub fn verdict(
         &self,
         content: ContentDigest,
@@ -237,7 +243,7 @@
         }
     }
 
-    /// A call is sent as a trial.
+    /// Records that a call with this content is sent as a trial.
     pub fn begin_trial(&mut self, content: ContentDigest, now: Duration) {
         let Some(mut record) = self.records.get(&content).cloned() else {
             return;
@@ -246,14 +252,14 @@
         self.put(content, record, now);
     }
 
-    /// Runs of upstreams that broke off under this content.
+    /// Number of runs of upstreams that crashed during a call with this content.
     pub fn crashes(&self, content: ContentDigest) -> usize {
         let record = self.records.get(&content);
         record.map_or(0, |record| record.runs.len())
     }
 
-    /// Reports for the next heartbeat: content that is quarantined or nearly so first, then others in
-    /// turn.
+    /// Recent changes for the next heartbeat, at most `MOST_NEWS`: content closest to or in
+    /// quarantine first, the others in turn.
     pub fn news(&mut self, now: Duration) -> Vec<CrashReport> {
         while self
             .news
@@ -277,7 +283,8 @@
         reports.take(MOST_NEWS).collect()
     }
 
-    /// All that nodes have to agree on.
+    /// Reports on all contents that are quarantined or were cleared, on which all nodes have to
+    /// agree.
     pub fn settled(&self, now: Duration) -> Vec<CrashReport> {
         let settled = self
             .records
@@ -288,18 +295,19 @@
             .collect()
     }
 
-    /// The same for the same settled contents; 0 if there are none.
+    /// Digest of the quarantined and cleared contents, to compare with other nodes; 0 if there are
+    /// none.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Number of contents that are quarantined.
+    /// Number of quarantined contents.
     pub fn quarantined(&self) -> usize {
         let records = self.records.values();
         records.filter(|record| record.is_quarantined()).count()
     }
 
-    /// Forgets what is too old.
+    /// Removes expired records.
     pub fn forget(&mut self, now: Duration) {
         let count = self.records.len();
         self.records.retain(|_, record| record.ends_at() > now);
--- a/kernel/src/gateway/duty.rs
+++ b/kernel/src/gateway/duty.rs
@@ -1,9 +1,10 @@
-//! The lease on the platform's duties: calls that one node at a time may make.
+//! The lease on the platform's duties: requests to the platform that only one node at a time may
+//! send.
 //!
-//! Its records stand in a topic of the platform's log and are appended on condition of where the topic
-//! ends, so a claim that stands was made with all earlier records known. The log may come back from an
-//! older copy, which begins a new *era*: its offsets are then given out again, those of the eras before
-//! count for nothing.
+//! Its records are in a topic of the platform's log. They are appended on condition that the topic
+//! ends at a given offset, so an accepted claim was made with all earlier records known. The log
+//! may be restored from an older copy, which begins a new *era*: offsets are then assigned again,
+//! and those of earlier eras are invalid.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,63 +16,63 @@
 use crate::leases::lease::{HeldLease, LeaseState, LeaseTerms};
 use crate::record::{LeaseHead, LeaseRecord};
 
-/// Part of the lease that its holder leaves unused.
+/// Final part of the lease that its holder does not use, as a margin for clock drift.
 const DRIFT_MARGIN: Duration = Duration::from_millis(300);
-/// Longest time that a call of a duty may be under way. Its connection is reset after that.
+/// Maximum time that a duty's request may be in flight. Its connection is reset after that.
 pub const CALL_FLIGHT: Duration = Duration::from_millis(900);
-/// Time after which a claim without an answer is sent again.
+/// Time after which an unanswered claim is sent again.
 const CLAIM_WAIT: Duration = Duration::from_millis(600);
-/// Bits of a position that are the offset: 4 billion records in an era, and 2 million eras in the
-/// integers that JSON carries exactly.
+/// Bits of a position that contain the offset: 4 billion records in an era, and 2 million eras in
+/// the integers that JSON represents exactly.
 const OFFSET_BITS: u32 = 32;
 
-/// Stands for the holder of a lease whose record is known from heartbeats only.
+/// Placeholder for the holder of a lease whose record was received in heartbeats but not read.
 const NOT_READ: NodeId = NodeId(0);
 
 /// A record of the lease in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyRecord {
-    /// Who claims or renews it.
+    /// Claim or renewal of the lease.
     pub lease: LeaseRecord,
-    /// The era in which it was appended.
+    /// Era in which the record was appended.
     pub era: u64,
-    /// The first window whose usage no earlier era can have reported.
+    /// First usage window that no earlier era can have reported.
     pub first_window: u64,
-    /// Engines that the holder decided on, by pool.
+    /// Number of engines that the holder decided on, by pool.
     pub engines: BTreeMap<Box<str>, u32>,
 }
 
-/// What a read of the topic showed.
+/// Result of reading the topic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyTopic {
-    /// The store's era.
+    /// Era of the store.
     pub era: u64,
-    /// Where the topic ends.
+    /// Offset at which the topic ends.
     pub end: u64,
-    /// The lease's newest record and its offset.
+    /// Offset and content of the lease's newest record; `None` if the topic has none.
     pub newest: Option<(u64, DutyRecord)>,
 }
 
-/// Records to be appended where the topic is known to end.
+/// A record to append if the topic still ends at the known offset.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyClaim {
-    /// Where it ends.
+    /// Offset at which the topic has to end.
     pub at: u64,
-    /// The lease's new record.
+    /// New record of the lease.
     pub record: DutyRecord,
 }
 
-/// Stands for an offset of an era. Positions only grow, also when offsets fall back.
+/// Combines an era and an offset. Positions only increase, even when offsets restart in a new era.
 fn position(era: u64, offset: u64) -> u64 {
     era << OFFSET_BITS | offset
 }
 
-/// The fencing token under a lease; 0 is none's.
+/// Fencing token of a held lease, always above 0, which means no holder.
 fn token_of(held: HeldLease) -> u64 {
     held.claimed + 1
 }
 
-/// What this node knows of the lease on duties. Its times are those of a clock that goes on while the
+/// This node's view of the lease on duties. All times are those of a clock that continues while the
 /// host is suspended.
 #[derive(Clone, Debug)]
 pub struct DutyLease {
@@ -86,8 +87,8 @@
 }
 
 impl DutyLease {
-    /// The lease as a node knows it that starts. `length` is the platform's bound on how soon holders
-    /// may take turns.
+    /// Creates the view of a node that starts. `length` is the platform's lower bound on the time
+    /// between two holders.
     pub fn new(node: NodeId, incarnation: Incarnation, length: Duration) -> Self {
         let terms = LeaseTerms {
             length,
@@ -107,8 +108,9 @@
         }
     }
 
-    /// Takes in the era that any answer of the store shows. Gives whether a new one began: then nothing
-    /// is held, and a whole lease is waited out. `window` is the first that begins after now.
+    /// Records the era shown in any answer of the store and returns whether it is a new one. A new
+    /// era ends a held lease, and a whole lease must pass before the next claim. `window` is the
+    /// first usage window that begins after now.
     pub fn see_era(&mut self, era: u64, window: u64, now: Duration) -> bool {
         if self.era.is_some_and(|known| known >= era) {
             return false;
@@ -121,7 +123,7 @@
         true
     }
 
-    /// Takes in a read of the topic; one of an earlier era counts for nothing.
+    /// Records a read of the topic; one of an earlier era is ignored.
     pub fn see_topic(&mut self, topic: &DutyTopic, now: Duration, random: &mut Pcg64Mcg) {
         if self.era != Some(topic.era) {
             return;
@@ -155,18 +157,19 @@
         self.state.see(&head, node, incarnation, now, random);
     }
 
-    /// Whether the topic has to be read before anything can be appended, or done under a claim.
+    /// Whether the topic has to be read before anything can be appended or the duties be performed
+    /// under a claim.
     pub fn needs_read(&self, now: Duration) -> bool {
         let unread = |held: HeldLease| self.read_back.is_none_or(|at| at < held.claimed);
         self.end.is_none() || self.state.held(now).is_some_and(unread)
     }
 
-    /// Has the lease renewed with the next claim: there is something to write down with it.
+    /// Makes the next claim renew the lease at once, as there is data to persist with it.
     pub fn renew_now(&mut self, now: Duration) {
         self.state.renew_now(now);
     }
 
-    /// The record that claims or renews the lease, if it is time for one.
+    /// Record that claims or renews the lease; `None` if none is due.
     pub fn claim(&mut self, now: Duration) -> Option<DutyClaim> {
         let (era, at) = (self.era?, self.end?);
         let lease = self.state.claim(self.node, self.incarnation, now)?;
@@ -183,7 +186,8 @@
         }
     }
 
-    /// The claim was appended, with other records behind it, so that the topic ends at `end` now.
+    /// Records that the claim was appended, with further records after it, so that the topic now
+    /// ends at `end`.
     pub fn appended(
         &mut self,
         claim: &DutyClaim,
@@ -193,7 +197,7 @@
         random: &mut Pcg64Mcg,
     ) {
         if self.era != Some(era) || claim.record.era != era {
-            // It stands in an era in which it was not made.
+            // The record is in another era than the claim was made for.
             self.end = None;
             return;
         }
@@ -201,55 +205,57 @@
         self.see(claim.at, &claim.record, now, random);
     }
 
-    /// The topic ended elsewhere, so the claim does not stand.
+    /// Records that the claim was rejected because the topic ended at another offset.
     pub fn refused(&mut self) {
         self.end = None;
         self.state.refused();
     }
 
-    /// Has the log read again before anything more is done: a claim without an answer may stand, or may
-    /// stand later; a call that was turned away may have been overtaken by another holder's.
+    /// Requires the log to be read before anything else is done: an unanswered claim may have been
+    /// appended or still be, and a rejected request may mean that another holder took over.
     pub fn read_again(&mut self) {
         self.end = None;
     }
 
-    /// The platform has seen a higher fencing token: nothing is held any more.
+    /// Records that the platform received a higher fencing token, which ends a held lease.
     pub fn fenced(&mut self, now: Duration) {
         self.end = None;
         self.read_back = None;
         self.state.start_over(now);
     }
 
-    /// The fencing token of this node's claim, if it holds the lease; it may not act yet.
+    /// Fencing token of this node's claim if it holds the lease. The node may not send duty
+    /// requests with it yet: see `token`.
     pub fn claimed(&self, now: Duration) -> Option<u64> {
         self.state.held(now).map(token_of)
     }
 
-    /// The fencing token of calls that are sent now, if this node may send any: it holds the lease, has
-    /// read what the holders before it wrote, and the last call of each of them has ended.
+    /// Fencing token for duty requests sent now. `None` unless this node holds the lease, has read
+    /// the records of earlier holders, and the last request of each of them has ended.
     pub fn token(&self, now: Duration) -> Option<u64> {
         let held = self.state.held(now)?;
         let is_free = now >= self.state.quiet_until() && !self.needs_read(now);
         is_free.then_some(token_of(held))
     }
 
-    /// Engines that the holder before this one decided on, by pool, or this one did.
+    /// Number of engines that the previous holder or this one decided on, by pool.
     pub fn engines(&self) -> &BTreeMap<Box<str>, u32> {
         &self.engines
     }
 
-    /// Notes how many engines this holder decides on; the next renewal writes it down.
+    /// Sets the number of engines that this holder decided on for a pool; the next renewal persists
+    /// it.
     pub fn decide_engines(&mut self, pool: &str, total: u32) {
         self.engines.insert(pool.into(), total);
     }
 
-    /// The lease's newest record, as a position in the log; none if none is known.
+    /// Position of the lease's newest record in the log; `None` if none is known.
     pub fn newest(&self) -> Option<u64> {
         self.state.newest()
     }
 
-    /// Takes in the lease's newest record as another node's heartbeat names it. It counts as if it was read
-    /// now, so that a node need not read the log to know how long the lease lasts.
+    /// Records the lease's newest record as received in another node's heartbeat. It counts as if
+    /// it were read now, so a node need not read the log to know when the lease expires.
     pub fn observe(&mut self, newest: u64, window: u64, now: Duration, random: &mut Pcg64Mcg) {
         self.see_era(newest >> OFFSET_BITS, window, now);
         if self.era != Some(newest >> OFFSET_BITS) {
@@ -268,7 +274,7 @@
         self.state.see(&head, node, incarnation, now, random);
     }
 
-    /// The first window whose usage no earlier era can have reported.
+    /// First usage window that no earlier era can have reported.
     pub fn first_window(&self) -> u64 {
         self.first_window
     }
--- a/kernel/src/gateway/fleet.rs
+++ b/kernel/src/gateway/fleet.rs
@@ -1,7 +1,8 @@
-//! The nodes of the fleet, as their own heartbeats and those of others tell them.
+//! Nodes of the fleet, as learned from their own heartbeats and from those of others.
 //!
-//! In each availability zone the few strongest nodes are its *hubs*: every node of the zone sends its
-//! heartbeats to them, they tell all nodes of the zone, and hubs of different zones tell each other.
+//! In each availability zone the few nodes with the largest capacity are its *hubs*: every node of
+//! the zone sends its heartbeats to them, they send theirs to all nodes of the zone, and hubs of
+//! different zones exchange them.
 
 mod callers;
 mod hubs;
@@ -15,34 +16,35 @@
 pub use crate::gateway::fleet::shares::SharedLimit;
 use crate::gateway::heartbeat::{NodeCard, NodeHeartbeat, NodeState, node_hash};
 
-/// Time after which a silent node is no longer named to callers: one heartbeat of a node that has no
-/// calls may be lost.
+/// Time without a heartbeat after which a node is no longer listed for callers: one heartbeat of a
+/// node without calls may be lost.
 pub const SILENT_AFTER: Duration = Duration::from_secs(2);
-/// The same for hubs of other zones, which tell each other in turn if there are many. A node counts as
-/// part of the fleet for as long.
+/// The same for hubs of other zones, which send to each other in turn if there are many. A node
+/// counts as part of the fleet for as long.
 pub const FAR_SILENT_AFTER: Duration = Duration::from_secs(15);
-/// Time after which a node of which nothing is heard, also not of others, is forgotten. Hubs name all
-/// nodes of a zone of some hundred to each other node in less.
+/// Time after which a node that no heartbeat mentions is removed. Hubs advertise all nodes of a
+/// zone of some hundred to each other node in less.
 const FORGOTTEN_AFTER: Duration = Duration::from_mins(1);
-/// Time for which each next hub waits longer before it claims duties.
+/// Delay between the claims of two consecutive hubs for the duties.
 const RANK_STEP: Duration = Duration::from_millis(600);
-/// Time for which hubs have the first turn.
+/// Time for which only hubs claim the duties.
 const HUBS_TURN: Duration = Duration::from_secs(8);
-/// Time between two other nodes, which may be cut off from all hubs or find these cut off from the store.
+/// Mean delay between the claims of two other nodes, which may be cut off from all hubs or find the
+/// hubs cut off from the store.
 const MEMBER_STEP: Duration = Duration::from_millis(250);
-/// Time for which a node that has gone silent is taken to send calls still.
+/// Time for which a node is assumed to send calls after its heartbeats stopped.
 const RIVAL_AGE: Duration = Duration::from_secs(30);
 
-/// Another node.
+/// State of another node.
 #[derive(Clone, Debug)]
 pub struct FleetPeer {
-    /// Its newest heartbeat; only who it is if none came yet.
+    /// Its newest heartbeat; contains only its card if none was received yet.
     pub heartbeat: NodeHeartbeat,
-    /// When that came.
+    /// Time at which its newest heartbeat was received; `None` if none was.
     pub heard_at: Option<Duration>,
-    /// When its own or another node's heartbeat named it last.
+    /// Time at which any heartbeat, its own or another node's, contained its card.
     named_at: Duration,
-    /// Since when this node has told it and expects to hear it.
+    /// Time since when this node has sent it heartbeats and expects some in return.
     expected_since: Option<Duration>,
 }
 
@@ -51,14 +53,14 @@
         self.heard_at.is_some_and(|at| at + age > now)
     }
 
-    /// Whether it was expected to speak and did not.
+    /// Whether heartbeats were expected from it and did not arrive for `age`.
     fn is_silent(&self, age: Duration, now: Duration) -> bool {
         let last = self.expected_since.max(self.heard_at);
         self.expected_since.is_some() && last.is_some_and(|last| last + age <= now)
     }
 
-    /// Whether a card is that of an earlier run. One that speaks while the later run is silent is not:
-    /// its host's time of day was set back.
+    /// Whether a card is from an earlier run and outdated. If the later run is silent it is not:
+    /// then the host's wall clock was set back.
     fn outlasts(&self, card: &NodeCard, now: Duration) -> bool {
         self.heartbeat.card.incarnation > card.incarnation && self.heard_within(SILENT_AFTER, now)
     }
@@ -68,12 +70,12 @@
     }
 }
 
-/// What a heartbeat changed.
+/// Change of a node's state by a heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerNews {
-    /// The node is new or started again.
+    /// The node is new or restarted.
     pub fresh: bool,
-    /// It began to leave.
+    /// The node began to leave.
     pub left: bool,
 }
 
@@ -86,13 +88,13 @@
     store_answered_at: Option<Duration>,
 }
 
-/// The order in which nodes claim duties.
+/// Sort key of the order in which nodes claim the duties.
 fn claim_order(card: &NodeCard) -> (Reverse<u32>, &str) {
     (Reverse(card.capacity), &card.name)
 }
 
 impl FleetView {
-    /// The view of a node that starts now and knows no other.
+    /// Creates the view of a node that starts at `now` and knows no other.
     pub fn new(own: NodeCard, now: Duration) -> Self {
         Self {
             own,
@@ -102,27 +104,28 @@
         }
     }
 
-    /// Who this node is.
+    /// Card of this node.
     pub fn own(&self) -> &NodeCard {
         &self.own
     }
 
-    /// Notes how far this node's process is.
+    /// Sets the state of this node's process.
     pub fn set_state(&mut self, state: NodeState) {
         self.own.state = state;
     }
 
-    /// Notes that the store answered this node.
+    /// Records that the store answered this node.
     pub fn store_answered(&mut self, now: Duration) {
         self.store_answered_at = self.store_answered_at.max(Some(now));
     }
 
-    /// When the store answered any node that this one heard of.
+    /// Time at which the store last answered any node, as far as this one knows; `None` if it knows
+    /// of no answer.
     pub fn store_answered_at(&self) -> Option<Duration> {
         self.store_answered_at
     }
 
-    /// Takes a heartbeat in, with all that it says of other nodes.
+    /// Processes a received heartbeat, including the cards of other nodes in it.
     pub fn heard(&mut self, mut heartbeat: NodeHeartbeat, now: Duration) -> PeerNews {
         if heartbeat.card.name == self.own.name {
             return PeerNews::default();
@@ -164,7 +167,7 @@
         news
     }
 
-    /// Takes in what another node says of one.
+    /// Processes the card of a node in another node's heartbeat.
     fn named(&mut self, card: NodeCard, now: Duration) {
         if card.name == self.own.name {
             return;
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Notes that the nodes at these addresses are told and should be heard.
+    /// Records that heartbeats were sent to these addresses and are expected in return.
     pub fn expect(&mut self, told: &[SocketAddr], now: Duration) {
         let told: BTreeSet<&SocketAddr> = told.iter().collect();
         for peer in self.peers.values_mut() {
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Forgets nodes of which nothing was heard for long.
+    /// Removes nodes that no heartbeat has mentioned for a minute.
     pub fn forget(&mut self, now: Duration) {
         self.peers
             .retain(|_, peer| peer.named_at + FORGOTTEN_AFTER > now);
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Nodes that were heard a moment ago.
+    /// Nodes whose heartbeats arrive.
     pub fn live(&self, now: Duration) -> impl Iterator<Item = &FleetPeer> {
         let peers = self.peers.values();
         peers.filter(move |peer| peer.heard_within(SILENT_AFTER, now))
@@ -221,8 +224,8 @@
         peers.filter(|peer| peer.heartbeat.card.zone == self.own.zone)
     }
 
-    /// Nodes that this one heard itself and may name to others: a node that is gone is not passed
-    /// round for ever.
+    /// Cards that this node may send to others: those of nodes that it received heartbeats from
+    /// itself, so that the card of a stopped node does not circulate for ever.
     pub fn namable(&self, now: Duration) -> Vec<&NodeCard> {
         let heard = |peer: &&FleetPeer| {
             let near = peer.heartbeat.card.zone == self.own.zone;
@@ -233,14 +236,15 @@
         peers.map(|peer| &peer.heartbeat.card).collect()
     }
 
-    /// Nodes of this node's zone that it hears, and itself.
+    /// Number of nodes of this node's zone whose heartbeats arrive, including itself.
     pub fn zone_size(&self, now: Duration) -> u32 {
         let live = self.zone_peers();
         let live = live.filter(|peer| peer.heard_within(FAR_SILENT_AFTER, now));
         1 + live.count() as u32
     }
 
-    /// Nodes of the fleet, as the hubs count them; no fewer than this node knows.
+    /// Number of nodes of the fleet as counted by the hubs, but at least the number that this node
+    /// knows.
     pub fn size(&self, now: Duration) -> u32 {
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         let mut told = 0;
@@ -264,8 +268,8 @@
         }
     }
 
-    /// The nodes that send calls, as numbers that tell them apart. One that has gone silent is among
-    /// them for a while: it may be cut off from here and send all the same.
+    /// Hashes of the other nodes that send calls. A node whose heartbeats stopped is included for a
+    /// while: it may be cut off from this one and still send calls.
     pub fn rivals(&self) -> Vec<u64> {
         let peers = self.peers.values().filter(|peer| peer.sends_calls());
         peers
@@ -273,15 +277,15 @@
             .collect()
     }
 
-    /// How many of them are silent.
+    /// Number of nodes that send calls and whose heartbeats stopped.
     pub fn silent_rivals(&self, now: Duration) -> u32 {
         let peers = self.peers.values().filter(|peer| peer.sends_calls());
         let silent = peers.filter(|peer| !peer.heard_within(SILENT_AFTER, now));
         silent.count() as u32
     }
 
-    /// Time since 1970 at the start of this node's steady clock: the median of what the live nodes and
-    /// this one say, so that a step of some hosts' time of day moves nothing. `own` is this node's.
+    /// Unix time at which this node's monotonic clock was zero: the median of the values from live
+    /// nodes and `own`, that of this node, so that a step of some hosts' wall clocks has no effect.
     pub fn unix_start(&self, own: Duration, now: Duration) -> Duration {
         let told = self.live(now).filter_map(|peer| {
             let unix = Duration::from_millis(peer.heartbeat.unix_ms);
@@ -293,9 +297,9 @@
         starts[starts.len() / 2]
     }
 
-    /// Time without word of a holder after which this node claims duties, beyond `silence`: hubs in their
-    /// order, the strongest first, then the other nodes spread over a time that grows with the fleet, so
-    /// that an outage of the store costs it few calls.
+    /// Time without a notice from a holder after which this node claims the duties, at least
+    /// `silence`: hubs in order of capacity, then the other nodes spread over a time that increases
+    /// with the size of the fleet, so that an outage of the store causes few requests to it.
     pub fn claim_patience(&self, silence: Duration, now: Duration) -> Duration {
         let own = claim_order(&self.own);
         let claimants = self.claimants(now);
@@ -307,7 +311,8 @@
         silence + HUBS_TURN + MEMBER_STEP.mul_f64(draw * f64::from(self.size(now)))
     }
 
-    /// The other node that is the first to claim duties if this one is gone.
+    /// Address of the other node that is first to claim the duties when this one stops; `None` if
+    /// there is none.
     pub fn duty_deputy(&self, now: Duration) -> Option<SocketAddr> {
         let first = self.claimants(now).min_by_key(|card| claim_order(card))?;
         Some(first.peers)
@@ -318,7 +323,7 @@
         live.filter(|card| card.state != NodeState::Leaving)
     }
 
-    /// Every other node that is known, live or not.
+    /// Every other known node, live or not.
     pub fn iter(&self) -> impl Iterator<Item = &FleetPeer> {
         self.peers.values()
     }
--- a/kernel/src/gateway/fleet/callers.rs
+++ b/kernel/src/gateway/fleet/callers.rs
@@ -1,4 +1,5 @@
-//! Which nodes callers are sent to, as hubs say, and which nodes hear of each other's calls.
+//! Determines the nodes that callers are directed to, as hubs advertise them, and the nodes that
+//! receive reports of each other's work.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,7 +10,8 @@
 use crate::gateway::heartbeat::{NodeCard, NodeHeartbeat, NodeState, short_hash};
 
 impl FleetView {
-    /// Nodes of this node's zone, or of all others, that have many calls or are sent them, with the hubs.
+    /// Addresses of the nodes that receive this node's work: of its zone if `near`, else of all
+    /// others, those that have many calls or are listed for callers, and the hubs.
     pub fn call_nodes(&self, near: bool, entries: &[u64], now: Duration) -> Vec<SocketAddr> {
         let in_reach = |zone: &str| (zone == &*self.own.zone) == near;
         let zones: BTreeSet<&str> = self
@@ -45,8 +47,8 @@
         told.into_iter().collect()
     }
 
-    /// Short hashes of the nodes that callers of this zone are sent to, if this node is a hub, which
-    /// hears all of them.
+    /// Short hashes of the nodes that callers of this zone are directed to. Empty unless this node
+    /// is a hub, which receives the heartbeats of all of them.
     pub fn entry_hashes(&self, own: &NodeHeartbeat, now: Duration) -> Vec<u64> {
         if !self.is_hub(now) {
             return Vec::new();
@@ -66,8 +68,9 @@
         entries::entries(live.chain(std::iter::once(own)), zone)
     }
 
-    /// The nodes that callers of a zone are sent to: as the zone's first hub says, or as this node
-    /// knows if it is a hub itself or hears none. If there are none, all that take calls.
+    /// Addresses of the nodes that callers of a zone are directed to: as advertised by the zone's
+    /// first hub, or as this node determines them if it is a hub itself or receives no hub's list.
+    /// If there are none, all nodes that accept calls.
     pub fn callers_nodes(&self, own: &NodeHeartbeat, zone: &str, now: Duration) -> Vec<SocketAddr> {
         let is_own_hub = zone == &*self.own.zone && self.is_hub(now);
         let told = (!is_own_hub).then(|| self.told_entries(zone, now));
--- a/kernel/src/gateway/fleet/hubs.rs
+++ b/kernel/src/gateway/fleet/hubs.rs
@@ -1,7 +1,7 @@
-//! The hubs of each availability zone, and who reads the store.
+//! Determines the hubs of each availability zone and the nodes that read the store.
 //!
-//! Hubs are not elected: each node ranks the nodes that it knows, and passes over those that it
-//! expects to hear and does not. Nodes that disagree for a while tell a few nodes too many.
+//! Hubs are not elected: each node ranks the nodes that it knows, and skips those whose expected
+//! heartbeats do not arrive. While nodes disagree, some heartbeats are sent in excess.
 
 use std::time::Duration;
 
@@ -10,22 +10,24 @@
 use crate::gateway::fleet::{FAR_SILENT_AFTER, FleetView};
 use crate::gateway::heartbeat::{NodeCard, NodeState};
 
-/// Hubs of an availability zone: the loss of two at once leaves one.
+/// Number of hubs of an availability zone: after the loss of two at once, one remains.
 const HUBS: usize = 3;
-/// Time after which a silent hub is passed over by those who tell it: two of its heartbeats may be lost.
+/// Time without a heartbeat after which nodes that send to a hub skip it: two of its heartbeats may
+/// be lost.
 const HUB_SILENT_AFTER: Duration = Duration::from_millis(2500);
-/// Time after which a silent hub no longer reads the store for others: one heartbeat may be lost.
+/// Time without a heartbeat after which a hub no longer counts as a reader of the store: one
+/// heartbeat may be lost.
 const READER_SILENT_AFTER: Duration = Duration::from_millis(1800);
 /// Time without an answer of the store to any node after which the first node that is no hub tries.
-/// Readers ask every 0.7 s, and their news takes a second to reach all.
+/// Readers ask every 0.7 s, and it takes a second until all nodes learn of the answer.
 const STORE_PATIENCE: Duration = Duration::from_secs(3);
-/// Time after which one more does: enough that a whole outage costs few calls, and a store that turns
-/// all hubs away is read again within seconds.
+/// Delay between the tries of two such nodes: long enough that a whole outage causes few requests,
+/// and short enough that a store that rejects all hubs is read again within seconds.
 const STORE_STEP: Duration = Duration::from_millis(500);
 
 impl FleetView {
-    /// The hubs of an availability zone: the strongest of its nodes that are not known to be leaving or
-    /// silent.
+    /// Hubs of an availability zone: those with the largest capacity of its nodes that are not
+    /// known to be leaving or silent.
     pub fn hubs(&self, zone: &str, now: Duration) -> Vec<&NodeCard> {
         let mut ranked = self.ranked(zone, now);
         ranked.truncate(HUBS);
@@ -37,7 +39,7 @@
         self.rank(now).is_some_and(|rank| rank < HUBS)
     }
 
-    /// Whether a number draws this node out of the hubs of all zones.
+    /// Whether rendezvous hashing of a number selects this node among the hubs of all zones.
     pub fn is_drawn(&self, number: u64, now: Duration) -> bool {
         let hubs = self
             .zones()
@@ -47,7 +49,7 @@
         drawn.is_some_and(|hub| hub.name == self.own.name)
     }
 
-    /// The nodes of a zone that are not known to be leaving or silent, the strongest first.
+    /// Nodes of a zone that are not known to be leaving or silent, the largest capacity first.
     pub(super) fn ranked(&self, zone: &str, now: Duration) -> Vec<&NodeCard> {
         let is_own = zone == &*self.own.zone;
         let age = if is_own {
@@ -68,15 +70,15 @@
         nodes
     }
 
-    /// This node's place among those of its zone; none if it leaves.
+    /// Rank of this node within its zone; `None` if it is leaving.
     fn rank(&self, now: Duration) -> Option<usize> {
         let ranked = self.ranked(&self.own.zone, now);
         ranked.iter().position(|card| card.name == self.own.name)
     }
 
-    /// Whether this node reads the store: the first hub of each zone that the store answers does so for
-    /// all. If the store seems to answer no node at all, hubs try, and then one node more after the
-    /// other, since the store may turn just the hubs away.
+    /// Whether this node reads the store. The first hub of each zone that the store answers does so
+    /// for all. If the store seems to answer no node at all, the hubs try, and then further nodes
+    /// one after another, since the store may reject only the hubs.
     pub fn reads_store(&self, now: Duration) -> bool {
         let ranked = self.ranked(&self.own.zone, now);
         let rank = ranked.iter().position(|card| card.name == self.own.name);
--- a/kernel/src/gateway/fleet/shares.rs
+++ b/kernel/src/gateway/fleet/shares.rs
@@ -1,7 +1,7 @@
-//! Which nodes share a limit that an upstream names, and what part each has.
+//! Divides a limit that an upstream advertises among nodes.
 //!
-//! A node may always send one request at once, so a small limit is given to few nodes. These are drawn by
-//! hashing, which gives the same on all nodes.
+//! A node may always send one request at once, so a small limit is divided among few nodes. They
+//! are selected by hashing, which gives the same result on all nodes.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,27 +11,29 @@
 use crate::gateway::fleet::FleetView;
 use crate::gateway::throttle::LimitShare;
 
-/// Requests at once, by all nodes, beyond those of one second: so that a small limit is not one node's.
+/// Burst of all nodes together beyond the requests of one second, so that a small limit is not used
+/// by one node alone.
 const EXTRA_BURST: f64 = 2.0;
-/// Least requests a second that are shared out: without any, the end of a limit of 0 would not show.
+/// Minimum rate, in requests per second, that is divided: with a rate of 0 the end of such a limit
+/// would never be observed.
 const LEAST_RATE: f64 = 0.2;
 
-/// A limit to share.
+/// An upstream's limit to divide among nodes.
 #[derive(Clone, Copy, Debug)]
 pub struct SharedLimit<'a> {
     /// Hash of the upstream's run.
     pub run: u64,
-    /// The upstream's availability zone.
+    /// Availability zone of the upstream.
     pub zone: &'a str,
-    /// Requests a second of all nodes together.
+    /// Requests per second by all nodes together.
     pub per_second: f64,
-    /// Whether the upstream said so lately.
+    /// Whether the upstream advertised it recently.
     pub confirmed: bool,
 }
 
 impl FleetView {
-    /// This node's share of a limit. A zone has a part by its size if each can have one request at once;
-    /// else all of it goes to the upstream's own.
+    /// This node's share of a limit. Each zone gets a part by its size if every zone can send one
+    /// request at once; otherwise the upstream's own zone gets all of it.
     pub fn limit_share(&self, limit: SharedLimit, now: Duration) -> LimitShare {
         let rate = limit.per_second.max(LEAST_RATE);
         let size = f64::from(self.size(now).max(1));
@@ -55,7 +57,7 @@
         self.zone_share(limit.run, rate * part, zone_burst, now)
     }
 
-    /// This node's share of what its zone has.
+    /// This node's share of its zone's part.
     fn zone_share(&self, run: u64, rate: f64, burst: f64, now: Duration) -> LimitShare {
         let nodes = self.ranked(&self.own.zone, now);
         let draw = |name: &str| xxh3_64_with_seed(name.as_bytes(), run);
@@ -71,13 +73,14 @@
         }
     }
 
-    /// Availability zones of all nodes that are known.
+    /// Availability zones of all known nodes.
     pub(super) fn zones(&self) -> BTreeSet<&str> {
         let peers = self.peers.values().map(|peer| &*peer.heartbeat.card.zone);
         peers.chain(std::iter::once(&*self.own.zone)).collect()
     }
 
-    /// Nodes of this node's zone, as its hubs count them; no fewer than this node hears.
+    /// Number of nodes of this node's zone as counted by its hubs, but at least the number whose
+    /// heartbeats arrive here.
     fn own_zone_size(&self, now: Duration) -> u32 {
         let told = self.live(now).map(|peer| &peer.heartbeat);
         let told = told.filter(|heartbeat| heartbeat.card.zone == self.own.zone);
@@ -86,7 +89,7 @@
     }
 }
 
-/// The upstream's availability zone, or the one in its place if no node is there.
+/// Availability zone of the upstream, or the one that replaces it if it has no node.
 fn home_zone<'a>(zones: &BTreeSet<&'a str>, limit: SharedLimit) -> &'a str {
     let draw = |zone: &&&str| {
         let drawn = xxh3_64_with_seed(zone.as_bytes(), limit.run);
--- a/kernel/src/gateway/health.rs
+++ b/kernel/src/gateway/health.rs
@@ -1,30 +1,31 @@
-//! What an upstream's answers say of its health.
+//! Health of an upstream, derived from its answers.
 
 use std::time::Duration;
 
-/// Shortest time for which an upstream is passed over after it failed to answer.
+/// Initial back-off after an upstream failed to answer.
 const FIRST_REST: Duration = Duration::from_millis(500);
-/// Longest such time; an upstream that is back waits no longer than this.
+/// Maximum back-off: an upstream that has recovered gets calls again at the latest after this time.
 const LONGEST_REST: Duration = Duration::from_secs(4);
-/// Running share of failures above which an upstream rests. Sound plain services fail up to a
-/// seventh of their calls.
+/// Running share of failures above which an upstream is backed off. Healthy plain services fail up
+/// to a seventh of their calls.
 const FAILING_SHARE: f64 = 0.5;
 /// Weight of the newest answer in the running share of failures: about the last ten count.
 const NEWEST_WEIGHT: f64 = 0.1;
-/// Failures without an answer between them after which an upstream rests. A sound one that fails a
-/// seventh of its calls does so once in 340.
+/// Consecutive failures after which an upstream is backed off. A healthy one that fails a seventh
+/// of its calls has as many once in 340.
 const FAILED_IN_A_ROW: u32 = 3;
-/// Time for which a trial keeps other calls away unless it ends before: some answers take long.
+/// Maximum time for which a trial call excludes other calls: some answers take long.
 const TRIAL_TIME: Duration = Duration::from_secs(1);
-/// Time for which another node's warning holds: three of its longest pauses between two heartbeats.
+/// Time for which another node's failure report is valid: three of its longest intervals between
+/// heartbeats.
 const WARNING_TIME: Duration = Duration::from_millis(700);
-/// Age up to which an answer shows that a resting upstream still answers some calls: one that went dark
-/// has stopped by then.
+/// Age up to which an answer shows that a backed-off upstream still answers some calls: one that
+/// stopped completely has not answered for longer.
 const SOME_ANSWERS_AGE: Duration = Duration::from_secs(2);
-/// Age up to which an own answer counts for more than another node's warning.
+/// Age up to which an answer to this node outweighs another node's failure report.
 const ANSWER_AGE: Duration = Duration::from_secs(1);
 
-/// Evidence from real calls, this node's own and that of others.
+/// Health of an upstream, from real calls of this node and of others.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamHealth {
     rests: u32,
@@ -37,7 +38,8 @@
 }
 
 impl UpstreamHealth {
-    /// The first piece of a good answer came: it takes calls again.
+    /// Records that the first part of a successful answer arrived: the upstream is no longer backed
+    /// off.
     pub fn answered(&mut self, now: Duration) {
         self.rests = 0;
         self.rest_until = None;
@@ -47,33 +49,36 @@
         self.failed_in_a_row = 0;
     }
 
-    /// A good answer came whole.
+    /// Records that a successful answer arrived whole.
     pub fn succeeded(&mut self, now: Duration) {
         self.answered(now);
         self.failures -= NEWEST_WEIGHT * self.failures;
     }
 
-    /// The upstream failed a call or refused it. One that fails most calls fails them fast, looks
-    /// idle for it and would draw ever more: it rests. Gives whether a rest begins.
+    /// Records that the upstream failed a call or rejected it. An upstream that fails most calls
+    /// fails them fast, so that it looks idle and would attract ever more: it is backed off.
+    /// Returns whether a back-off begins.
     pub fn failed(&mut self, now: Duration) -> bool {
         self.count_failure();
         let failing = self.failures > FAILING_SHARE || self.failed_in_a_row >= FAILED_IN_A_ROW;
         (failing || self.unproven()) && self.rest(now, true)
     }
 
-    /// Its host refused the connection: nothing listens there. Gives whether a rest begins.
+    /// Records that its host refused the connection, since nothing listens on the port. Returns
+    /// whether a back-off begins.
     pub fn unreachable(&mut self, now: Duration) -> bool {
         self.count_failure();
         self.rest(now, true)
     }
 
-    /// No answer came: the connection broke or stayed silent. Gives whether a rest begins.
+    /// Records that no answer arrived: the connection broke or timed out. Returns whether a
+    /// back-off begins.
     pub fn silent(&mut self, now: Duration) -> bool {
         self.count_failure();
         self.rest(now, false)
     }
 
-    /// Another node found it failing or unreachable.
+    /// Records that another node reported it failing or unreachable.
     pub fn warned(&mut self, now: Duration) {
         let fresh_answer = self.answered_at.is_some_and(|at| at + ANSWER_AGE > now);
         if fresh_answer && self.failed_in_a_row == 0 {
@@ -83,42 +88,43 @@
         self.rest_until = self.rest_until.max(Some(now + WARNING_TIME));
     }
 
-    /// A call is sent to it. While it is unproven that call is a trial, and others keep away.
+    /// Records that a call is sent to it. While it is unproven that call is a trial, and no others
+    /// are sent.
     pub fn tried(&mut self, now: Duration) {
         if self.unproven() && !self.resting(now) {
             self.trial_until = Some(now + TRIAL_TIME);
         }
     }
 
-    /// Whether other nodes should hear that it fails: only what was seen here, and not silence,
-    /// which may be this node's own link.
+    /// Whether heartbeats should report it as failing: only for failures observed by this node, and
+    /// not for missing answers, which may be caused by this node's own link.
     pub fn warns(&self, now: Duration) -> bool {
         self.warns_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it is passed over.
+    /// Whether it is backed off.
     pub fn resting(&self, now: Duration) -> bool {
         !self.rest_left(now).is_zero()
     }
 
-    /// How long it is still passed over.
+    /// Time until its back-off ends; zero if it is not backed off.
     pub fn rest_left(&self, now: Duration) -> Duration {
         let until = self.rest_until.max(self.trial_until).unwrap_or(now);
         until.saturating_sub(now)
     }
 
-    /// Whether it has rested and not answered since.
+    /// Whether it has been backed off and not answered since.
     pub fn unproven(&self) -> bool {
         self.rests > 0
     }
 
-    /// Whether it answered a call a moment ago.
+    /// Whether it answered a call recently.
     pub fn answers_some(&self, now: Duration) -> bool {
         self.answered_at
             .is_some_and(|at| at + SOME_ANSWERS_AGE > now)
     }
 
-    /// Running share of calls that failed, from 0 to 1.
+    /// Running share of failed calls, from 0 to 1.
     pub fn failures(&self) -> f64 {
         self.failures
     }
--- a/kernel/src/gateway/heartbeat.rs
+++ b/kernel/src/gateway/heartbeat.rs
@@ -1,5 +1,5 @@
-//! What nodes tell each other several times a second. Each heartbeat replaces the one before, so a lost
-//! one costs a fraction of a second.
+//! Heartbeats that nodes exchange several times a second. Each one replaces the one before, so a
+//! lost one only delays changes by a fraction of a second.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,135 +14,139 @@
 use crate::gateway::throttle::LimitReport;
 use crate::gateway::usage::WindowUsage;
 
-/// Open calls of a node that nodes of other zones are told of. Nodes that callers are not sent to get a
-/// call now and then; if all told all, those that share the load would hear each other seldom.
+/// Number of open calls from which a node reports its work to other zones. Nodes that callers are
+/// not directed to get a call now and then; if all of them reported, the nodes that share the load
+/// would receive each other's reports seldom.
 const MANY_CALLS: u32 = 8;
 
-/// Tells a node from others in what is drawn by hashing.
+/// Hash that identifies a node where nodes are selected by hashing.
 pub fn node_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// Stands for a node in a list: 32 bits, five bytes on the wire.
+/// Short hash that identifies a node in a list: 32 bits, five bytes on the wire.
 pub fn short_hash(name: &str) -> u64 {
     node_hash(name) >> 32
 }
 
-/// How far a node's process is. Each run goes through these in order and never back.
+/// State of a node's process. Each run passes through the states in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum NodeState {
-    /// It lacks a configuration or the registry.
+    /// It has no configuration or no registry yet.
     Starting,
-    /// It takes new calls.
+    /// It accepts new calls.
     Ready,
-    /// It was told to stop.
+    /// It is shutting down.
     Leaving,
 }
 
-/// Who a node is. Written as a bare list: with names of fields it would be twice as long.
+/// Identity and addresses of a node. Serialized as a bare list: field names would double its size.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct NodeCard {
-    /// Its name.
+    /// Name of the node.
     pub name: Box<str>,
-    /// Grows with each start of the node's process.
+    /// Number of this run; increases with each start of the node's process.
     pub incarnation: u64,
-    /// Its availability zone.
+    /// Availability zone of the node.
     pub zone: Box<str>,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where other nodes reach it.
+    /// Address for other nodes.
     pub peers: SocketAddr,
-    /// Open calls that its host can carry.
+    /// Maximum number of open calls that its host can handle.
     pub capacity: u32,
-    /// How far its process is.
+    /// State of its process.
     pub state: NodeState,
 }
 
 impl NodeCard {
-    /// Whether it takes new calls.
+    /// Whether it accepts new calls.
     pub fn is_ready(&self) -> bool {
         self.state == NodeState::Ready
     }
 }
 
-/// What a node says of its work at an upstream. Three bare values, as names would double a heartbeat.
+/// A node's report of its work at an upstream. Three bare values, as field names would double the
+/// size of a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, From, Into, Serialize, Deserialize)]
 #[serde(from = "(u64, WorkCount, u64)", into = "(u64, WorkCount, u64)")]
 pub struct WorkReport {
     /// Hash of the upstream's run.
     pub run: u64,
-    /// Calls that are there.
+    /// Calls in flight there.
     pub count: WorkCount,
-    /// Prompt tokens that its calls made the upstream's cache take in since the node started.
+    /// Prompt tokens that the node's calls added to the upstream's cache since the node started.
     pub taken_tokens: u64,
 }
 
-/// Who holds the duties, as the holder says or others pass on.
+/// Notice of the holder of the duties, sent by the holder and forwarded by others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct HolderNotice {
-    /// The holder's fencing token; grows from holder to holder.
+    /// Fencing token of the holder; increases from holder to holder.
     pub token: u64,
-    /// Where the holder hears other nodes.
+    /// Address on which the holder receives heartbeats.
     pub peers: SocketAddr,
-    /// Where the node hears that is likely to follow: it is told what the holder is told.
+    /// Address of the node that is likely to be the next holder, which receives the same reports as
+    /// the holder; `None` if there is none.
     pub deputy: Option<SocketAddr>,
-    /// Time since the holder said so, in ms.
+    /// Time since the holder sent the notice, in ms.
     pub age_ms: u64,
-    /// The newest record of its lease, as a position in the log.
+    /// Position of the lease's newest record in the log.
     pub renewal: u64,
-    /// The newest window whose usage is written down.
+    /// Newest window whose usage is persisted.
     pub written: u64,
 }
 
-/// What a node says of itself and of others.
+/// A node's report on itself and others.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct NodeHeartbeat {
-    /// Who it is.
+    /// Card of the sender.
     pub card: NodeCard,
-    /// Version of the configuration that it has in force; 0 is none.
+    /// Version of the configuration that it has in force; 0 if none.
     pub version: u64,
     /// Whether the store answers it, as far as it knows.
     pub store_well: bool,
-    /// Time since the store answered any node that it knows of, in ms; none if it knows of no answer.
+    /// Time since the store answered any node that it knows of, in ms; `None` if it knows of no
+    /// answer.
     pub store_age_ms: Option<u64>,
     /// Digest of the upstreams that it knows and of those that left.
     pub registry_digest: u64,
-    /// Whether it has heard no other node and asks for some.
+    /// Whether it has received no heartbeat yet and asks for the cards of others.
     pub seeking: bool,
-    /// Whether it answers one, and is not to be answered.
+    /// Whether it is a reply, which needs no reply itself.
     pub answers: bool,
-    /// Nodes of the fleet that it counts.
+    /// Number of nodes in the fleet, as the sender counts them.
     pub fleet_size: u32,
-    /// Nodes of its availability zone that it counts, if it is a hub; else 0.
+    /// Number of nodes in its availability zone if it is a hub; otherwise 0.
     pub zone_size: u32,
-    /// Short hashes of the nodes that callers of its zone are sent to, if it is a hub.
+    /// Short hashes of the nodes that callers of its zone are directed to, if it is a hub.
     pub entries: Vec<u64>,
-    /// Other nodes that it has heard itself.
+    /// Cards of other nodes that it received heartbeats from itself.
     pub cards: Vec<NodeCard>,
-    /// Its work at upstreams; none if this heartbeat does not tell it.
+    /// Its work at upstreams; `None` if this heartbeat does not report it.
     pub work: Option<Vec<WorkReport>>,
-    /// Hashes of the runs of upstreams that it found failing or unreachable and passes over.
+    /// Hashes of the runs of upstreams that it found failing or unreachable and backs off from.
     pub failing: Vec<u64>,
-    /// Hashes of the runs of upstreams that began to leave a moment ago.
+    /// Hashes of the runs of upstreams that recently began to leave.
     pub departures: Vec<u64>,
-    /// Changes of what it knows of content that upstreams crashed under.
+    /// Recent changes of its records of content that crashes upstreams.
     pub crashes: Vec<CrashReport>,
-    /// Digest of the contents that are quarantined or were; 0 if there are none.
+    /// Digest of the contents that are quarantined or were cleared; 0 if there are none.
     pub crash_digest: u64,
-    /// Limits that upstreams named a moment ago.
+    /// Limits that upstreams advertised recently.
     pub limits: Vec<LimitReport>,
-    /// Parts of prompts that it sent lately, with the hash of the upstream's run.
+    /// Prompt parts in its recent calls, each with the hash of the upstream's run.
     pub parts: Vec<(u64, u64)>,
-    /// Its time of day, in Unix ms; 0 where no duty needs it.
+    /// Its wall-clock time, in Unix ms; 0 where no duty needs it.
     pub unix_ms: u64,
-    /// Who holds the duties, as far as it knows.
+    /// Holder of the duties, as far as it knows.
     pub holder: Option<HolderNotice>,
-    /// Calls by workspace, if it is sent to the holder.
+    /// Calls by workspace; empty unless it is sent to the holder.
     pub usage: Vec<WindowUsage>,
 }
 
 impl NodeHeartbeat {
-    /// A heartbeat that says nothing but who the node is.
+    /// Creates a heartbeat that contains only the sender's card.
     pub fn new(card: NodeCard) -> Self {
         Self {
             card,
@@ -169,23 +173,24 @@
         }
     }
 
-    /// Calls that it has at upstreams.
+    /// Number of its calls in flight at upstreams.
     pub fn open_calls(&self) -> u32 {
         let work = self.work.iter().flatten();
         work.map(|work| work.count.calls).sum()
     }
 
-    /// Whether it has so many calls that others choose worse if they do not hear of them.
+    /// Whether it has so many calls that other nodes select upstreams badly without its reports.
     pub fn sends_many(&self) -> bool {
         self.open_calls() >= MANY_CALLS
     }
 
-    /// Whether it has calls at upstreams, as far as it told.
+    /// Whether it reported calls at upstreams.
     pub fn sends_calls(&self) -> bool {
         self.work.as_ref().is_some_and(|work| !work.is_empty())
     }
 
-    /// Time since the store answered any node that it knows of.
+    /// Time since the store answered any node that the sender knows of; `None` if it knows of no
+    /// answer.
     pub fn store_age(&self) -> Option<Duration> {
         self.store_age_ms.map(Duration::from_millis)
     }
--- a/kernel/src/gateway/load.rs
+++ b/kernel/src/gateway/load.rs
@@ -1,4 +1,4 @@
-//! Work that is at an upstream, as far as this node knows.
+//! Work at an upstream, as far as this node knows.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -8,8 +8,8 @@
 
 use crate::gateway::cache::{CacheMoment, PromptCache};
 
-/// Work of one node at one upstream. In a heartbeat it is four bare numbers: with names, those of sixty
-/// upstreams fill three datagrams instead of one.
+/// Work of one node at one upstream. A heartbeat contains it as four bare numbers: with field
+/// names, the work at sixty upstreams would fill three datagrams instead of one.
 #[derive(
     Clone,
     Copy,
@@ -27,50 +27,52 @@
 )]
 #[serde(from = "(u32, u32, u32, u32)", into = "(u32, u32, u32, u32)")]
 pub struct WorkCount {
-    /// Calls that were sent and have not ended.
+    /// Calls in flight.
     pub calls: u32,
-    /// Streams among them whose pauses have to be the shortest of their pool.
+    /// Streams in flight that need the shortest gaps between events in their pool.
     pub tight_streams: u32,
-    /// Prompt tokens of those that have shown no token yet.
+    /// Prompt tokens of calls whose first token has not arrived.
     pub prompt_tokens: u32,
-    /// Tokens that all of them may come to hold in the KV cache.
+    /// Maximum number of tokens that all calls in flight may occupy in the KV cache.
     pub held_tokens: u32,
 }
 
 /// One call's part of an upstream's work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkItem {
-    /// Prompt tokens that the upstream has to read.
+    /// Prompt tokens that the upstream has to prefill.
     pub unread_tokens: u32,
-    /// Tokens that the call may come to hold.
+    /// Maximum number of tokens that the call may occupy in the KV cache.
     pub held_tokens: u32,
-    /// Whether its pauses have to be the shortest of its pool.
+    /// Whether its stream needs the shortest gaps between events in its pool.
     pub tight: bool,
 }
 
-/// Time after which another node's heartbeat no longer counts: three of its longest pauses.
+/// Time after which another node's report expires: three of the longest intervals between
+/// heartbeats.
 const REPORT_AGE: Duration = Duration::from_millis(1500);
 
-/// Time within which the other nodes of a zone that send calls hear of one: two of their heartbeats.
+/// Time within which the other sending nodes of a zone learn of a call: two heartbeat intervals.
 const UNHEARD_TIME: Duration = Duration::from_millis(100);
 
-/// Prompt tokens that an engine reads in a ms. Only a scale: engines in use read about 50.
+/// Prompt tokens that an engine prefills in a ms. It serves only as a scale: engines in use prefill
+/// about 50.
 pub const TOKENS_PER_MS: f64 = 50.0;
-/// Time from a call's way to an engine to the end of its prompt, beside what the engine reads before
-/// it: its own prompt and some steps.
+/// Time from sending a call to the end of its prefill, in addition to the prefill of prompts queued
+/// before it: its own prompt and some steps.
 const FIRST_STEPS: Duration = Duration::from_millis(200);
-/// All work at an upstream.
+/// All work at an upstream, by this node and by others.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamLoad {
     own: WorkCount,
     others: BTreeMap<Box<str>, (Duration, WorkCount)>,
     sent_at: VecDeque<Duration>,
-    /// What it keeps of prompts.
+    /// Parts of prompts that it has cached.
     pub cache: PromptCache,
 }
 
 impl UpstreamLoad {
-    /// A call was sent.
+    /// Adds a call to this node's work.
     pub fn begin(&mut self, item: WorkItem) {
         self.own += WorkCount {
             calls: 1,
@@ -80,7 +82,7 @@
         };
     }
 
-    /// Notes when a call was sent.
+    /// Records the time at which a call was sent.
     pub fn sent(&mut self, now: Duration) {
         while self
             .sent_at
@@ -92,18 +94,20 @@
         self.sent_at.push_back(now);
     }
 
-    /// Calls that this node sent and of which others may not have heard yet.
+    /// Number of calls that this node sent and that other nodes may not have learned of yet.
     pub fn unheard(&self, now: Duration) -> usize {
         let fresh = |at: &&Duration| **at + UNHEARD_TIME > now;
         self.sent_at.iter().rev().take_while(fresh).count()
     }
 
-    /// The first part of its answer came: its prompt has been read.
+    /// Records that a call's prompt of this many unread tokens was prefilled, as the first part of
+    /// its answer arrived.
     pub fn prompt_read(&mut self, tokens: u32) {
         self.own.prompt_tokens = self.own.prompt_tokens.saturating_sub(tokens);
     }
 
-    /// It ended; its prompt was told as read before.
+    /// Removes a call from this node's work. Its prompt must have been removed with `prompt_read`
+    /// before.
     pub fn end(&mut self, item: WorkItem) {
         self.own.calls = self.own.calls.saturating_sub(1);
         self.own.held_tokens = self.own.held_tokens.saturating_sub(item.held_tokens);
@@ -111,17 +115,17 @@
         self.own.tight_streams = self.own.tight_streams.saturating_sub(tight);
     }
 
-    /// Another node's report of its own work here.
+    /// Records another node's report of its own work at this upstream.
     pub fn heard(&mut self, node: &str, count: WorkCount, now: Duration) {
         self.others.insert(node.into(), (now, count));
     }
 
-    /// This node's work.
+    /// Work of this node.
     pub fn own(&self) -> WorkCount {
         self.own
     }
 
-    /// Work of all nodes whose heartbeat is fresh.
+    /// Work of all nodes whose report has not expired.
     pub fn total(&self, now: Duration) -> WorkCount {
         let fresh = self
             .others
@@ -130,15 +134,15 @@
         fresh.fold(self.own, |sum, (_, count)| sum + *count)
     }
 
-    /// A call with this part of a prompt was sent here: the part is read once the prompts before it
-    /// are. Gives whether it was not known to be kept.
+    /// Records that a call with this prompt part was sent: the part is cached once the prompts
+    /// queued before it are prefilled. Returns whether it was not known to be cached.
     pub fn part_used(&mut self, part: u64, now: Duration) -> bool {
         let total = self.total(now);
         let read_at = now + reading_time(total);
         self.cache.note(part, read_at, moment(total, now))
     }
 
-    /// This part of a prompt has been read here.
+    /// Records that this prompt part has been prefilled here.
     pub fn part_read(&mut self, part: u64, now: Duration) {
         let moment = moment(self.total(now), now);
         self.cache.note(part, now, moment);
--- a/kernel/src/gateway/partition.rs
+++ b/kernel/src/gateway/partition.rs
@@ -1,9 +1,9 @@
-//! Which engines are kept for streams with tight pauses.
+//! Selects the engines that are reserved for tight streams, which need short gaps between events.
 //!
-//! A prompt that is read stretches every step of its batch several times over, so streams beside
-//! a steady flow of long prompts are late however idle the engine looked when they were sent. The
-//! part that is kept follows the streams that there are, zone by zone, and all nodes find the same
-//! engines for the same knowledge.
+//! Prefill of a prompt stretches every step of its batch several times over, so streams that share
+//! an engine with a steady flow of long prompts are late however idle the engine looked when they
+//! were sent. The reserved share follows the number of such streams, zone by zone, and all nodes
+//! with the same information select the same engines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,29 +12,31 @@
 use crate::gateway::load::WorkCount;
 use crate::gateway::registry::{Upstream, UpstreamKey};
 
-/// Part of a kept engine's slots that tight streams fill before one more engine is kept: the rest is
-/// room for a burst until the next heartbeats of other nodes, and for short calls beside them. Less
-/// would let streams hold most of a zone's engines in a surge of long prompts.
+/// Share of a reserved engine's slots that tight streams fill before one more engine is reserved:
+/// the rest is for a burst until the next heartbeats of other nodes, and for short calls beside
+/// them. A lower share would let streams occupy most of a zone's engines in a surge of long
+/// prompts.
 const TIGHT_FILL: f64 = 0.85;
-/// Part of an engine's slots that other calls fill: their long prompts fill its cache before that.
+/// Share of an engine's slots that other calls fill: their long prompts fill its cache before more
+/// slots are taken.
 const OTHER_FILL: f64 = 0.5;
 
-/// An upstream that a call may go to, with all its work.
+/// An upstream that a call may be sent to, with its total work.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamOption<'a> {
-    /// Its key.
+    /// Key of the upstream.
     pub key: UpstreamKey,
-    /// What is known of it.
+    /// State of the upstream.
     pub upstream: &'a Upstream,
-    /// Work of all nodes there.
+    /// Work of all nodes at it.
     pub total: WorkCount,
-    /// Whether it is passed over for now.
+    /// Whether it is backed off after failures.
     pub resting: bool,
 }
 
-/// The engines that are kept for tight streams: in each availability zone with two or more, as
-/// many as its streams fill, at least one and never all. While there are more engines than all calls
-/// fill, those left over are shared out alike: a stream in a smaller batch goes faster.
+/// Engines that are reserved for tight streams: in each availability zone with two or more, as many
+/// as its streams fill, at least one and never all. If there are more engines than all calls fill,
+/// the surplus is shared in proportion, as a stream is faster in a smaller batch.
 pub fn kept_for_tight(options: &[UpstreamOption]) -> BTreeSet<UpstreamKey> {
     let mut zones: BTreeMap<&str, Vec<&UpstreamOption>> = BTreeMap::new();
     for option in options.iter().filter(|option| !option.resting) {
--- a/kernel/src/gateway/registry.rs
+++ b/kernel/src/gateway/registry.rs
@@ -1,4 +1,4 @@
-//! Upstreams as the platform's registry tells them, by incarnation.
+//! Upstreams of the platform's registry, by run.
 
 use std::cell::Cell;
 use std::cmp::Ordering;
@@ -14,26 +14,26 @@
 use crate::gateway::pause::UpstreamPause;
 use crate::gateway::throttle::UpstreamThrottle;
 
-/// An upstream that this process has heard of; never used again for another one.
+/// Identifies one run of an upstream within this process; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UpstreamKey(u32);
 
-/// What an upstream says of itself.
+/// Registry entry that an upstream publishes about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamEntry {
-    /// Names the upstream. Another run of it may have another id or the same.
+    /// Id of the upstream. Another run of it may have another id or the same.
     pub id: Box<str>,
-    /// When this run began, in Unix ms; none if the platform does not tell.
+    /// Start time of this run in Unix ms; `None` if the platform does not report it.
     pub born: Option<u64>,
-    /// The pool it serves.
+    /// Pool that it serves.
     pub pool: Box<str>,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// The availability zone that it stands in.
+    /// Availability zone that it runs in.
     pub zone: Box<str>,
-    /// Calls that it works on at a time.
+    /// Maximum number of calls that it processes at a time.
     pub slots: u32,
-    /// Whether it takes nothing new.
+    /// Whether it accepts no new calls.
     pub leaving: bool,
     /// Whether the platform may reclaim it at any time.
     #[serde(default)]
@@ -41,9 +41,9 @@
 }
 
 impl UpstreamEntry {
-    /// Stands for this run of the upstream in heartbeats between nodes: 32 bits, five bytes on the wire.
-    /// Two of 10,000 upstreams share one with a chance of one in a hundred, which costs a worse
-    /// choice.
+    /// Hash that identifies this run of the upstream in heartbeats between nodes: 32 bits, five
+    /// bytes on the wire. Two of 10,000 upstreams collide with a probability of one in a hundred,
+    /// which only makes the selection of an upstream worse.
     pub fn run_hash(&self) -> u64 {
         xxh3_64_with_seed(self.id.as_bytes(), self.born.unwrap_or(0)) >> 32
     }
@@ -52,25 +52,25 @@
 /// A change of the registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistryChange {
-    /// The upstream's newest entry.
+    /// An entry was added or updated.
     Put(UpstreamEntry),
-    /// The entry of this id is gone.
+    /// The entry with this id was removed.
     Removed(Box<str>),
 }
 
-/// Why an upstream takes nothing new.
+/// Reason why an upstream accepts no new calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum LeavingCause {
-    /// Its entry says so.
+    /// Its registry entry is marked as leaving.
     #[display("draining")]
     Draining,
-    /// An answer of it says so.
+    /// One of its answers announced it.
     #[display("announced")]
     Announced,
-    /// Its entry is gone.
+    /// Its entry was removed.
     #[display("removed")]
     Removed,
-    /// Its entry lapsed while the registry was away and did not come back.
+    /// Its entry expired during an outage of the registry and did not return.
     #[display("lapsed")]
     Lapsed,
     /// Another upstream answers at its address.
@@ -78,47 +78,52 @@
     Replaced,
 }
 
-/// An upstream and all that this node believes of it.
+/// An upstream and this node's state for it.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// What it said last.
+    /// Its newest registry entry.
     pub entry: UpstreamEntry,
-    /// Why it takes nothing new, if so; sticks for its id.
+    /// Reason why it accepts no new calls; `None` if it accepts them. Never cleared for a run,
+    /// except for `Lapsed`.
     pub left: Option<LeavingCause>,
-    /// Since when its entry has been missing without trust in that.
+    /// Time since when its entry has been missing while the registry was not trusted; `None` if it
+    /// is not.
     pub lapsed_at: Option<Duration>,
-    /// Work that is at it.
+    /// Work in flight at it.
     pub load: UpstreamLoad,
-    /// What its answers say of its health.
+    /// Health, derived from its answers.
     pub health: UpstreamHealth,
-    /// The limit that it named.
+    /// Request limit that it advertised.
     pub throttle: UpstreamThrottle,
-    /// The pause that it asked this node for.
+    /// Pause that it requested of this node.
     pub pause: UpstreamPause,
 }
 
-/// Time that an entry, which lapsed while the registry was away, has to come back after the
-/// registry's return. The platform promises about two seconds.
+/// Time after the registry's recovery within which an entry that expired during the outage may
+/// return. The platform guarantees about two seconds.
 pub const RETURN_GRACE: Duration = Duration::from_secs(2);
 
-/// Time for which other nodes are told that an upstream leaves: two of the longest pauses between
-/// heartbeats, so that a lost heartbeat does not matter.
+/// Time for which a departure is sent to other nodes: two of the longest intervals between
+/// heartbeats, so that one heartbeat may be lost.
 const DEPARTURE_AGE: Duration = Duration::from_millis(1500);
-/// Departures that are told at once, five bytes each. More are learnt with the whole registry.
+/// Maximum number of departures in one heartbeat, five bytes each. Others are learned from the
+/// whole registry.
 const MOST_DEPARTURES: usize = 24;
 
-/// Buckets of ids that nodes compare: of 10,000 upstreams some 80 are in each, about 8 kB on the wire.
+/// Number of buckets of ids that nodes compare: each contains some 80 of 10,000 upstreams, about 8
+/// kB on the wire.
 const DIGEST_BUCKETS: usize = 128;
 
-/// Every upstream that this process has heard of. `keys` and `hashes` lead to the newest run of each
-/// id, `places` to the newest of a pool at an address; calls at an older one still end there.
+/// Every upstream that this process has learned of. `keys` and `hashes` map to the newest run of
+/// each id, `places` to the newest run of a pool at an address; calls at an older run still end
+/// there.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamRegistry {
     upstreams: BTreeMap<UpstreamKey, Upstream>,
     keys: BTreeMap<Box<str>, UpstreamKey>,
     hashes: BTreeMap<u64, UpstreamKey>,
     places: BTreeMap<(SocketAddr, Box<str>), UpstreamKey>,
-    /// The digest, until a run comes or leaves.
+    /// Cached digest; cleared whenever a run is added or leaves.
     digest: Cell<Option<u64>>,
     pools: BTreeMap<Box<str>, Vec<UpstreamKey>>,
     departures: VecDeque<(Duration, u64)>,
@@ -126,19 +131,19 @@
 }
 
 impl Upstream {
-    /// Stands for its run and whether that has left.
+    /// Hash of its run and of whether it left.
     fn mark(&self) -> u32 {
         let left = [u8::from(self.left.is_some())];
         (xxh3_64_with_seed(&left, self.entry.run_hash()) >> 32) as u32
     }
 
-    /// The bucket that its id falls in.
+    /// Bucket of its id.
     fn bucket(&self) -> usize {
         xxh3_64(self.entry.id.as_bytes()) as usize % DIGEST_BUCKETS
     }
 
-    /// Notes that it takes nothing new. Gives whether that is news: a lapsed entry may come back, so any
-    /// other cause takes the place of that one.
+    /// Records that it accepts no new calls. Returns whether that is a change. A lapsed entry may
+    /// return, so any other cause replaces that one.
     fn leave(&mut self, cause: LeavingCause) -> bool {
         if self.left.is_some_and(|left| left != LeavingCause::Lapsed) {
             return false;
@@ -151,8 +156,8 @@
 }
 
 impl UpstreamRegistry {
-    /// Takes a change in. `trusted` says that the registry has been well for long enough that a
-    /// missing entry means that its upstream leaves. Gives the upstreams whose state changed.
+    /// Applies a change. `trusted` means that the registry has been available for long enough that
+    /// a missing entry means that its upstream left. Returns the upstreams whose state changed.
     pub fn apply(
         &mut self,
         change: RegistryChange,
@@ -172,7 +177,8 @@
         changed
     }
 
-    /// Takes in another node's report that an upstream leaves. Gives the upstream if that is news.
+    /// Applies another node's report that the run with this hash leaves. Returns the upstream if
+    /// that is a change.
     pub fn departed(&mut self, hash: u64, now: Duration) -> Option<UpstreamKey> {
         let key = self.by_hash(hash)?;
         let upstream = self.upstreams.get_mut(&key)?;
@@ -184,7 +190,8 @@
         Some(key)
     }
 
-    /// Takes in that an answer of an upstream says that it leaves. Gives whether that is news.
+    /// Records that an upstream announced in an answer that it leaves. Returns whether that is a
+    /// change.
     pub fn announced(&mut self, key: UpstreamKey, now: Duration) -> bool {
         let upstream = self.upstreams.get_mut(&key);
         let is_news = upstream.is_some_and(|upstream| upstream.leave(LeavingCause::Announced));
@@ -195,7 +202,7 @@
         is_news
     }
 
-    /// Hashes of the ids of upstreams that began to leave a moment ago, the newest first.
+    /// Hashes of runs of upstreams that recently began to leave, the newest first.
     pub fn departures(&self, now: Duration) -> Vec<u64> {
         let fresh = |(at, _): &&(Duration, u64)| *at + DEPARTURE_AGE > now;
         let newest = self.departures.iter().rev().take_while(fresh);
@@ -209,7 +216,7 @@
         let Some(upstream) = self.upstreams.get(&key) else {
             return;
         };
-        // An entry that only lapsed may come back.
+        // A lapsed entry may return.
         if matches!(
             upstream.left,
             Some(LeavingCause::Draining | LeavingCause::Announced | LeavingCause::Removed)
@@ -229,12 +236,13 @@
             return self.add(entry);
         };
         match entry.born.cmp(&upstream.entry.born) {
-            // A late heartbeat of an older run, or another writer's.
+            // A late heartbeat of an older run, or an entry of another writer.
             Ordering::Less => return Vec::new(),
             Ordering::Greater => return self.add(entry),
             Ordering::Equal => {}
         }
-        // A run stays where it began: what says otherwise is not the upstream's own entry.
+        // The pool and address of a run never change: an entry with others was not published by the
+        // upstream itself.
         if (&entry.pool, entry.address) != (&upstream.entry.pool, upstream.entry.address) {
             return Vec::new();
         }
@@ -250,15 +258,15 @@
         if changed { vec![key] } else { Vec::new() }
     }
 
-    /// Adds a run, which knows nothing of calls or prompts before it. Gives it and the runs that it
-    /// takes the place of: of its own id, and of its pool at its address. What another pool says of
-    /// the address proves nothing: an entry may be false, and a call for another upstream than the
-    /// one that has the address is refused there.
+    /// Adds a run, without any load or cache of earlier ones. Returns it and the runs that it
+    /// replaces: of the same id, and of the same pool at the same address. Another pool's entry for
+    /// the address replaces nothing: it may be false, and an upstream rejects a call that is meant
+    /// for another one.
     fn add(&mut self, entry: UpstreamEntry) -> Vec<UpstreamKey> {
         let key = UpstreamKey(self.next_key);
         self.next_key += 1;
         let mut changed = vec![key];
-        // Those before the newest of the same id or place have left already.
+        // Older runs of the same id or place have already left.
         let place = (entry.address, entry.pool.clone());
         let older_run = self.keys.insert(entry.id.clone(), key);
         let older_there = self.places.insert(place, key);
@@ -300,7 +308,8 @@
         Some(key)
     }
 
-    /// Treats every upstream that is not among `ids` as removed.
+    /// Treats every upstream whose id is not in `ids` as removed. `trusted` is as in `apply`.
+    /// Returns the upstreams whose state changed.
     pub fn retain(&mut self, ids: &[Box<str>], trusted: bool, now: Duration) -> Vec<UpstreamKey> {
         let ids: BTreeSet<&str> = ids.iter().map(|id| &**id).collect();
         let missing: Vec<Box<str>> = self
@@ -319,8 +328,8 @@
         changed
     }
 
-    /// Gives up upstreams that lapsed and did not come back in time after `returned_at`, when the
-    /// registry was back.
+    /// Marks upstreams as left whose entries expired and did not return in time after
+    /// `returned_at`, when the registry recovered. Returns them.
     pub fn settle(&mut self, returned_at: Duration, now: Duration) -> Vec<UpstreamKey> {
         let mut gone = Vec::new();
         for (key, upstream) in &mut self.upstreams {
@@ -338,7 +347,7 @@
         gone
     }
 
-    /// Notes that another upstream answers at this one's address.
+    /// Records that another upstream answers at this one's address.
     pub fn replaced(&mut self, key: UpstreamKey) {
         if let Some(upstream) = self.upstreams.get_mut(&key) {
             upstream.leave(LeavingCause::Replaced);
@@ -346,7 +355,7 @@
         }
     }
 
-    /// Upstreams of a pool that take new work.
+    /// Upstreams of a pool that accept new calls.
     pub fn usable(&self, pool: &str) -> impl Iterator<Item = (UpstreamKey, &Upstream)> {
         let keys = self.pools.get(pool).map_or(&[][..], Vec::as_slice);
         keys.iter()
@@ -354,28 +363,28 @@
             .filter(|(_, upstream)| upstream.left.is_none())
     }
 
-    /// An upstream.
+    /// State of an upstream; `None` if the key is unknown.
     pub fn get(&self, key: UpstreamKey) -> Option<&Upstream> {
         self.upstreams.get(&key)
     }
 
-    /// An upstream, to be changed.
+    /// Mutable state of an upstream; `None` if the key is unknown.
     pub fn get_mut(&mut self, key: UpstreamKey) -> Option<&mut Upstream> {
         self.upstreams.get_mut(&key)
     }
 
-    /// The upstream of this id.
+    /// Newest run of the upstream with this id; `None` if the id is unknown.
     pub fn key(&self, id: &str) -> Option<UpstreamKey> {
         self.keys.get(id).copied()
     }
 
-    /// The upstream whose newest run has this hash.
+    /// Upstream whose newest run has this hash; `None` if there is none.
     pub fn by_hash(&self, hash: u64) -> Option<UpstreamKey> {
         self.hashes.get(&hash).copied()
     }
 
-    /// Stands for the newest run of each upstream and whether it has left; the same on nodes that
-    /// know the same.
+    /// Digest of the newest run of each upstream and of whether it has left; equal on nodes with
+    /// the same information.
     pub fn digest(&self) -> u64 {
         if let Some(digest) = self.digest.get() {
             return digest;
@@ -390,7 +399,7 @@
             .fold(0, |digest, upstream| digest ^ u64::from(upstream.mark()))
     }
 
-    /// The same for each bucket of ids, so that two nodes find out what they know differently.
+    /// Digest of each bucket of ids, so that two nodes can find the buckets in which they differ.
     pub fn bucket_digests(&self) -> Vec<u32> {
         let mut digests = vec![0; DIGEST_BUCKETS];
         for upstream in self.newest() {
@@ -399,8 +408,8 @@
         digests
     }
 
-    /// The newest run of each upstream in the buckets that a node with these digests knows differently; of
-    /// all if they are not as many as this one's.
+    /// Newest run of each upstream in the buckets whose digests differ from those in `known`; all
+    /// of them if `known` has another number of buckets.
     pub fn differing(&self, known: &[u32]) -> impl Iterator<Item = &Upstream> {
         let own = self.bucket_digests();
         let differs = |bucket: usize| known.get(bucket) != Some(&own[bucket]);
@@ -410,12 +419,12 @@
             .filter(move |upstream| !comparable || differs[upstream.bucket()])
     }
 
-    /// The newest run of each upstream.
+    /// Newest run of each upstream.
     pub fn newest(&self) -> impl Iterator<Item = &Upstream> {
         self.keys.values().filter_map(|key| self.upstreams.get(key))
     }
 
-    /// All upstreams, with older runs.
+    /// All upstreams, including older runs.
     pub fn iter(&self) -> impl Iterator<Item = (UpstreamKey, &Upstream)> {
         self.upstreams
             .iter()
--- a/kernel/src/gateway/reports.rs
+++ b/kernel/src/gateway/reports.rs
@@ -1,20 +1,20 @@
-//! Reports of usage: which windows the holder of that duty writes down, and which it sends.
+//! Usage reports: which windows the holder of that duty persists, and which it sends.
 //!
-//! A window's counts are written to the log before they are sent, and never counted anew after that, so
-//! every report of a window has the same content, whoever sends it.
+//! A window's counts are appended to the log before they are sent and never counted again after
+//! that, so every report of a window has the same content, whichever node sends it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::gateway::usage::{UsageLedger, WorkspaceCounts};
 
-/// Time for which a new holder collects counts before it takes them for complete: nodes learn of it within
-/// a second and send all in the next.
+/// Time for which a new holder collects counts before it treats them as complete: nodes learn of it
+/// within a second and send all their counts in the next.
 const COLLECT_TIME: Duration = Duration::from_secs(2);
-/// Time between two tries to send a report.
+/// Delay between two attempts to send a report.
 const SEND_PAUSE: Duration = Duration::from_millis(500);
 
-/// A window whose counts stand in the log.
+/// A window whose counts are in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct WrittenWindow {
     counts: WorkspaceCounts,
@@ -25,24 +25,24 @@
 /// A window whose counts are final.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinalWindow {
-    /// The window's number.
+    /// Number of the window.
     pub window: u64,
-    /// Calls that began in it.
+    /// Calls that began in it, by workspace.
     pub counts: WorkspaceCounts,
 }
 
-/// When the holder looks at what is due, in time since 1970.
+/// Moment of a check for due reports, in time since 1970.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportMoment {
-    /// Now.
+    /// Current time.
     pub now: Duration,
-    /// Since when nodes may know that this one holds the duty.
+    /// Time since when nodes may know that this one holds the duty.
     pub held_since: Duration,
-    /// The first window whose usage no earlier era of the log can have reported.
+    /// First window whose usage no earlier era of the log can have reported.
     pub first_window: u64,
 }
 
-/// Windows that are written, and what became of their reports.
+/// Windows in the log and the state of their reports.
 #[derive(Clone, Debug)]
 pub struct UsageReports {
     late: Duration,
@@ -51,7 +51,7 @@
 }
 
 impl UsageReports {
-    /// None yet. A report is due `late` after its window's end.
+    /// Creates an empty list. A report is due `late` after its window's end.
     pub fn new(late: Duration) -> Self {
         Self {
             late,
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Windows that are final and not written yet, the oldest first. One without calls needs no report.
+    /// Windows that are final and not in the log yet, the oldest first. Those without calls need no
+    /// report and are left out.
     pub fn to_write(&self, ledger: &UsageLedger, moment: ReportMoment) -> Vec<FinalWindow> {
         let now = moment.now;
         if now < moment.held_since + COLLECT_TIME {
@@ -79,12 +80,12 @@
             .collect()
     }
 
-    /// Whether a report can still be in time.
+    /// Whether a window's report can still be in time.
     pub fn is_due(&self, ledger: &UsageLedger, window: u64, now: Duration) -> bool {
         now < ledger.end(window) + self.late
     }
 
-    /// These counts of a window stand in the log: read there, or acknowledged.
+    /// Records that a window's counts are in the log: read from it, or appended and acknowledged.
     pub fn written(&mut self, last: FinalWindow) {
         self.windows.entry(last.window).or_insert(WrittenWindow {
             counts: last.counts,
@@ -93,7 +94,7 @@
         });
     }
 
-    /// The oldest window whose report is due, and when no earlier try is a moment ago.
+    /// Oldest window whose report is due; `None` if none is, or all were tried a moment ago.
     pub fn to_send(&self, now: Duration) -> Option<FinalWindow> {
         let mut windows = self.windows.iter();
         let due = windows.find(|(_, written)| !written.accepted && now >= written.send_at);
@@ -103,26 +104,26 @@
         })
     }
 
-    /// The platform accepted a window's report.
+    /// Records that the platform accepted a window's report.
     pub fn accepted(&mut self, window: u64) {
         if let Some(written) = self.windows.get_mut(&window) {
             written.accepted = true;
         }
     }
 
-    /// A report was not accepted, or is not known to be.
+    /// Records that a report was rejected or not acknowledged; it is sent again after a delay.
     pub fn unanswered(&mut self, window: u64, now: Duration) {
         if let Some(written) = self.windows.get_mut(&window) {
             written.send_at = now + SEND_PAUSE;
         }
     }
 
-    /// Every window up to this one is written or past its time: nodes need not send them again.
+    /// Newest window in the log; 0 if there is none. Nodes need not send counts up to it again.
     pub fn written_through(&self) -> u64 {
         self.windows.keys().next_back().copied().unwrap_or(0)
     }
 
-    /// Forgets windows whose reports are past their time. Gives those that were not accepted.
+    /// Removes windows whose reports are past their time. Returns those that were not accepted.
     pub fn forget(&mut self, ledger: &UsageLedger, now: Duration) -> Vec<u64> {
         let late = self.late;
         let mut missed = Vec::new();
@@ -137,7 +138,7 @@
         missed
     }
 
-    /// Reports that were never accepted.
+    /// Number of reports that expired without being accepted.
     pub fn missed(&self) -> u64 {
         self.missed
     }
--- a/kernel/src/gateway/room.rs
+++ b/kernel/src/gateway/room.rs
@@ -1,33 +1,36 @@
-//! Whether an upstream has room for a call.
+//! Decides whether an upstream has capacity for a call.
 
 use std::time::Duration;
 
 use crate::gateway::choice::{ChoiceInput, UpstreamPlace};
 use crate::gateway::load::TOKENS_PER_MS;
 
-/// Part of an engine's slots that are given out. The rest is for what other nodes have sent and not
-/// told yet.
+/// Share of an engine's slots that is used. The rest is for calls that other nodes have sent and
+/// not reported yet.
 const SLOT_PART: f64 = 0.95;
-/// Part of the cache that calls may hold. The rest is for what is cached between calls.
+/// Share of the KV cache that calls may occupy. The rest is for tokens cached between calls.
 const CACHE_PART: f64 = 0.85;
-/// Part of slots and cache that the least urgent calls leave to others. A surge fills all engines up
-/// to what the least urgent may take, so each rank's share has to fit a prompt or two.
+/// Share of slots and cache that the least urgent calls leave free. A surge fills all engines up to
+/// the share of the least urgent tier, so the difference between two tiers has to fit a prompt or
+/// two.
 const RESERVED_PART: f64 = 0.3;
-/// Part of an engine's slots, at most, that a node leaves to those that go before it there. Without
-/// an order all nodes take the slot that falls free, since each learns of it by the same heartbeat.
+/// Maximum share of an engine's slots that a node leaves to nodes that rank before it there.
+/// Without this order all nodes would take the slot that becomes free, since all learn of it from
+/// the same heartbeat.
 const UNSEEN_PART: f64 = 0.05;
-/// Part of a call's target that the prompts before it may take to be read. Slots alone let prompts
-/// pile up until every first token is late; this keeps engines reading and their calls in time.
+/// Share of a call's latency target that the prefill of earlier prompts may take. With a limit on
+/// slots alone, prompts queue up until every first token is late; this limit keeps engines busy and
+/// their calls in time.
 const READING_PART: f64 = 0.5;
-/// Prompt tokens that an engine reads in one step.
+/// Prompt tokens that an engine prefills in one step.
 const CHUNK_TOKENS: u32 = 2048;
-/// Part of a kept engine's slots with tight streams above which it takes no longer prompt.
+/// Share of a reserved engine's slots with tight streams above which it accepts no longer prompt.
 const UNDISTURBED_PART: f64 = 0.125;
-/// Calls for each slot of a plain service, which queues a few and ends each in some ms.
+/// Calls per slot of a plain service, which queues a few and ends each within some ms.
 const PLAIN_QUEUE: f64 = 3.0;
 
-/// Whether an upstream can take the call without making others wait or be preempted. The less
-/// urgent a call is, the more room it leaves for others.
+/// Whether an upstream can accept the call without delaying or preempting others. Less urgent calls
+/// leave more capacity free.
 pub fn has_room(place: UpstreamPlace, unread: u32, input: &ChoiceInput) -> bool {
     if !place.option.upstream.throttle.is_open(input.now) {
         return false;
@@ -54,14 +57,15 @@
     f64::from(total.calls) + unseen < slots * (SLOT_PART - reserved) && (alone || held < most_held)
 }
 
-/// How long an upstream takes to read the prompts that it has.
+/// Time that an upstream needs to prefill its pending prompts.
 fn reading_time(place: UpstreamPlace) -> Duration {
     let tokens = f64::from(place.option.total.prompt_tokens);
     Duration::from_secs_f64(tokens / TOKENS_PER_MS / 1000.0)
 }
 
-/// Calls that others may have sent and not told yet: one from each node that goes before this one,
-/// or as many for each own call that they have not heard of as they have for each of its own.
+/// Estimate of calls that other nodes sent but have not reported yet: one from each node that ranks
+/// before this one, or, for each of this node's own unreported calls, as many as other nodes have
+/// for each of its reported ones.
 fn unseen_calls(place: UpstreamPlace, input: &ChoiceInput) -> f64 {
     let load = &place.option.upstream.load;
     let slots = f64::from(place.option.upstream.entry.slots);
--- a/kernel/src/gateway/rules.rs
+++ b/kernel/src/gateway/rules.rs
@@ -1,4 +1,5 @@
-//! The ordered rules that decide a call's class and pool, and who may call.
+//! The ordered rules that determine a call's class and pool, and the keys that authenticate
+//! callers.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -9,68 +10,69 @@
 /// Whether a call may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallSafety {
-    /// Running it again does no harm.
+    /// Repeated runs have the same effect as one.
     Idempotent,
-    /// It may run once at most.
+    /// The call may run at most once.
     AtMostOnce,
 }
 
-/// How an answer is passed on.
+/// How an answer is forwarded to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerForm {
-    /// As one body.
+    /// As one body, after it was received whole.
     Whole,
     /// As server-sent events with increasing ids.
     Events {
-        /// Whether another upstream may go on after the last event that was passed on.
+        /// Whether another upstream may continue after the last event that was forwarded.
         resumable: bool,
     },
 }
 
-/// What the first matching rule makes of a call.
+/// Properties that the first matching rule assigns to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallClass {
     /// Whether the call may run more than once.
     pub safety: CallSafety,
-    /// How its answer is passed on.
+    /// How its answer is forwarded.
     pub form: AnswerForm,
     /// Rank among classes; 0 is the most urgent.
     pub tier: u8,
-    /// Longest time until the final answer.
+    /// Maximum time until the final answer.
     pub timeout: Duration,
-    /// Time within which the answer, or the first event of a stream, is wanted.
+    /// Target latency of the answer, or of the first event of a stream.
     pub target: Duration,
-    /// How long callers wait for the first or the next event of a stream before they leave.
+    /// Time that callers wait for the first or the next event of a stream before they disconnect;
+    /// `None` if unknown.
     pub patience: Option<Duration>,
-    /// Most upstreams that one call may be sent to.
+    /// Maximum number of upstreams that one call may be sent to.
     pub max_attempts: u32,
-    /// Longest pause between two pieces of a stream that is still in time.
+    /// Target for the longest gap between two events of a stream; `None` if the class has none.
     pub gap: Option<Duration>,
-    /// Whether calls carry prompts whose parts upstreams cache.
+    /// Whether calls contain prompts whose parts upstreams cache.
     pub cached: bool,
 }
 
 /// A pool and its share of a rule's calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolShare {
-    /// The pool's name.
+    /// Name of the pool.
     pub pool: Box<str>,
-    /// Its share, relative to the rule's other pools.
+    /// Share of the pool, relative to the rule's other pools.
     pub weight: u32,
 }
 
-/// One when-then rule.
+/// One rule: conditions on a call, and the class and pools of calls that meet them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallRule {
-    /// The operator's name for it.
+    /// Name that the operator gave it.
     pub name: Box<str>,
-    /// When: the host that is called, in lower case.
+    /// Condition: host that is called, in lower case.
     pub host: Box<str>,
-    /// When: how the path begins.
+    /// Condition: beginning of the path.
     pub path_prefix: Box<str>,
-    /// Then: the class.
+    /// Class of matching calls.
     pub class: CallClass,
-    /// Then: the pools that may run it; never empty.
+    /// Pools that may run matching calls; never empty.
     pub pools: Box<[PoolShare]>,
     /// Whether callers need no key.
     pub public: bool,
@@ -79,53 +81,53 @@
 /// A pool of interchangeable upstreams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolSpec {
-    /// The pool's name.
+    /// Name of the pool.
     pub name: Box<str>,
-    /// What is known of its engines, if it runs a model.
+    /// Properties of its engines; `None` if it runs plain services.
     pub engine: Option<EngineSpec>,
-    /// How its engines are ordered, if they can be.
+    /// Settings for ordering engines; `None` if none can be ordered.
     pub scaling: Option<ScalingSpec>,
 }
 
-/// What is known of a pool's engines.
+/// Properties of a pool's engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// Tokens that the KV cache holds.
+    /// Size of the KV cache in tokens.
     pub cache_tokens: u64,
-    /// Tokens in one event of a stream.
+    /// Number of tokens in one event of a stream.
     pub event_tokens: u32,
 }
 
 /// A workspace's entry in the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkspaceSpec {
-    /// The workspace's name, as upstreams are told.
+    /// Name of the workspace, as sent to upstreams.
     pub name: Box<str>,
-    /// Goes before the rule's tier, if set.
+    /// Tier that takes precedence over the rule's; `None` if the workspace has none.
     pub tier: Option<u8>,
 }
 
-/// Bounds on what a caller may send and how long it may take.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerBounds {
-    /// Largest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time that a connection may stay idle.
+    /// Maximum time that a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
-/// The rules of a host by the beginning of their paths.
+/// Rules of a host by path prefix.
 type HostRules = BTreeMap<Box<str>, CallRule>;
 
-/// One version of the configuration, ready for lookups. Each call looks up its rule and whether that is
-/// tight: neither grows with the number of rules but by its logarithm.
+/// One version of the configuration, indexed for lookups. Each call looks up its rule and whether
+/// that is tight: the cost of both is logarithmic in the number of rules.
 #[derive(Clone, Debug)]
 pub struct RuleTable {
-    /// Grows with each version.
+    /// Version number; increases with each change.
     pub version: u64,
-    /// Bounds on callers.
+    /// Limits on callers' requests and connections.
     pub bounds: CallerBounds,
     tier_count: u8,
     rules: BTreeMap<Box<str>, HostRules>,
@@ -136,8 +138,8 @@
 }
 
 impl RuleTable {
-    /// Puts rules in the order in which they are tried: the longest path first within a host, and of
-    /// two with the same path the one that stands first.
+    /// Indexes rules in the order of their precedence: within a host the longest path prefix first,
+    /// and of rules with the same prefix only the first one.
     pub fn new(
         version: u64,
         bounds: CallerBounds,
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Adds a workspace and the keys that name it.
+    /// Adds a workspace and the keys that identify it.
     pub fn add_workspace(
         &mut self,
         workspace: WorkspaceSpec,
@@ -177,7 +179,7 @@
         self.keys.extend(keys.into_iter().map(|key| (key, index)));
     }
 
-    /// The first rule that matches.
+    /// Rule with the longest path prefix that matches; `None` if no rule does.
     pub fn find(&self, host: &str, path: &str) -> Option<&CallRule> {
         let rules = self.rules.get(host)?;
         let mut longest = path;
@@ -187,22 +189,23 @@
             if path.starts_with(&**prefix) {
                 return Some(rule);
             }
-            // Every prefix of the path that stands before this one is a prefix of both.
+            // Every prefix of the path that sorts before this one is a prefix of both.
             longest = common_prefix(path, prefix);
         }
     }
 
-    /// Whether callers must show a key at all.
+    /// Whether there are workspaces, so that callers need a key unless a rule is public.
     pub fn has_workspaces(&self) -> bool {
         !self.workspaces.is_empty()
     }
 
-    /// The workspace that a key names.
+    /// Workspace that a key identifies; `None` if the key is unknown.
     pub fn workspace(&self, key: &str) -> Option<&WorkspaceSpec> {
         self.keys.get(key).map(|index| &self.workspaces[*index])
     }
 
-    /// A call's rank: the workspace's goes first, the rule's decides within it.
+    /// Effective tier of a call: ordered by the workspace's tier first, then by the rule's. 0 is
+    /// the most urgent.
     pub fn tier(&self, rule: &CallRule, workspace: Option<&WorkspaceSpec>) -> u8 {
         let Some(above) = workspace.and_then(|workspace| workspace.tier) else {
             return rule.class.tier;
@@ -212,7 +215,7 @@
             .saturating_add(rule.class.tier)
     }
 
-    /// Number of ranks that calls can have.
+    /// Number of effective tiers.
     pub fn tiers(&self) -> u8 {
         let above = self
             .workspaces
@@ -225,14 +228,14 @@
             .saturating_mul(self.tier_count)
     }
 
-    /// Whether no other class of the rule's pools wants shorter pauses.
+    /// Whether a rule's calls are tight: no other class of its pools has a shorter gap target.
     pub fn is_tight(&self, rule: &CallRule) -> bool {
         let pools = rule.pools.iter();
         let gaps = pools.filter_map(|share| self.shortest_gaps.get(&share.pool));
         rule.class.gap.is_some_and(|gap| gaps.min() == Some(&gap))
     }
 
-    /// A pool by name.
+    /// Pool with this name; `None` if there is none.
     pub fn pool(&self, name: &str) -> Option<&PoolSpec> {
         self.pools.get(name)
     }
@@ -242,13 +245,13 @@
         self.pools.values()
     }
 
-    /// Number of rules.
+    /// Number of indexed rules.
     pub fn rule_count(&self) -> usize {
         self.rules.values().map(BTreeMap::len).sum()
     }
 }
 
-/// The shortest pause that a rule of each pool wants.
+/// Shortest gap target of any rule, by pool.
 fn shortest_gaps(rules: &[CallRule]) -> BTreeMap<Box<str>, Duration> {
     let mut shortest: BTreeMap<Box<str>, Duration> = BTreeMap::new();
     for rule in rules {
@@ -263,7 +266,7 @@
     shortest
 }
 
-/// The longest beginning that two texts share.
+/// Longest common prefix of two texts.
 fn common_prefix<'a>(one: &'a str, other: &str) -> &'a str {
     let pairs = one.char_indices().zip(other.chars());
     let differs = pairs.map(|((at, own), character)| (at, own == character));
@@ -272,7 +275,7 @@
 }
 
 impl CallRule {
-    /// The pool for a call, by weight; `draw` is uniform over all of `u64`.
+    /// Selects a pool for a call at random by weight; `draw` is uniform over all of `u64`.
     pub fn pool(&self, draw: u64) -> &str {
         let total: u64 = self.pools.iter().map(|share| u64::from(share.weight)).sum();
         let mut point = draw % total.max(1);
--- a/kernel/src/gateway/spread.rs
+++ b/kernel/src/gateway/spread.rs
@@ -1,8 +1,9 @@
-//! Whom a node sends its heartbeats to, and when.
+//! Schedules which nodes a node sends its heartbeats to, and when.
 //!
-//! The work of a node does not grow with the fleet, that of a hub with its availability zone: a node
-//! tells the hubs of its zone, a hub tells all nodes of its zone in turn and the hubs of other zones.
-//! Nodes that send calls tell each other more often, since they share upstreams.
+//! The cost for a node does not increase with the size of the fleet, that for a hub only with its
+//! availability zone: a node sends to the hubs of its zone, a hub to all nodes of its zone in turn
+//! and to the hubs of other zones. Nodes that send calls exchange heartbeats more often, since they
+//! share upstreams.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,40 +14,44 @@
 use crate::gateway::fleet::FleetView;
 use crate::gateway::heartbeat::{NodeCard, NodeHeartbeat, NodeState, node_hash};
 
-/// Time between two looks at what is due, of a node without calls.
+/// Interval between two checks for due heartbeats, on a node without calls.
 const IDLE_TICK: Duration = Duration::from_millis(200);
-/// Of a node with calls: about as often as an engine under load takes and ends one.
+/// The same interval on a node with calls: about as often as an engine under load starts and ends
+/// one.
 const BUSY_TICK: Duration = Duration::from_millis(50);
-/// Of a node that has heard no other: at a start of all, seeds may begin to listen after it asked.
+/// The same interval on a node that has received no heartbeat: when all nodes start at once, seeds
+/// may begin to listen after its first request.
 const SEEK_TICK: Duration = Duration::from_millis(100);
-/// What timers may be late without a heartbeat being put off to the next look.
+/// Tolerance for late timers: a heartbeat that is due within it is not deferred to the next check.
 const TICK_SLACK: Duration = Duration::from_millis(20);
 
-/// Time between two heartbeats of a hub without calls to the other hubs of its zone.
+/// Interval between heartbeats of a hub without calls to the other hubs of its zone.
 const HUB_PAUSE: Duration = Duration::from_millis(800);
-/// Time between two heartbeats to hubs of a node that is none and has no calls: what hubs know of it
-/// changes seldom.
+/// Interval between heartbeats to hubs from a node without calls that is no hub: its state seldom
+/// changes.
 const MEMBER_PAUSE: Duration = Duration::from_millis(800);
-/// Time in which a hub tells each node of its zone. With three hubs a node hears one every 0.3 s.
+/// Time within which a hub sends a heartbeat to each node of its zone. With three hubs a node
+/// receives one about every 0.3 s.
 const ZONE_CYCLE: Duration = Duration::from_millis(800);
-/// Time between two heartbeats to nodes of other zones that send calls, while there are calls.
+/// Interval between heartbeats to nodes of other zones that send calls, while this node has calls.
 const FAR_BUSY_PAUSE: Duration = Duration::from_millis(200);
-/// The same at rest, when only news matters, which is told at once.
+/// The same interval without calls, when only urgent changes matter, which are sent at once.
 const FAR_IDLE_PAUSE: Duration = Duration::from_millis(400);
-/// Rounds at rest in which each of them is told.
+/// Number of such intervals in which each of those nodes receives one heartbeat.
 const FAR_IDLE_ROUNDS: usize = 12;
-/// Nodes of other zones that are told at once, in turn, while there are calls: bounds what zones cost.
+/// Maximum number of nodes of other zones that receive a heartbeat in one round, in turn, while
+/// there are calls: limits the traffic between zones.
 const MOST_FAR: usize = 12;
-/// Time between two heartbeats of a hub to the seeds, which lead new nodes to the hubs.
+/// Interval between heartbeats of a hub to the seeds, which refer new nodes to the hubs.
 const SEED_PAUSE: Duration = Duration::from_secs(4);
-/// Nodes that a heartbeat to the zone names, in turn.
+/// Number of nodes, in turn, whose cards a heartbeat to the zone contains.
 const NAMED_CARDS: u64 = 1;
-/// Time for which new hubs are named in each heartbeat to the zone.
+/// Time for which each heartbeat to the zone contains the cards of new hubs.
 const HUBS_NEW_FOR: Duration = Duration::from_secs(3);
-/// Nodes in one datagram that answers a new node, some 75 bytes each.
+/// Maximum number of cards in one datagram that answers a new node, some 75 bytes each.
 const MOST_CARDS: usize = 14;
 
-/// Time until a node should look again at what is due.
+/// Time until a node should check again for due heartbeats.
 pub fn tick(fleet: &FleetView, busy: bool, now: Duration) -> Duration {
     if busy {
         BUSY_TICK
@@ -57,59 +62,59 @@
     }
 }
 
-/// What others should know at once.
+/// Which nodes have to receive a change at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SpreadNews {
-    /// Nothing.
+    /// No node: there is no urgent change.
     #[default]
     None,
-    /// Something that matters to nodes that send calls.
+    /// Nodes that send calls.
     Calls,
-    /// Something that matters to all nodes.
+    /// All nodes.
     All,
 }
 
-/// What a node has to say.
+/// State of a node at one check for due heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SpreadRound {
-    /// Whether it has calls.
+    /// Whether the node has calls.
     pub busy: bool,
-    /// What others should know at once.
+    /// Which nodes have to receive a change at once.
     pub news: SpreadNews,
-    /// Now.
+    /// Current time.
     pub now: Duration,
 }
 
-/// Whom it tells now.
+/// Receivers and contents of the heartbeats that are due.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SpreadPlan {
-    /// Nodes of its zone that hear of its work.
+    /// Nodes of its zone that receive its work at upstreams.
     pub near: Vec<SocketAddr>,
-    /// Nodes of its zone that hear what is in force.
+    /// Nodes of its zone that receive the state in force, without its work.
     pub zone: Vec<SocketAddr>,
-    /// Nodes of other zones that hear of its work.
+    /// Nodes of other zones that receive its work at upstreams.
     pub far: Vec<SocketAddr>,
-    /// Which seeds are told too.
+    /// Seeds that receive a heartbeat too.
     pub seeds: SeedChoice,
-    /// Nodes that the heartbeats to the zone name.
+    /// Cards of nodes that the heartbeats to the zone contain.
     pub zone_cards: Vec<NodeCard>,
-    /// Hubs that all other heartbeats name.
+    /// Cards of hubs that all other heartbeats contain.
     pub hub_cards: Vec<NodeCard>,
 }
 
-/// Which of the seeds are told.
+/// Selection of the seeds that receive a heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SeedChoice {
-    /// None.
+    /// No seed.
     #[default]
     None,
-    /// The next in turn: all nodes of a fleet that starts ask them again and again.
+    /// The next one in turn, since all nodes of a starting fleet ask the seeds repeatedly.
     Next,
-    /// All.
+    /// All seeds.
     All,
 }
 
-/// When a node told whom last.
+/// Times and receivers of a node's last heartbeats.
 #[derive(Clone, Debug, Default)]
 pub struct HeartbeatSpread {
     near_at: Option<Duration>,
@@ -123,7 +128,7 @@
 }
 
 impl HeartbeatSpread {
-    /// Whom to tell now. `own` is what the node says of itself.
+    /// Determines the heartbeats that are due. `own` is the node's own state.
     pub fn plan(
         &mut self,
         fleet: &mut FleetView,
@@ -131,7 +136,7 @@
         round: SpreadRound,
     ) -> SpreadPlan {
         let now = round.now;
-        // A hub that leaves says so to all that it told.
+        // A leaving hub announces that to all nodes that it sent heartbeats to.
         let is_hub = fleet.is_hub(now) || fleet.own().state == NodeState::Leaving;
         let tells_far = is_hub || own.sends_many();
         let tells_calls = tells_far || round.busy || own.sends_calls();
@@ -181,7 +186,7 @@
         plan
     }
 
-    /// Notes who the hubs of the node's zone are. Gives whether that changed.
+    /// Records the hubs of the node's zone. Returns whether they changed.
     fn note_hubs(&mut self, fleet: &FleetView, now: Duration) -> bool {
         let hubs = fleet.hubs(&fleet.own().zone, now);
         let names: Vec<Box<str>> = hubs.iter().map(|card| card.name.clone()).collect();
@@ -193,7 +198,7 @@
         true
     }
 
-    /// The next nodes of the zone that are no hubs, or all of them.
+    /// Next nodes of the zone that are no hubs, or all of them.
     fn zone_nodes(&mut self, fleet: &FleetView, round: SpreadRound) -> Vec<SocketAddr> {
         let hubs = fleet.hubs(&fleet.own().zone, round.now);
         let hubs: Vec<SocketAddr> = hubs.iter().map(|card| card.peers).collect();
@@ -240,17 +245,19 @@
     }
 }
 
-/// The next of the hubs of all zones that this node heard: hubs have to know each other.
+/// Card of the next hub that this node received a heartbeat from, of any zone: hubs have to learn
+/// of each other.
 fn hub_cards(fleet: &FleetView, now: Duration) -> Vec<NodeCard> {
     let hubs = heard_hubs(fleet, now);
-    // Drawn, since a turn that is in step with the rounds would name the same hubs to the same nodes.
+    // Chosen by hash, since a rotation in step with the rounds would send the same hubs' cards to
+    // the same nodes.
     let round = (now.as_millis() / FAR_IDLE_PAUSE.as_millis()) as u64;
     let turn = xxh3_64_with_seed(fleet.own().name.as_bytes(), round) as usize;
     let next = hubs.get(turn % hubs.len().max(1));
     next.map(|card| (*card).clone()).into_iter().collect()
 }
 
-/// Hubs of all zones that this node heard.
+/// Hubs of all zones that this node received heartbeats from.
 fn heard_hubs(fleet: &FleetView, now: Duration) -> Vec<&NodeCard> {
     let heard = fleet.namable(now);
     let zones: BTreeSet<&str> = heard.iter().map(|card| &*card.zone).collect();
@@ -263,22 +270,23 @@
     heard.into_iter().filter(is_hub).collect()
 }
 
-/// Whether a node knows no other that lives: it asks the seeds for some.
+/// Whether a node knows no other live one, so that it asks the seeds for cards.
 pub fn is_seeking(fleet: &FleetView, now: Duration) -> bool {
     fleet.live(now).next().is_none()
 }
 
-/// Why a node's heartbeat may have to be answered.
+/// Reasons why a node's heartbeat may need a reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerNeed {
-    /// The node is new here or started again.
+    /// The node is new to this one or restarted.
     pub fresh: bool,
-    /// It asks for nodes.
+    /// The node asks for the cards of others.
     pub seeking: bool,
 }
 
-/// Lists of nodes to answer the heartbeat of the node of this card with, one for each datagram: a new
-/// node is led to the hubs of its zone, and told of all nodes by the first of them.
+/// Cards with which to reply to the heartbeat of the node with this card, one list per datagram; no
+/// list if it needs no reply. A new node gets the hubs of its zone, and the first of these sends it
+/// the cards of all nodes.
 pub fn answer(
     fleet: &FleetView,
     card: &NodeCard,
@@ -328,7 +336,8 @@
     in_datagrams(&cards)
 }
 
-/// One list for each datagram. An empty one is an answer too: it says that the node is there.
+/// Splits cards into one list per datagram. An empty list is sent too: the reply shows that the
+/// node is alive.
 fn in_datagrams(cards: &[NodeCard]) -> Vec<Vec<NodeCard>> {
     if cards.is_empty() {
         return vec![Vec::new()];
@@ -357,7 +366,7 @@
     true
 }
 
-/// The next `share` of a list, or all of it.
+/// Next `share` entries of a list in rotation, or all of it.
 fn take_turn(list: &[SocketAddr], turn: &mut usize, share: usize, whole: bool) -> Vec<SocketAddr> {
     let count = if whole {
         list.len()
