--- a/daemon/src/gateway.rs
+++ b/daemon/src/gateway.rs
@@ -43,12 +43,12 @@
 use monsoonbank_kernel::gateway::budget::RetryBudget;
 use monsoonbank_kernel::gateway::crashes::CrashLedger;
 use monsoonbank_kernel::gateway::fleet::FleetView;
+use monsoonbank_kernel::gateway::gossip::GossipUrgency;
 use monsoonbank_kernel::gateway::heartbeat::NodeState;
 use monsoonbank_kernel::gateway::lag::VersionLag;
 use monsoonbank_kernel::gateway::pace::{StreamKind, StreamPace};
 use monsoonbank_kernel::gateway::registry::UpstreamRegistry;
 use monsoonbank_kernel::gateway::rules::RuleTable;
-use monsoonbank_kernel::gateway::spread::SpreadNews;
 use monsoonbank_kernel::gateway::transfers::TransferList;
 use monsoonbank_kernel::gateway::waiting::WaitList;
 use rand::SeedableRng;
@@ -123,7 +123,7 @@
     /// Makes the reader of the configuration ask anew.
     pub configuration_nudge: tokio::sync::Notify,
     /// What other nodes have not been told and should know at once.
-    pub news: Cell<SpreadNews>,
+    pub news: Cell<GossipUrgency>,
     /// Wakes what tells other nodes.
     pub speak_notice: tokio::sync::Notify,
     /// Whether something is being fetched from another node.
@@ -165,7 +165,7 @@
     }
 
     /// Has news told to other nodes at once.
-    pub fn tell(&self, news: SpreadNews) {
+    pub fn tell(&self, news: GossipUrgency) {
         self.news.set(self.news.get().max(news));
         self.speak_notice.notify_one();
     }
@@ -193,7 +193,7 @@
     /// Takes in that a piece of something fetched from another node came.
     pub fn piece_came(&self) {
         let mut lag = self.lag.get();
-        lag.piece_came(self.now());
+        lag.fetch_progressed(self.now());
         self.lag.set(lag);
     }
 
@@ -234,7 +234,7 @@
         }
         self.store_era.set(Some(era));
         if let Some(duties) = &self.duties {
-            duties.see_era(era, self.unix_now());
+            duties.observe_era(era, self.unix_now());
         }
         if known.is_none() {
             return;
@@ -360,7 +360,7 @@
     let since = gateway.now();
     gateway.leaving_since.set(Some(since));
     gateway.leave_notice.notify_waiters();
-    gateway.tell(SpreadNews::All);
+    gateway.tell(GossipUrgency::All);
     gateway.decisions.line(&Decision::Leaving {
         open_calls: gateway.open_calls.get(),
     });
--- a/daemon/src/gateway/caches.rs
+++ b/daemon/src/gateway/caches.rs
@@ -8,7 +8,7 @@
 
 use futures_util::future::join_all;
 use hyper::StatusCode;
-use monsoonbank_kernel::gateway::gate::{self, GateError};
+use monsoonbank_kernel::gateway::eligibility::{self, EligibilityError};
 use monsoonbank_kernel::gateway::prompt::PromptPart;
 use monsoonbank_kernel::gateway::registry::UpstreamKey;
 use monsoonbank_platform::answer;
@@ -50,7 +50,7 @@
     #[error("{0}")]
     Malformed(#[from] CacheError),
     #[error("{0}")]
-    Withheld(#[from] GateError),
+    Withheld(#[from] EligibilityError),
 }
 
 /// An engine to ask.
@@ -91,7 +91,7 @@
     let is_engine = |pool: &str| rules.pool(pool).is_some_and(|pool| pool.engine.is_some());
     registry
         .iter()
-        .filter(|(key, _)| gate::check(&registry, *key, now).is_ok() && !asked.contains(key))
+        .filter(|(key, _)| eligibility::check(&registry, *key, now).is_ok() && !asked.contains(key))
         .filter(|(_, upstream)| upstream.entry.zone == gateway.settings.zone)
         .filter(|(_, upstream)| is_engine(&upstream.entry.pool))
         .map(|(key, upstream)| EngineAddress {
@@ -113,7 +113,7 @@
     };
     let now = gateway.now();
     for part in &parts {
-        upstream.load.part_read(part.id, now);
+        upstream.load.record_part_read(part.id, now);
     }
     gateway.decisions.line(&Decision::CacheListed {
         upstream: &upstream.entry.id,
@@ -124,7 +124,7 @@
 
 async fn list(gateway: &Gateway, engine: EngineAddress) -> Result<Vec<PromptPart>, ListError> {
     let mut channel = channels::open(engine.key, engine.address).await?;
-    gate::check(&gateway.registry.borrow(), engine.key, gateway.now())?;
+    eligibility::check(&gateway.registry.borrow(), engine.key, gateway.now())?;
     let request = cache::list_request(&engine.address.to_string())?;
     let answer = tokio::time::timeout(ANSWER_TIME, channel.sender.send_request(request)).await;
     let answer = answer.map_err(|_| ListError::TimedOut)??;
--- a/daemon/src/gateway/desk.rs
+++ b/daemon/src/gateway/desk.rs
@@ -89,7 +89,10 @@
         CONFIGURATION_PATH => configuration(gateway),
         PATCH_PATH => patch(gateway, query),
         REGISTRY_PATH => registry(gateway, query),
-        CRASH_PATH => cbor_reply(gateway, &gateway.crashes.borrow().settled(gateway.now())),
+        CRASH_PATH => cbor_reply(
+            gateway,
+            &gateway.crashes.borrow().decided_reports(gateway.now()),
+        ),
         "/metrics" => reply::whole(StatusCode::OK, gateway.metrics.text()),
         "/state" => state(gateway),
         _ => reply::failure(StatusCode::NOT_FOUND, "no such question"),
@@ -108,7 +111,7 @@
     let own = peers::own_heartbeat(gateway);
     let fleet = gateway.fleet.borrow();
     let zone = zone.unwrap_or_default();
-    let mut addresses: Vec<SocketAddr> = fleet.callers_nodes(&own, zone, gateway.now());
+    let mut addresses: Vec<SocketAddr> = fleet.entry_addresses(&own, zone, gateway.now());
     if addresses.is_empty() {
         return reply::failure(StatusCode::SERVICE_UNAVAILABLE, "no node takes calls");
     }
@@ -257,8 +260,8 @@
                 "calls": total.calls,
                 "prompt_tokens": total.prompt_tokens,
                 "held_tokens": total.held_tokens,
-                "resting": upstream.health.resting(now),
-                "failures": upstream.health.failures(),
+                "resting": upstream.health.is_backed_off(now),
+                "failures": upstream.health.failure_share(),
                 "limit_per_s": upstream.throttle.limit(),
                 "pause_ms": upstream.pause.left(now).map(millis),
             })
@@ -269,7 +272,7 @@
         .iter()
         .map(|peer| {
             let card = &peer.heartbeat.card;
-            let age = peer.heard_at.map(|at| now.saturating_sub(at));
+            let age = peer.last_heartbeat_at.map(|at| now.saturating_sub(at));
             json!({
                 "name": card.name,
                 "zone": card.zone,
@@ -279,7 +282,7 @@
             })
         })
         .collect();
-    let reports = gateway.crashes.borrow().settled(now);
+    let reports = gateway.crashes.borrow().decided_reports(now);
     let quarantined: Vec<serde_json::Value> = reports
         .iter()
         .filter(|report| report.is_quarantined())
--- a/daemon/src/gateway/duties.rs
+++ b/daemon/src/gateway/duties.rs
@@ -94,10 +94,10 @@
     }
 
     /// Takes in the store's era.
-    pub fn see_era(&self, era: u64, unix_now: Duration) {
+    pub fn observe_era(&self, era: u64, unix_now: Duration) {
         let window = self.ledger.borrow().window(unix_now) + 1;
         let now = self.clock.now();
-        self.lease.borrow_mut().see_era(era, window, now);
+        self.lease.borrow_mut().observe_era(era, window, now);
     }
 
     /// Whether the platform has this duty.
@@ -144,7 +144,7 @@
             return Some(HolderNotice {
                 token,
                 peers: gateway.settings.peer_address(),
-                deputy: gateway.fleet.borrow().duty_deputy(now),
+                successor: gateway.fleet.borrow().duty_successor(now),
                 age_ms: 0,
                 renewal: self.lease.borrow().newest().unwrap_or(0),
                 written: self.reports.borrow().written_through(),
@@ -252,7 +252,7 @@
     fn is_claimant(&self, duties: &DutyState) -> bool {
         let now = self.gateway.now();
         let fleet = self.gateway.fleet.borrow();
-        duties.silence(now) >= fleet.claim_patience(HOLDER_SILENT_AFTER, now)
+        duties.silence(now) >= fleet.claim_delay(HOLDER_SILENT_AFTER, now)
     }
 
     /// Writes down when this node begins and ceases to hold the lease.
@@ -288,7 +288,7 @@
         duties
             .lease
             .borrow_mut()
-            .see_topic(&topic, now, &mut duties.random.borrow_mut());
+            .observe_topic(&topic, now, &mut duties.random.borrow_mut());
         let mut reports = duties.reports.borrow_mut();
         let ledger = duties.ledger.borrow();
         let unix_now = self.gateway.unix_now();
@@ -340,7 +340,7 @@
                 duties.lease.borrow_mut().refused();
             }
             Err(error) => {
-                duties.lease.borrow_mut().read_again();
+                duties.lease.borrow_mut().require_read();
                 self.failed(&error).await;
             }
         }
--- a/daemon/src/gateway/exchange.rs
+++ b/daemon/src/gateway/exchange.rs
@@ -68,7 +68,7 @@
 /// heartbeat tells again.
 pub fn catch_up(gateway: &Rc<Gateway>, heartbeat: &NodeHeartbeat) {
     let mut lag = gateway.lag.get();
-    lag.told(heartbeat.version, gateway.now());
+    lag.advertised(heartbeat.version, gateway.now());
     gateway.lag.set(lag);
     if !lacks(gateway, heartbeat).any() || gateway.fetching.replace(true) {
         return;
@@ -110,7 +110,7 @@
     let reads_itself = gateway.is_reader() && !gateway.store_doubtful();
     let differs = heartbeat.registry_digest != gateway.registry.borrow().digest();
     let unknown = !gateway.store.get().registry_known && heartbeat.registry_digest != 0;
-    let trusted = heartbeat.store_well && learns_from(gateway, heartbeat);
+    let trusted = heartbeat.store_reachable && learns_from(gateway, heartbeat);
     let crash_digest = gateway.crashes.borrow().digest();
     LackingPart {
         crashes: heartbeat.crash_digest != 0 && heartbeat.crash_digest != crash_digest,
@@ -129,7 +129,7 @@
     }
     let fleet = gateway.fleet.borrow();
     let mut live = fleet.live(gateway.now()).map(|peer| &peer.heartbeat);
-    !live.any(|near| near.card.zone == *zone && near.store_well)
+    !live.any(|near| near.card.zone == *zone && near.store_reachable)
 }
 
 /// One of the nodes that have what `heartbeat` shows, of this availability zone if there are any: the
--- a/daemon/src/gateway/follow.rs
+++ b/daemon/src/gateway/follow.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use monsoonbank_kernel::clock::Clock;
+use monsoonbank_kernel::gateway::gossip::GossipUrgency;
 use monsoonbank_kernel::gateway::registry::{RegistryChange, UpstreamKey};
-use monsoonbank_kernel::gateway::spread::SpreadNews;
 use monsoonbank_platform::store::{KeyedRecord, StoreClient, StoreError};
 use monsoonbank_platform::{configuration, entry, names};
 use rand::{RngExt, SeedableRng};
@@ -319,7 +319,7 @@
     *gateway.table.borrow_mut() = Some(Rc::new(rules));
     gateway.texts.borrow_mut().put(bytes.clone());
     if source == STORE_SOURCE || gateway.is_hub() {
-        gateway.tell(SpreadNews::All);
+        gateway.tell(GossipUrgency::All);
     }
 }
 
@@ -426,7 +426,7 @@
         upstreams.extend(keys);
     }
     if !upstreams.is_empty() && gateway.is_reader() {
-        gateway.tell(SpreadNews::All);
+        gateway.tell(GossipUrgency::All);
     }
     for key in upstreams {
         upstream_changed(gateway, key);
@@ -465,7 +465,7 @@
         let gone = gateway
             .registry
             .borrow_mut()
-            .settle(view.returned_at, gateway.clock.now());
+            .expire_lapsed(view.returned_at, gateway.clock.now());
         for key in gone {
             upstream_changed(&gateway, key);
         }
--- a/daemon/src/gateway/limits.rs
+++ b/daemon/src/gateway/limits.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use monsoonbank_kernel::gateway::fleet::SharedLimit;
+use monsoonbank_kernel::gateway::gossip::GossipUrgency;
 use monsoonbank_kernel::gateway::registry::{Upstream, UpstreamKey, UpstreamRegistry};
-use monsoonbank_kernel::gateway::spread::SpreadNews;
-use monsoonbank_kernel::gateway::throttle::{LimitReport, NamedLimit};
+use monsoonbank_kernel::gateway::throttle::{AdvertisedLimit, LimitReport};
 
 use crate::gateway::Gateway;
 use crate::gateway::decisions::Decision;
@@ -18,7 +18,7 @@
 
 /// Takes in what an answer of an upstream says of its limit.
 pub fn answered(gateway: &Gateway, key: UpstreamKey, per_second: Option<f64>) {
-    let said = NamedLimit {
+    let said = AdvertisedLimit {
         per_second,
         at: gateway.now(),
     };
@@ -30,7 +30,7 @@
     for report in reports {
         let key = gateway.registry.borrow().by_hash(report.run);
         if let Some(key) = key {
-            observe(gateway, key, report.named(gateway.now()), source);
+            observe(gateway, key, report.advertised(gateway.now()), source);
         }
     }
 }
@@ -76,7 +76,7 @@
     upstream.throttle.set_share(share, now);
 }
 
-fn observe(gateway: &Gateway, key: UpstreamKey, said: NamedLimit, source: &str) {
+fn observe(gateway: &Gateway, key: UpstreamKey, said: AdvertisedLimit, source: &str) {
     let now = gateway.now();
     let mut registry = gateway.registry.borrow_mut();
     let Some(upstream) = registry.get_mut(key) else {
@@ -91,6 +91,6 @@
         source,
     });
     drop(registry);
-    gateway.tell(SpreadNews::All);
+    gateway.tell(GossipUrgency::All);
     set_share(gateway, key, now);
 }
--- a/daemon/src/gateway/notices.rs
+++ b/daemon/src/gateway/notices.rs
@@ -24,7 +24,10 @@
 pub fn take_notices(gateway: &Gateway, key: UpstreamKey, notices: UpstreamNotices) {
     if notices.leaving {
         gateway.metrics.count_notice("leaving");
-        let is_news = gateway.registry.borrow_mut().announced(key, gateway.now());
+        let is_news = gateway
+            .registry
+            .borrow_mut()
+            .record_announcement(key, gateway.now());
         if is_news {
             follow::upstream_changed(gateway, key);
         }
@@ -40,7 +43,7 @@
     let Some(upstream) = registry.get_mut(key) else {
         return;
     };
-    upstream.pause.ask(pause, gateway.now());
+    upstream.pause.extend(pause, gateway.now());
     gateway.decisions.line(&Decision::PauseAsked {
         upstream: &upstream.entry.id,
         pause_ms: millis(pause),
--- a/daemon/src/gateway/peers.rs
+++ b/daemon/src/gateway/peers.rs
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use monsoonbank_kernel::gateway::heartbeat::{NodeCard, NodeHeartbeat, NodeState, WorkReport};
-use monsoonbank_kernel::gateway::spread::{
-    self, AnswerNeed, HeartbeatSpread, SeedChoice, SpreadNews, SpreadRound,
+use monsoonbank_kernel::gateway::gossip::{
+    self, GossipRound, GossipSchedule, GossipUrgency, ReplyReason, SeedChoice,
 };
+use monsoonbank_kernel::gateway::heartbeat::{NodeCard, NodeHeartbeat, NodeState, WorkReport};
 use tokio::net::UdpSocket;
 
 use crate::error::NodeError;
@@ -79,7 +79,7 @@
         .collect();
     let failing = registry
         .iter()
-        .filter(|(_, upstream)| upstream.health.warns(now))
+        .filter(|(_, upstream)| upstream.health.reports_failing(now))
         .map(|(_, upstream)| upstream.entry.run_hash())
         .collect();
     gateway.fleet.borrow_mut().set_state(gateway.state());
@@ -89,10 +89,10 @@
     let mut crashes = gateway.crashes.borrow_mut();
     let mut heartbeat = NodeHeartbeat {
         version: gateway.version(),
-        store_well: gateway.store.get().registry_known && !gateway.store_doubtful(),
+        store_reachable: gateway.store.get().registry_known && !gateway.store_doubtful(),
         store_age_ms: answered_at.map(|at| millis(now.saturating_sub(at))),
         registry_digest: registry.digest(),
-        seeking: spread::is_seeking(&fleet, now),
+        seeking: gossip::is_seeking(&fleet, now),
         fleet_size: fleet.size(now),
         zone_size: if fleet.is_hub(now) {
             fleet.zone_size(now)
@@ -103,7 +103,7 @@
         failing,
         departures: registry.departures(now),
         limits: limits::news(&registry, now),
-        crashes: crashes.news(now),
+        crashes: crashes.recent_reports(now),
         crash_digest: crashes.digest(),
         unix_ms: duties.map_or(0, |_| millis(host_time())),
         holder: duties.and_then(|duties| duties.notice(gateway)),
@@ -137,7 +137,7 @@
     socket: Rc<UdpSocket>,
     seeds: BTreeSet<SocketAddr>,
     seed_turn: usize,
-    spread: HeartbeatSpread,
+    spread: GossipSchedule,
     /// Parts of prompts that nodes of other zones have not heard of.
     far_parts: BTreeSet<(u32, u64, u64)>,
     /// When calls by workspace were sent last.
@@ -152,7 +152,7 @@
             socket,
             seeds,
             seed_turn: 0,
-            spread: HeartbeatSpread::default(),
+            spread: GossipSchedule::default(),
             far_parts: BTreeSet::new(),
             usage_at: Duration::ZERO,
             usage: UsageSender::default(),
@@ -180,13 +180,13 @@
     async fn round(&mut self) {
         let gateway = self.gateway.clone();
         let now = gateway.now();
-        gateway.fleet.borrow_mut().forget(now);
+        gateway.fleet.borrow_mut().expire(now);
         gateway.compare_clocks();
         limits::share_out(&gateway);
         let mut own = own_heartbeat(&gateway);
-        let round = SpreadRound {
+        let round = GossipRound {
             busy: gateway.open_calls.get() > 0,
-            news: gateway.news.take(),
+            urgency: gateway.news.take(),
             now,
         };
         let plan = self
@@ -246,7 +246,7 @@
     let gateway = speaker.gateway.clone();
     loop {
         let busy = gateway.open_calls.get() > 0;
-        let tick = spread::tick(&gateway.fleet.borrow(), busy, gateway.now());
+        let tick = gossip::tick(&gateway.fleet.borrow(), busy, gateway.now());
         gateway.decisions.flush();
         speaker.round().await;
         // A tick that passes and a notice both begin a round.
@@ -292,10 +292,10 @@
     exchange::catch_up(gateway, &heartbeat);
     gateway.room_notice.notify_waiters();
     let card = heartbeat.card.clone();
-    let (seeking, answers) = (heartbeat.seeking, heartbeat.answers);
-    let news = gateway.fleet.borrow_mut().heard(heartbeat, now);
+    let (seeking, answers) = (heartbeat.seeking, heartbeat.is_reply);
+    let news = gateway.fleet.borrow_mut().receive_heartbeat(heartbeat, now);
     if news.left && gateway.is_hub() {
-        gateway.tell(SpreadNews::All);
+        gateway.tell(GossipUrgency::All);
     }
     if news.fresh {
         gateway.speak_notice.notify_one();
@@ -307,14 +307,14 @@
     if answers {
         return;
     }
-    let need = AnswerNeed {
+    let need = ReplyReason {
         fresh: news.fresh,
         seeking,
     };
-    let lists = spread::answer(&gateway.fleet.borrow(), &card, need, now);
+    let lists = gossip::reply(&gateway.fleet.borrow(), &card, need, now);
     for cards in lists {
         let answer = NodeHeartbeat {
-            answers: true,
+            is_reply: true,
             cards,
             work: None,
             ..own_heartbeat(gateway)
@@ -325,13 +325,13 @@
 
 fn take_departures(gateway: &Gateway, heartbeat: &NodeHeartbeat, now: Duration) {
     for hash in &heartbeat.departures {
-        let departed = gateway.registry.borrow_mut().departed(*hash, now);
+        let departed = gateway.registry.borrow_mut().receive_departure(*hash, now);
         let Some(key) = departed else {
             continue;
         };
         follow::upstream_changed(gateway, key);
         if gateway.is_hub() {
-            gateway.tell(SpreadNews::All);
+            gateway.tell(GossipUrgency::All);
         }
     }
 }
@@ -342,20 +342,20 @@
     for work in heartbeat.work.iter().flatten() {
         let key = registry.by_hash(work.run);
         if let Some(upstream) = key.and_then(|key| registry.get_mut(key)) {
-            upstream.load.heard(node, work.count, now);
-            upstream.load.cache.heard(node, work.taken_tokens);
+            upstream.load.receive_report(node, work.count, now);
+            upstream.load.cache.receive_total(node, work.taken_tokens);
         }
     }
     for hash in &heartbeat.failing {
         let key = registry.by_hash(*hash);
         if let Some(upstream) = key.and_then(|key| registry.get_mut(key)) {
-            upstream.health.warned(now);
+            upstream.health.reported_failing(now);
         }
     }
     for (part, hash) in &heartbeat.parts {
         let key = registry.by_hash(*hash);
         if let Some(upstream) = key.and_then(|key| registry.get_mut(key)) {
-            upstream.load.part_used(*part, now);
+            upstream.load.record_part_sent(*part, now);
         }
     }
 }
--- a/daemon/src/gateway/quarantine.rs
+++ b/daemon/src/gateway/quarantine.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use monsoonbank_kernel::gateway::content::ContentDigest;
-use monsoonbank_kernel::gateway::crashes::{ContentVerdict, CrashNews, CrashReport};
-use monsoonbank_kernel::gateway::spread::SpreadNews;
+use monsoonbank_kernel::gateway::crashes::{ContentDecision, CrashChange, CrashReport};
+use monsoonbank_kernel::gateway::gossip::GossipUrgency;
 use monsoonbank_platform::names;
 use monsoonbank_platform::store::{KeyedRecord, StoreClient, StoreError};
 use serde::{Deserialize, Serialize};
@@ -43,8 +43,8 @@
 /// If its content is quarantined.
 pub fn check(gateway: &Gateway, call: &Call) -> Result<(), QuarantineError> {
     match verdict(gateway, call) {
-        ContentVerdict::Clear | ContentVerdict::Trial => Ok(()),
-        ContentVerdict::Quarantined { pause } => Err(refuse(gateway, call, pause)),
+        ContentDecision::Admitted | ContentDecision::Trial => Ok(()),
+        ContentDecision::Quarantined { pause } => Err(refuse(gateway, call, pause)),
     }
 }
 
@@ -55,21 +55,26 @@
 /// If its content is quarantined.
 pub fn begin_send(gateway: &Gateway, call: &Call) -> Result<(), QuarantineError> {
     match verdict(gateway, call) {
-        ContentVerdict::Clear => Ok(()),
-        ContentVerdict::Trial => {
+        ContentDecision::Admitted => Ok(()),
+        ContentDecision::Trial => {
             let now = gateway.now();
             gateway.crashes.borrow_mut().begin_trial(call.content, now);
-            gateway.tell(SpreadNews::All);
+            gateway.tell(GossipUrgency::All);
             Ok(())
         }
-        ContentVerdict::Quarantined { pause } => Err(refuse(gateway, call, pause)),
+        ContentDecision::Quarantined { pause } => Err(refuse(gateway, call, pause)),
     }
 }
 
-fn verdict(gateway: &Gateway, call: &Call) -> ContentVerdict {
+fn verdict(gateway: &Gateway, call: &Call) -> ContentDecision {
     let now = gateway.now();
-    let may_try = || gateway.fleet.borrow().is_drawn(call.content.into(), now);
-    gateway.crashes.borrow().verdict(call.content, may_try, now)
+    let may_try = || {
+        gateway
+            .fleet
+            .borrow()
+            .is_selected_hub(call.content.into(), now)
+    };
+    gateway.crashes.borrow().decide(call.content, may_try, now)
 }
 
 fn refuse(gateway: &Gateway, call: &Call, pause: Duration) -> QuarantineError {
@@ -86,8 +91,11 @@
 /// Takes in that the connection to a run of an upstream broke under a call.
 pub fn crashed(gateway: &Gateway, call: &Call, upstream: &str, run: u64) {
     let now = gateway.now();
-    let news = gateway.crashes.borrow_mut().crashed(call.content, run, now);
-    if news == CrashNews::Known {
+    let news = gateway
+        .crashes
+        .borrow_mut()
+        .record_crash(call.content, run, now);
+    if news == CrashChange::Unchanged {
         return;
     }
     gateway.decisions.line(&Decision::UpstreamBroke {
@@ -96,16 +104,20 @@
         upstream,
         crashes: gateway.crashes.borrow().crashes(call.content),
     });
-    gateway.tell(SpreadNews::Calls);
+    gateway.tell(GossipUrgency::Calls);
     note(gateway, call.content, news, OWN_SOURCE);
 }
 
 /// Takes in that a call was answered well.
 pub fn answered(gateway: &Gateway, call: &Call) {
     let now = gateway.now();
-    if gateway.crashes.borrow_mut().answered(call.content, now) {
-        gateway.tell(SpreadNews::All);
-        note(gateway, call.content, CrashNews::Cleared, OWN_SOURCE);
+    if gateway
+        .crashes
+        .borrow_mut()
+        .record_answer(call.content, now)
+    {
+        gateway.tell(GossipUrgency::All);
+        note(gateway, call.content, CrashChange::Cleared, OWN_SOURCE);
     }
 }
 
@@ -119,11 +131,11 @@
 }
 
 /// Writes a change down, and has it told at once to all that the node tells.
-fn note(gateway: &Gateway, content: ContentDigest, news: CrashNews, source: &str) {
+fn note(gateway: &Gateway, content: ContentDigest, news: CrashChange, source: &str) {
     let is_quarantined = match news {
-        CrashNews::Known | CrashNews::Noted => return,
-        CrashNews::Quarantined => true,
-        CrashNews::Cleared => false,
+        CrashChange::Unchanged | CrashChange::Updated => return,
+        CrashChange::Quarantined => true,
+        CrashChange::Cleared => false,
     };
     let ledger = gateway.crashes.borrow();
     gateway
@@ -136,7 +148,7 @@
         crashes: ledger.crashes(content),
         source,
     });
-    gateway.tell(SpreadNews::All);
+    gateway.tell(GossipUrgency::All);
 }
 
 /// Starts to read and write down what is quarantined.
@@ -152,7 +164,7 @@
 async fn keep(mut keeper: QuarantineKeeper) {
     let gateway = keeper.gateway.clone();
     while gateway.leaving_since.get().is_none() {
-        gateway.crashes.borrow_mut().forget(gateway.now());
+        gateway.crashes.borrow_mut().expire(gateway.now());
         if gateway.is_reader()
             && let Err(error) = keeper.step().await
         {
@@ -193,7 +205,7 @@
         };
         let known = self.known.insert(known);
         let now = self.gateway.now();
-        let settled = self.gateway.crashes.borrow().settled(now);
+        let settled = self.gateway.crashes.borrow().decided_reports(now);
         let is_new = |report: &&CrashReport| {
             known.digests.get(&report.content) != Some(&state_digest(report))
         };
--- a/daemon/src/gateway/relay.rs
+++ b/daemon/src/gateway/relay.rs
@@ -11,12 +11,12 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use monsoonbank_kernel::gateway::choice::{self, ChoiceInput, UpstreamChoice};
-use monsoonbank_kernel::gateway::gate::{self, GateError};
+use monsoonbank_kernel::gateway::eligibility::{self, EligibilityError};
+use monsoonbank_kernel::gateway::gossip::GossipUrgency;
 use monsoonbank_kernel::gateway::heartbeat;
 use monsoonbank_kernel::gateway::outcome::{self, AttemptEnd, CallHistory, NextStep};
 use monsoonbank_kernel::gateway::registry::UpstreamKey;
 use monsoonbank_kernel::gateway::rules::{AnswerForm, CallSafety};
-use monsoonbank_kernel::gateway::spread::SpreadNews;
 use monsoonbank_platform::answer::{self, AnswerKind};
 use monsoonbank_platform::head::{self, UpstreamOrder};
 use thiserror::Error;
@@ -69,7 +69,7 @@
 enum WithheldError {
     /// The upstream wants no call.
     #[error("{0}")]
-    Upstream(#[from] GateError),
+    Upstream(#[from] EligibilityError),
     /// The call's content is quarantined.
     #[error("{0}")]
     Content(#[from] QuarantineError),
@@ -191,14 +191,14 @@
 
 /// The upstream for a call, if one has room.
 pub fn choose(gateway: &Gateway, call: &Call, trail: &CallTrail) -> Option<UpstreamChoice> {
-    let rivals = gateway.fleet.borrow().rivals();
-    let silent = gateway.fleet.borrow().silent_rivals(gateway.now());
+    let rivals = gateway.fleet.borrow().sender_hashes();
+    let silent = gateway.fleet.borrow().silent_senders(gateway.now());
     let input = ChoiceInput {
         pool: &call.pool,
         zone: &gateway.settings.zone,
         node: heartbeat::node_hash(&gateway.settings.name),
-        rivals: &rivals,
-        silent,
+        senders: &rivals,
+        silent_senders: silent,
         prompt: &call.head.prompt,
         target: call.class.target,
         tier: call.tier,
@@ -229,7 +229,7 @@
     let next = outcome::next_step(failed.end, call.class.safety, trail.history, room);
     let mut registry = gateway.registry.borrow_mut();
     if failed.end == AttemptEnd::Moved {
-        registry.replaced(key);
+        registry.record_replacement(key);
         gateway.store_nudge.notify_waiters();
     }
     let Some(upstream) = registry.get_mut(key) else {
@@ -238,7 +238,7 @@
     let rests = match failed.end {
         AttemptEnd::Unreachable => upstream.health.unreachable(now),
         AttemptEnd::NotSent | AttemptEnd::Lost if now < call.deadline => {
-            upstream.health.silent(now)
+            upstream.health.unanswered(now)
         }
         AttemptEnd::Failed | AttemptEnd::Refused => upstream.health.failed(now),
         AttemptEnd::NotSent | AttemptEnd::Lost | AttemptEnd::Withheld | AttemptEnd::Moved => false,
@@ -257,12 +257,12 @@
         reason: &failed.reason,
     });
     if rests {
-        gateway.tell(SpreadNews::Calls);
+        gateway.tell(GossipUrgency::Calls);
         gateway.decisions.line(&Decision::UpstreamRests {
             upstream: &upstream.entry.id,
-            failures: upstream.health.failures(),
-            told: upstream.health.warns(now),
-            rest_ms: millis(upstream.health.rest_left(now)),
+            failures: upstream.health.failure_share(),
+            told: upstream.health.reports_failing(now),
+            rest_ms: millis(upstream.health.backoff_left(now)),
         });
     }
     next == NextStep::Retry
@@ -305,7 +305,7 @@
     budgets
         .entry(call.pool.clone())
         .or_default()
-        .try_repeat(now, &spec, nodes)
+        .try_retry(now, &spec, nodes)
 }
 
 async fn attempt(
@@ -318,7 +318,7 @@
     let not_sent = |reason: &dyn std::fmt::Display| FailedAttempt::new(AttemptEnd::NotSent, reason);
     let (id, address) = {
         let registry = gateway.registry.borrow();
-        let upstream = gate::check(&registry, choice.key, gateway.now())
+        let upstream = eligibility::check(&registry, choice.key, gateway.now())
             .map_err(|error| FailedAttempt::withheld(error.into()))?;
         (upstream.entry.id.clone(), upstream.entry.address)
     };
@@ -356,7 +356,7 @@
         unread: choice.unread_tokens,
         shared: call.head.prompt.shared_tokens(),
         known: choice.known_tokens,
-        kept: choice.kept_tokens,
+        kept: choice.cached_tokens,
         fetches: choice.fetch_from.is_some(),
         left_ms: millis(time_left),
     });
@@ -388,7 +388,7 @@
 
 /// The last look before a call is sent: what became known since its upstream was chosen.
 fn pass_gate(gateway: &Gateway, call: &Call, key: UpstreamKey) -> Result<(), WithheldError> {
-    gate::check(&gateway.registry.borrow(), key, gateway.now())?;
+    eligibility::check(&gateway.registry.borrow(), key, gateway.now())?;
     quarantine::begin_send(gateway, call)?;
     Ok(())
 }
@@ -407,7 +407,7 @@
 /// Where other upstreams may fetch from this one.
 fn address_of(gateway: &Gateway, key: UpstreamKey) -> Option<SocketAddr> {
     let registry = gateway.registry.borrow();
-    let upstream = gate::check(&registry, key, gateway.now()).ok()?;
+    let upstream = eligibility::check(&registry, key, gateway.now()).ok()?;
     Some(upstream.entry.address)
 }
 
@@ -493,7 +493,7 @@
 /// What the caller of a refused call is told to wait.
 fn pool_pause(gateway: &Gateway, call: &Call) -> Duration {
     let registry = gateway.registry.borrow();
-    let Some(left) = gate::opens_in(&registry, &call.pool, &[], gateway.now()) else {
+    let Some(left) = eligibility::eligible_in(&registry, &call.pool, &[], gateway.now()) else {
         return BUSY_PAUSE;
     };
     left.clamp(BUSY_PAUSE, LONGEST_PAUSE) + RANK_PAUSE * u32::from(call.tier)
--- a/daemon/src/gateway/reports.rs
+++ b/daemon/src/gateway/reports.rs
@@ -35,10 +35,10 @@
     let mut client = DutyClient::new(duties.settings.address);
     loop {
         let unix_now = gateway.unix_now();
-        duties.ledger.borrow_mut().forget(unix_now);
+        duties.ledger.borrow_mut().expire(unix_now);
         let missed = {
             let ledger = duties.ledger.borrow();
-            duties.reports.borrow_mut().forget(&ledger, unix_now)
+            duties.reports.borrow_mut().expire(&ledger, unix_now)
         };
         for window in missed {
             if !duties.is_holder() {
--- a/daemon/src/gateway/scaling.rs
+++ b/daemon/src/gateway/scaling.rs
@@ -89,13 +89,13 @@
                 (scaling, LoadMeter::default())
             });
             if let Some(load) = meter.measure(&gateway, &pool.name) {
-                scaling.measured(load, gateway.now());
+                scaling.record_load(load, gateway.now());
                 let total = scaling.needed(gateway.now());
                 duties.lease.borrow_mut().decide_engines(&pool.name, total);
                 let engines = zone_engines(&gateway, &pool.name);
                 gateway.decisions.line(&Decision::PoolBusy {
                     pool: &pool.name,
-                    engines: engines.values().map(|engines| engines.all()).sum(),
+                    engines: engines.values().map(|engines| engines.total()).sum(),
                     calls: load.calls,
                     tokens_per_s: load.tokens_per_s as u64,
                 });
@@ -142,10 +142,10 @@
     let present = zones.get(&order.zone).copied().unwrap_or_default();
     if outcome == OrderOutcome::Unavailable {
         // The same status says that another holder has a newer token.
-        duties.lease.borrow_mut().read_again();
+        duties.lease.borrow_mut().require_read();
     }
     write_down(gateway, pool, &order, present, stamp.token, given.err());
-    scaling.ordered(order, outcome, gateway.now());
+    scaling.record_order(order, outcome, gateway.now());
 }
 
 fn write_down(
@@ -162,7 +162,7 @@
         zone: &order.zone,
         kind: &order.kind.to_string(),
         desired: order.desired,
-        present: present.all(),
+        present: present.total(),
         token,
         outcome: if reason.is_some() {
             "failed"
--- a/daemon/src/gateway/stream.rs
+++ b/daemon/src/gateway/stream.rs
@@ -135,7 +135,9 @@
 fn first_token_age(gateway: &Gateway, call: &Call) -> Duration {
     let tokens = call.engine.map_or(1, |engine| engine.event_tokens.max(1));
     let pace = gateway.pace(call);
-    let event = pace.time_for(2.0).saturating_sub(pace.time_to_first());
+    let event = pace
+        .expected_duration(2.0)
+        .saturating_sub(pace.expected_first_event());
     event * (tokens - 1) / tokens
 }
 
@@ -305,7 +307,7 @@
         let rest = now.saturating_sub(first_at);
         let mut paces = self.gateway.paces.borrow_mut();
         let pace = paces.entry(self.call.stream_kind()).or_default();
-        pace.ended(first, rest, self.watch.events.saturating_sub(1));
+        pace.record_stream(first, rest, self.watch.events.saturating_sub(1));
     }
 
     /// Keeps the connection for other calls.
--- a/daemon/src/gateway/usage.rs
+++ b/daemon/src/gateway/usage.rs
@@ -82,7 +82,7 @@
         }
         self.sent.retain(|window, _| *window > notice.written);
         let own = gateway.settings.peer_address();
-        let receivers = std::iter::once(notice.peers).chain(notice.deputy);
+        let receivers = std::iter::once(notice.peers).chain(notice.successor);
         let receivers: Vec<SocketAddr> = receivers.filter(|receiver| *receiver != own).collect();
         (!pieces.is_empty()).then_some((receivers, pieces))
     }
--- a/daemon/src/gateway/waiting.rs
+++ b/daemon/src/gateway/waiting.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use monsoonbank_kernel::gateway::choice::UpstreamChoice;
-use monsoonbank_kernel::gateway::gate;
+use monsoonbank_kernel::gateway::eligibility;
 use monsoonbank_kernel::gateway::rules::AnswerForm;
 use monsoonbank_kernel::gateway::waiting::WaitRank;
 
@@ -43,7 +43,7 @@
 
 /// Until when a call is likely to be in time if it is sent. What its caller has spent on it before
 /// shows in the time that is left of the longest that it may take.
-fn hopeful_until(call: &Call) -> Duration {
+fn send_by(call: &Call) -> Duration {
     let timeout = call.class.timeout;
     let spent = timeout.saturating_sub(call.head.time_left.unwrap_or(timeout));
     let target = call.class.target.mul_f64(1.0 - SERVING_PART);
@@ -66,9 +66,9 @@
 
 /// Whether a call is late already and cannot be expected to end in its time either. Such a call
 /// would take an engine's time from others and be cut. One that was sent before goes on.
-fn is_in_vain(gateway: &Gateway, call: &Call, trail: &CallTrail, hopeful_until: Duration) -> bool {
+fn is_in_vain(gateway: &Gateway, call: &Call, trail: &CallTrail, send_by: Duration) -> bool {
     let now = gateway.now();
-    if hopeful_until > now || trail.history.sends > 0 {
+    if send_by > now || trail.history.sends > 0 {
         return false;
     }
     let (Some(engine), AnswerForm::Events { .. }) = (call.engine, call.class.form) else {
@@ -77,13 +77,13 @@
     let events = call.head.prompt.expected_events(engine.event_tokens);
     let left = call.deadline.saturating_sub(now);
     let pace = gateway.pace(call);
-    if pace.can_end(events, left) {
+    if pace.can_finish(events, left) {
         return false;
     }
     gateway.decisions.line(&Decision::TooLate {
         call: &call.head.id,
         expected_events: events as u64,
-        needs_ms: millis(pace.time_for(events)),
+        needs_ms: millis(pace.expected_duration(events)),
         left_ms: millis(left),
     });
     true
@@ -92,14 +92,17 @@
 /// Whether no upstream wants calls, nor will before the call has waited long enough.
 fn pauses_beyond(gateway: &Gateway, call: &Call, trail: &CallTrail, until: Duration) -> bool {
     let now = gateway.now();
-    let opens_in = gate::opens_in(&gateway.registry.borrow(), &call.pool, &trail.tried, now);
-    let Some(opens_in) = opens_in.filter(|opens_in| now.saturating_add(*opens_in) >= until) else {
+    let eligible_in =
+        eligibility::eligible_in(&gateway.registry.borrow(), &call.pool, &trail.tried, now);
+    let Some(eligible_in) =
+        eligible_in.filter(|eligible_in| now.saturating_add(*eligible_in) >= until)
+    else {
         return false;
     };
     gateway.decisions.line(&Decision::PoolPaused {
         call: &call.head.id,
         pool: &call.pool,
-        opens_ms: (opens_in < Duration::MAX).then(|| millis(opens_in)),
+        opens_ms: (eligible_in < Duration::MAX).then(|| millis(eligible_in)),
     });
     true
 }
@@ -109,8 +112,8 @@
 fn waits_until(gateway: &Gateway, call: &Call) -> Duration {
     let now = gateway.now();
     let part = call.deadline.saturating_sub(now).mul_f64(PATIENCE_PART);
-    let patience = call.class.patience.unwrap_or(part);
-    let first = gateway.pace(call).time_to_first();
+    let patience = call.class.event_timeout.unwrap_or(part);
+    let first = gateway.pace(call).expected_first_event();
     now + part.min(patience.saturating_sub(first))
 }
 
@@ -124,8 +127,8 @@
     call: &Call,
     trail: &CallTrail,
 ) -> Result<UpstreamChoice, WaitEnd> {
-    let hopeful_until = hopeful_until(call);
-    if is_in_vain(gateway, call, trail, hopeful_until) {
+    let send_by = send_by(call);
+    if is_in_vain(gateway, call, trail, send_by) {
         return Err(WaitEnd::TooLate);
     }
     let blocked = |rank: Option<WaitRank>| {
@@ -145,11 +148,10 @@
         return Ok(choice);
     }
     let since = gateway.now();
-    let rank =
-        gateway
-            .waiting
-            .borrow_mut()
-            .join(&call.pool, call.tier, hopeful_until, call.deadline);
+    let rank = gateway
+        .waiting
+        .borrow_mut()
+        .join(&call.pool, call.tier, send_by, call.deadline);
     let place = WaitPlace {
         gateway,
         pool: &call.pool,
@@ -157,7 +159,7 @@
     };
     let mut found = Err(WaitEnd::NoRoom);
     while found.is_err() && gateway.now() < until {
-        if is_in_vain(gateway, call, trail, hopeful_until) {
+        if is_in_vain(gateway, call, trail, send_by) {
             found = Err(WaitEnd::TooLate);
             break;
         }
--- a/daemon/src/gateway/work.rs
+++ b/daemon/src/gateway/work.rs
@@ -36,15 +36,15 @@
             upstream.load.sent(now);
             if let Some(engine) = call.engine {
                 let cache = &mut upstream.load.cache;
-                cache.take(choice.taken_tokens, engine.cache_tokens);
+                cache.record_tokens(choice.taken_tokens, engine.cache_tokens);
             }
-            upstream.health.tried(now);
-            upstream.throttle.take(now);
+            upstream.health.attempt_started(now);
+            upstream.throttle.consume(now);
             let hash = upstream.entry.run_hash();
             let mut sent_parts = gateway.sent_parts.borrow_mut();
             let shared = prompt.shared_parts();
             for (index, part) in shared.iter().enumerate() {
-                let is_news = upstream.load.part_used(part.id, now);
+                let is_news = upstream.load.record_part_sent(part.id, now);
                 // What comes after a part tells of it too.
                 if is_news || index + 1 == shared.len() {
                     sent_parts.insert((part.tokens, part.id, hash));
@@ -65,7 +65,7 @@
         let now = self.gateway.now();
         if let Some(upstream) = self.gateway.registry.borrow_mut().get_mut(self.key) {
             for part in self.call.head.prompt.shared_parts() {
-                upstream.load.part_read(part.id, now);
+                upstream.load.record_part_read(part.id, now);
             }
         }
         self.reading_ended();
--- a/daemon/tests/gateway/heartbeats.rs
+++ b/daemon/tests/gateway/heartbeats.rs
@@ -28,7 +28,7 @@
         state: NodeState::Ready,
     };
     NodeHeartbeat {
-        store_well: true,
+        store_reachable: true,
         ..NodeHeartbeat::new(card)
     }
 }
--- a/kernel/benches/rules.rs
+++ b/kernel/benches/rules.rs
@@ -144,7 +144,7 @@
             tier: 0,
             timeout: Duration::from_secs(1),
             target: Duration::from_millis(100),
-            patience: None,
+            event_timeout: None,
             max_attempts: 2,
             gap: Some(Duration::from_millis(250)),
             cached: false,
--- a/kernel/src/gateway.rs
+++ b/kernel/src/gateway.rs
@@ -6,13 +6,15 @@
 
 pub mod budget;
 pub mod cache;
+pub mod capacity;
 pub mod choice;
 pub mod content;
 pub mod crashes;
 pub mod duty;
+pub mod eligibility;
 pub mod entries;
 pub mod fleet;
-pub mod gate;
+pub mod gossip;
 pub mod health;
 pub mod heartbeat;
 pub mod lag;
@@ -24,10 +26,8 @@
 pub mod prompt;
 pub mod registry;
 pub mod reports;
-pub mod room;
 pub mod rules;
 pub mod scaling;
-pub mod spread;
 pub mod throttle;
 pub mod transfers;
 pub mod usage;
--- a/kernel/src/gateway/budget.rs
+++ b/kernel/src/gateway/budget.rs
@@ -32,7 +32,7 @@
     }
 
     /// Takes leave to send once more; `nodes` share the slack.
-    pub fn try_repeat(&mut self, now: Duration, spec: &BudgetSpec, nodes: usize) -> bool {
+    pub fn try_retry(&mut self, now: Duration, spec: &BudgetSpec, nodes: usize) -> bool {
         self.forget(now, spec.window);
         let share = spec.slack / nodes.max(1) as f64;
         let allowance = USED_PART * (spec.ratio * self.calls.len() as f64 + share);
--- a/kernel/src/gateway/cache.rs
+++ b/kernel/src/gateway/cache.rs
@@ -44,7 +44,7 @@
 impl PromptCache {
     /// Records that a call of this node adds `tokens` to the cache of an engine, which holds `size`
     /// tokens.
-    pub fn take(&mut self, tokens: u32, size: u64) {
+    pub fn record_tokens(&mut self, tokens: u32, size: u64) {
         self.size = Some(size);
         self.own_taken += u64::from(tokens);
         self.taken += u64::from(tokens);
@@ -63,7 +63,7 @@
 
     /// Records another node's report of the number of tokens that its calls have added. The count
     /// in its first report is not added here; after a restart the node counts from zero.
-    pub fn heard(&mut self, node: &str, taken: u64) {
+    pub fn receive_total(&mut self, node: &str, taken: u64) {
         let before = self.others_taken.insert(node.into(), taken);
         let before = before.unwrap_or(taken);
         self.taken += taken.checked_sub(before).unwrap_or(taken);
@@ -71,7 +71,7 @@
 
     /// Records that a call uses a part now; the engine has prefilled it at `read_at` unless it was
     /// cached before. Returns whether it was not known to be cached.
-    pub fn note(&mut self, part: u64, read_at: Duration, moment: CacheMoment) -> bool {
+    pub fn record_use(&mut self, part: u64, read_at: Duration, moment: CacheMoment) -> bool {
         let kept = self.parts.get(&part).copied();
         let kept = kept.filter(|old| self.keeps(old, moment));
         let new = PartUse {
@@ -91,7 +91,7 @@
 
     /// Number of tokens of the prompt's shared parts that the engine has cached or will have
     /// prefilled before a call that is sent now: a part is cached together with all before it.
-    pub fn kept_tokens(&self, prompt: &PromptShape, moment: CacheMoment) -> u32 {
+    pub fn cached_tokens(&self, prompt: &PromptShape, moment: CacheMoment) -> u32 {
         self.tokens_up_to(prompt, |part| self.keeps(part, moment))
     }
 
--- a/kernel/src/gateway/room.rs
+++ b/kernel/src/gateway/capacity.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::gateway::choice::{ChoiceInput, UpstreamPlace};
+use crate::gateway::choice::{CandidatePlace, ChoiceInput};
 use crate::gateway::load::TOKENS_PER_MS;
 
 /// Share of an engine's slots that is used. The rest is for calls that other nodes have sent and
@@ -31,18 +31,18 @@
 
 /// Whether an upstream can accept the call without delaying or preempting others. Less urgent calls
 /// leave more capacity free.
-pub fn has_room(place: UpstreamPlace, unread: u32, input: &ChoiceInput) -> bool {
-    if !place.option.upstream.throttle.is_open(input.now) {
+pub fn has_capacity(place: CandidatePlace, unread: u32, input: &ChoiceInput) -> bool {
+    if !place.candidate.upstream.throttle.is_open(input.now) {
         return false;
     }
-    let total = place.option.total;
-    let slots = f64::from(place.option.upstream.entry.slots);
+    let total = place.candidate.total;
+    let slots = f64::from(place.candidate.upstream.entry.slots);
     if input.cache_tokens == 0 {
         return f64::from(total.calls) < slots * PLAIN_QUEUE;
     }
     let crowds =
         unread > CHUNK_TOKENS && f64::from(total.tight_streams) >= slots * UNDISTURBED_PART;
-    if place.kept && !input.tight && crowds {
+    if place.reserved && !input.tight && crowds {
         return false;
     }
     let alone = total.calls == 0;
@@ -58,23 +58,23 @@
 }
 
 /// Time that an upstream needs to prefill its pending prompts.
-fn reading_time(place: UpstreamPlace) -> Duration {
-    let tokens = f64::from(place.option.total.prompt_tokens);
+fn reading_time(place: CandidatePlace) -> Duration {
+    let tokens = f64::from(place.candidate.total.prompt_tokens);
     Duration::from_secs_f64(tokens / TOKENS_PER_MS / 1000.0)
 }
 
 /// Estimate of calls that other nodes sent but have not reported yet: one from each node that ranks
 /// before this one, or, for each of this node's own unreported calls, as many as other nodes have
 /// for each of its reported ones.
-fn unseen_calls(place: UpstreamPlace, input: &ChoiceInput) -> f64 {
-    let load = &place.option.upstream.load;
-    let slots = f64::from(place.option.upstream.entry.slots);
-    let unheard = load.unheard(input.now) as f64;
-    let heard = (f64::from(load.own().calls) - unheard).max(0.0);
-    let others = f64::from(place.option.total.calls.saturating_sub(load.own().calls));
-    let rivals = input.rivals.len() as f64;
+fn unseen_calls(place: CandidatePlace, input: &ChoiceInput) -> f64 {
+    let load = &place.candidate.upstream.load;
+    let slots = f64::from(place.candidate.upstream.entry.slots);
+    let unreported_calls = load.unreported_calls(input.now) as f64;
+    let heard = (f64::from(load.own().calls) - unreported_calls).max(0.0);
+    let others = f64::from(place.candidate.total.calls.saturating_sub(load.own().calls));
+    let rivals = input.senders.len() as f64;
     let ratio = (others + rivals) / (heard + 1.0);
     (place.rank as f64)
         .min(slots * UNSEEN_PART)
-        .max(unheard * ratio.min(rivals))
+        .max(unreported_calls * ratio.min(rivals))
 }
--- a/kernel/src/gateway/choice.rs
+++ b/kernel/src/gateway/choice.rs
@@ -10,12 +10,12 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::gateway::cache::CacheMoment;
-use crate::gateway::gate;
+use crate::gateway::capacity;
+use crate::gateway::eligibility;
 use crate::gateway::load::{TOKENS_PER_MS, WorkCount};
-use crate::gateway::partition::{self, UpstreamOption};
+use crate::gateway::partition::{self, UpstreamCandidate};
 use crate::gateway::prompt::PromptShape;
 use crate::gateway::registry::{Upstream, UpstreamKey, UpstreamRegistry};
-use crate::gateway::room;
 
 /// Delay in ms that each call in a batch adds to the others: it lengthens each of some hundred
 /// steps by a few hundredths of a ms.
@@ -62,10 +62,10 @@
     /// Hash that identifies this node.
     pub node: u64,
     /// Hashes of the other nodes that send calls.
-    pub rivals: &'a [u64],
+    pub senders: &'a [u64],
     /// Number of those nodes whose heartbeats stopped: each is assumed to have as much work at
     /// every upstream as this node.
-    pub silent: u32,
+    pub silent_senders: u32,
     /// Prompt of the call.
     pub prompt: &'a PromptShape,
     /// Target latency of the first event of the answer.
@@ -96,7 +96,7 @@
     /// Prompt tokens that the upstream has to prefill.
     pub unread_tokens: u32,
     /// Tokens of the prompt's shared parts that the upstream has cached or is about to prefill.
-    pub kept_tokens: u32,
+    pub cached_tokens: u32,
     /// Largest number of such tokens at any upstream of the pool.
     pub known_tokens: u32,
     /// Prompt tokens that are added to the upstream's cache: prefilled and fetched ones.
@@ -115,16 +115,17 @@
 /// Selects the cheapest upstream that accepts new calls and has capacity for this one; `None` if
 /// there is none. Upstreams that are backed off are used only if no healthy one has capacity.
 pub fn choose(registry: &UpstreamRegistry, input: &ChoiceInput) -> Option<UpstreamChoice> {
-    let all: Vec<UpstreamOption> = gate::open_upstreams(registry, input.pool, input.now)
-        .map(|(key, upstream)| UpstreamOption {
-            key,
-            upstream,
-            total: upstream.load.total(input.now) + upstream.load.own() * input.silent,
-            resting: upstream.health.resting(input.now),
-        })
-        .collect();
+    let all: Vec<UpstreamCandidate> =
+        eligibility::eligible_upstreams(registry, input.pool, input.now)
+            .map(|(key, upstream)| UpstreamCandidate {
+                key,
+                upstream,
+                total: upstream.load.total(input.now) + upstream.load.own() * input.silent_senders,
+                backed_off: upstream.health.is_backed_off(input.now),
+            })
+            .collect();
     let kept = if input.cache_tokens > 0 {
-        partition::kept_for_tight(&all)
+        partition::reserved_for_tight(&all)
     } else {
         BTreeSet::new()
     };
@@ -138,20 +139,20 @@
     let fresh = all
         .iter()
         .filter(|option| !input.tried.contains(&option.key));
-    let (resting, sound): (Vec<_>, Vec<_>) = fresh.partition(|option| option.resting);
-    let cheapest = |options: &[&UpstreamOption]| {
+    let (resting, sound): (Vec<_>, Vec<_>) = fresh.partition(|option| option.backed_off);
+    let cheapest = |options: &[&UpstreamCandidate]| {
         options
             .iter()
             .map(|option| {
-                let place = UpstreamPlace {
-                    option,
-                    kept: kept.contains(&option.key),
-                    home: home == Some(option.key),
+                let place = CandidatePlace {
+                    candidate: option,
+                    reserved: kept.contains(&option.key),
+                    is_home: home == Some(option.key),
                     rank: own_rank(option.upstream, input),
                 };
                 (place, weigh(place, input, keeper, known_tokens))
             })
-            .filter(|(place, choice)| room::has_room(*place, choice.unread_tokens, input))
+            .filter(|(place, choice)| capacity::has_capacity(*place, choice.unread_tokens, input))
             .map(|(_, choice)| choice)
             .min_by(|one, other| one.cost.total_cmp(&other.cost))
     };
@@ -165,52 +166,57 @@
 /// answer some calls, and with most of a pool backed off, the few others cannot serve its load. A
 /// call that may run only once goes there if it is more likely to succeed than to fail.
 fn overflow<'a>(
-    resting: &[&'a UpstreamOption<'a>],
+    resting: &[&'a UpstreamCandidate<'a>],
     input: &ChoiceInput,
-) -> Vec<&'a UpstreamOption<'a>> {
-    let fits = |option: &&&UpstreamOption| {
+) -> Vec<&'a UpstreamCandidate<'a>> {
+    let fits = |option: &&&UpstreamCandidate| {
         let health = &option.upstream.health;
-        health.answers_some(input.now) && (input.repeatable || health.failures() < LIKELY_LOST)
+        health.answered_recently(input.now)
+            && (input.repeatable || health.failure_share() < LIKELY_LOST)
     };
     resting.iter().filter(fits).copied().collect()
 }
 
 /// An upstream and its role in its pool for one call.
 #[derive(Clone, Copy, Debug)]
-pub struct UpstreamPlace<'a> {
+pub struct CandidatePlace<'a> {
     /// Upstream and its total work.
-    pub option: &'a UpstreamOption<'a>,
+    pub candidate: &'a UpstreamCandidate<'a>,
     /// Whether it is reserved for tight streams.
-    pub kept: bool,
+    pub reserved: bool,
     /// Whether all nodes agree on it for the call's prompt while none is known to have it cached.
-    pub home: bool,
+    pub is_home: bool,
     /// Number of sending nodes that rank before this one at this upstream.
     pub rank: usize,
 }
 
 /// Largest number of tokens of the prompt's shared parts that any upstream has cached or is about
 /// to prefill.
-fn known_tokens(all: &[UpstreamOption], input: &ChoiceInput) -> u32 {
+fn known_tokens(all: &[UpstreamCandidate], input: &ChoiceInput) -> u32 {
     let tokens = all.iter().map(|option| kept_tokens(option, input));
     tokens.max().unwrap_or(0)
 }
 
-fn kept_tokens(option: &UpstreamOption, input: &ChoiceInput) -> u32 {
+fn kept_tokens(option: &UpstreamCandidate, input: &ChoiceInput) -> u32 {
     let moment = cache_moment(option, input);
-    option.upstream.load.cache.kept_tokens(input.prompt, moment)
+    option
+        .upstream
+        .load
+        .cache
+        .cached_tokens(input.prompt, moment)
 }
 
-fn cache_moment(option: &UpstreamOption, input: &ChoiceInput) -> CacheMoment {
+fn cache_moment(option: &UpstreamCandidate, input: &ChoiceInput) -> CacheMoment {
     CacheMoment {
         now: input.now,
         held_tokens: option.total.held_tokens,
     }
 }
 
-fn prompt_keeper(all: &[UpstreamOption], input: &ChoiceInput) -> Option<PromptKeeper> {
+fn prompt_keeper(all: &[UpstreamCandidate], input: &ChoiceInput) -> Option<PromptKeeper> {
     let (option, tokens) = all
         .iter()
-        .filter(|option| !option.resting)
+        .filter(|option| !option.backed_off)
         .map(|option| {
             let cache = &option.upstream.load.cache;
             let moment = cache_moment(option, input);
@@ -221,19 +227,19 @@
     (tokens > 0).then_some(PromptKeeper { key, tokens })
 }
 
-fn is_near(option: &UpstreamOption, input: &ChoiceInput) -> bool {
+fn is_near(option: &UpstreamCandidate, input: &ChoiceInput) -> bool {
     &*option.upstream.entry.zone == input.zone
 }
 
 /// Upstream on which all nodes of a zone agree for the call's last shared part, among those for
 /// calls of its kind: the one with the highest hash.
 fn anchor_home(
-    all: &[UpstreamOption],
+    all: &[UpstreamCandidate],
     kept: &BTreeSet<UpstreamKey>,
     input: &ChoiceInput,
 ) -> Option<UpstreamKey> {
     let anchor = input.prompt.shared_parts().last()?;
-    let fits = |option: &&UpstreamOption| kept.contains(&option.key) == input.tight;
+    let fits = |option: &&UpstreamCandidate| kept.contains(&option.key) == input.tight;
     let any_near = all.iter().filter(fits).any(|option| is_near(option, input));
     all.iter()
         .filter(fits)
@@ -246,18 +252,18 @@
 }
 
 fn weigh(
-    place: UpstreamPlace,
+    place: CandidatePlace,
     input: &ChoiceInput,
     keeper: Option<PromptKeeper>,
     known_tokens: u32,
 ) -> UpstreamChoice {
-    let UpstreamOption {
+    let UpstreamCandidate {
         key,
         upstream,
         total,
         ..
-    } = *place.option;
-    let kept = kept_tokens(place.option, input);
+    } = *place.candidate;
+    let kept = kept_tokens(place.candidate, input);
     let keeper = keeper.filter(|keeper| keeper.key != key && keeper.tokens > kept);
     let fetched = keeper.map_or(0, |keeper| keeper.tokens - kept);
     let unread = input.prompt.prompt_tokens.saturating_sub(kept + fetched);
@@ -269,23 +275,23 @@
     let read_again = known_tokens.saturating_sub(kept + fetched);
     cost += (REREAD_COST * f64::from(read_again) + FETCH_COST * f64::from(fetched)) / 1000.0;
     cost += stall_cost(place, input, f64::from(unread));
-    cost += FAILURE_COST * upstream.health.failures();
+    cost += FAILURE_COST * upstream.health.failure_share();
     if upstream.health.unproven() && !input.repeatable {
         cost += FAILURE_COST;
     }
-    if !is_near(place.option, input) {
+    if !is_near(place.candidate, input) {
         cost += ZONE_COST;
     }
-    if place.home {
+    if place.is_home {
         let shared = input.prompt.shared_tokens();
         cost -= HOME_COST * f64::from(shared) / 1000.0;
     }
-    cost += LEAN_COST * place.rank as f64 / (input.rivals.len() + 1) as f64;
+    cost += LEAN_COST * place.rank as f64 / (input.senders.len() + 1) as f64;
     UpstreamChoice {
         key,
         cost,
         unread_tokens: unread,
-        kept_tokens: kept,
+        cached_tokens: kept,
         known_tokens,
         taken_tokens: unread + fetched,
         fetch_from: keeper.map(|keeper| keeper.key),
@@ -298,7 +304,7 @@
     let id = upstream.entry.id.as_bytes();
     let own = xxh3_64_with_seed(id, input.node);
     let before = |rival: &&u64| xxh3_64_with_seed(id, **rival) < own;
-    input.rivals.iter().filter(before).count()
+    input.senders.iter().filter(before).count()
 }
 
 /// Cost of the call's own wait.
@@ -309,17 +315,17 @@
 }
 
 /// Cost to tight streams of prompts that are prefilled beside them, now and later.
-fn stall_cost(place: UpstreamPlace, input: &ChoiceInput, unread: f64) -> f64 {
-    let total = place.option.total;
+fn stall_cost(place: CandidatePlace, input: &ChoiceInput, unread: f64) -> f64 {
+    let total = place.candidate.total;
     let pending = (f64::from(total.prompt_tokens) + unread) / STALL_TOKENS;
-    let to_come = if input.tight && !place.kept {
+    let to_come = if input.tight && !place.reserved {
         COMING_COST
     } else {
         0.0
     };
     let streams = if input.tight {
         3.0
-    } else if place.kept {
+    } else if place.reserved {
         f64::from(total.tight_streams).max(COMING_STREAMS)
     } else {
         f64::from(total.tight_streams)
--- a/kernel/src/gateway/crashes.rs
+++ b/kernel/src/gateway/crashes.rs
@@ -59,11 +59,11 @@
 
 /// Effect of a report on this node's records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CrashNews {
+pub enum CrashChange {
     /// The report contained nothing new, or was too old.
-    Known,
+    Unchanged,
     /// The record changed, but the content is admitted or rejected as before.
-    Noted,
+    Updated,
     /// The content is newly quarantined.
     Quarantined,
     /// The quarantine ended, since a call with the content was answered successfully.
@@ -72,9 +72,9 @@
 
 /// Whether a call with given content may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ContentVerdict {
+pub enum ContentDecision {
     /// The content is not quarantined; the call may be sent.
-    Clear,
+    Admitted,
     /// The content is quarantined, and this node may send the call once to test whether it still
     /// causes a crash.
     Trial,
@@ -163,7 +163,7 @@
 impl CrashLedger {
     /// Records that the connection to this run of an upstream broke during a call with this
     /// content.
-    pub fn crashed(&mut self, content: ContentDigest, run: u64, now: Duration) -> CrashNews {
+    pub fn record_crash(&mut self, content: ContentDigest, run: u64, now: Duration) -> CrashChange {
         let known = self.records.get(&content);
         let report = CrashReport {
             content,
@@ -176,7 +176,7 @@
     }
 
     /// Merges another node's report.
-    pub fn receive(&mut self, report: &CrashReport, now: Duration) -> CrashNews {
+    pub fn receive(&mut self, report: &CrashReport, now: Duration) -> CrashChange {
         let at = now.saturating_sub(Duration::from_millis(report.age_ms));
         let mut record = self
             .records
@@ -185,20 +185,20 @@
             .unwrap_or_default();
         let was_quarantined = record.is_quarantined();
         if !record.merge(report, at) || record.ends_at() <= now {
-            return CrashNews::Known;
+            return CrashChange::Unchanged;
         }
         let is_quarantined = record.is_quarantined();
         self.put(report.content, record, now);
         match (was_quarantined, is_quarantined) {
-            (false, true) => CrashNews::Quarantined,
-            (true, false) => CrashNews::Cleared,
-            _ => CrashNews::Noted,
+            (false, true) => CrashChange::Quarantined,
+            (true, false) => CrashChange::Cleared,
+            _ => CrashChange::Updated,
         }
     }
 
     /// Records that a call with this content was answered successfully. Returns whether that ends
     /// its quarantine.
-    pub fn answered(&mut self, content: ContentDigest, now: Duration) -> bool {
+    pub fn record_answer(&mut self, content: ContentDigest, now: Duration) -> bool {
         let Some(record) = self.records.get(&content) else {
             return false;
         };
@@ -220,25 +220,25 @@
     /// Decides whether a call with this content may be sent. `may_try` returns whether this node is
     /// the one that makes trials. A trial covers one attempt: each further one needs a new
     /// decision.
-    pub fn verdict(
+    pub fn decide(
         &self,
         content: ContentDigest,
         may_try: impl FnOnce() -> bool,
         now: Duration,
-    ) -> ContentVerdict {
+    ) -> ContentDecision {
         let Some(record) = self.records.get(&content) else {
-            return ContentVerdict::Clear;
+            return ContentDecision::Admitted;
         };
         if !record.is_quarantined() || record.ends_at() <= now {
-            return ContentVerdict::Clear;
+            return ContentDecision::Admitted;
         }
         let trial_at = record.trial_at();
         if trial_at.is_some_and(|at| at <= now) && may_try() {
-            return ContentVerdict::Trial;
+            return ContentDecision::Trial;
         }
         let next = trial_at.filter(|at| *at > now);
         let until = next.unwrap_or_else(|| record.ends_at());
-        ContentVerdict::Quarantined {
+        ContentDecision::Quarantined {
             pause: until.saturating_sub(now),
         }
     }
@@ -260,7 +260,7 @@
 
     /// Recent changes for the next heartbeat, at most `MOST_NEWS`: content closest to or in
     /// quarantine first, the others in turn.
-    pub fn news(&mut self, now: Duration) -> Vec<CrashReport> {
+    pub fn recent_reports(&mut self, now: Duration) -> Vec<CrashReport> {
         while self
             .news
             .front()
@@ -285,7 +285,7 @@
 
     /// Reports on all contents that are quarantined or were cleared, on which all nodes have to
     /// agree.
-    pub fn settled(&self, now: Duration) -> Vec<CrashReport> {
+    pub fn decided_reports(&self, now: Duration) -> Vec<CrashReport> {
         let settled = self
             .records
             .iter()
@@ -308,7 +308,7 @@
     }
 
     /// Removes expired records.
-    pub fn forget(&mut self, now: Duration) {
+    pub fn expire(&mut self, now: Duration) {
         let count = self.records.len();
         self.records.retain(|_, record| record.ends_at() > now);
         if self.records.len() < count {
--- a/kernel/src/gateway/duty.rs
+++ b/kernel/src/gateway/duty.rs
@@ -111,7 +111,7 @@
     /// Records the era shown in any answer of the store and returns whether it is a new one. A new
     /// era ends a held lease, and a whole lease must pass before the next claim. `window` is the
     /// first usage window that begins after now.
-    pub fn see_era(&mut self, era: u64, window: u64, now: Duration) -> bool {
+    pub fn observe_era(&mut self, era: u64, window: u64, now: Duration) -> bool {
         if self.era.is_some_and(|known| known >= era) {
             return false;
         }
@@ -124,7 +124,7 @@
     }
 
     /// Records a read of the topic; one of an earlier era is ignored.
-    pub fn see_topic(&mut self, topic: &DutyTopic, now: Duration, random: &mut Pcg64Mcg) {
+    pub fn observe_topic(&mut self, topic: &DutyTopic, now: Duration, random: &mut Pcg64Mcg) {
         if self.era != Some(topic.era) {
             return;
         }
@@ -213,7 +213,7 @@
 
     /// Requires the log to be read before anything else is done: an unanswered claim may have been
     /// appended or still be, and a rejected request may mean that another holder took over.
-    pub fn read_again(&mut self) {
+    pub fn require_read(&mut self) {
         self.end = None;
     }
 
@@ -257,7 +257,7 @@
     /// Records the lease's newest record as received in another node's heartbeat. It counts as if
     /// it were read now, so a node need not read the log to know when the lease expires.
     pub fn observe(&mut self, newest: u64, window: u64, now: Duration, random: &mut Pcg64Mcg) {
-        self.see_era(newest >> OFFSET_BITS, window, now);
+        self.observe_era(newest >> OFFSET_BITS, window, now);
         if self.era != Some(newest >> OFFSET_BITS) {
             return;
         }
--- a/kernel/src/gateway/gate.rs
+++ b/kernel/src/gateway/eligibility.rs
@@ -9,7 +9,7 @@
 
 /// Why a request is not sent to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum GateError {
+pub enum EligibilityError {
     /// It is not known.
     #[error("the upstream is not known")]
     Unknown,
@@ -30,19 +30,19 @@
     registry: &UpstreamRegistry,
     key: UpstreamKey,
     now: Duration,
-) -> Result<&Upstream, GateError> {
-    let upstream = registry.get(key).ok_or(GateError::Unknown)?;
+) -> Result<&Upstream, EligibilityError> {
+    let upstream = registry.get(key).ok_or(EligibilityError::Unknown)?;
     if let Some(cause) = upstream.left {
-        return Err(GateError::Left(cause));
+        return Err(EligibilityError::Left(cause));
     }
     match upstream.pause.left(now) {
-        Some(left) => Err(GateError::Paused(left)),
+        Some(left) => Err(EligibilityError::Paused(left)),
         None => Ok(upstream),
     }
 }
 
 /// Upstreams of a pool that requests may be sent to now.
-pub fn open_upstreams<'a>(
+pub fn eligible_upstreams<'a>(
     registry: &'a UpstreamRegistry,
     pool: &str,
     now: Duration,
@@ -53,14 +53,14 @@
 
 /// Time until the first upstream of a pool wants requests again that is not among `tried`, if none does
 /// now and some asked for a pause; the longest time if all those were tried.
-pub fn opens_in(
+pub fn eligible_in(
     registry: &UpstreamRegistry,
     pool: &str,
     tried: &[UpstreamKey],
     now: Duration,
 ) -> Option<Duration> {
     let is_fresh = |key: UpstreamKey| !tried.contains(&key);
-    if open_upstreams(registry, pool, now).any(|(key, _)| is_fresh(key)) {
+    if eligible_upstreams(registry, pool, now).any(|(key, _)| is_fresh(key)) {
         return None;
     }
     let pauses = registry
--- a/kernel/src/gateway/fleet.rs
+++ b/kernel/src/gateway/fleet.rs
@@ -41,7 +41,7 @@
     /// Its newest heartbeat; contains only its card if none was received yet.
     pub heartbeat: NodeHeartbeat,
     /// Time at which its newest heartbeat was received; `None` if none was.
-    pub heard_at: Option<Duration>,
+    pub last_heartbeat_at: Option<Duration>,
     /// Time at which any heartbeat, its own or another node's, contained its card.
     named_at: Duration,
     /// Time since when this node has sent it heartbeats and expects some in return.
@@ -50,12 +50,12 @@
 
 impl FleetPeer {
     fn heard_within(&self, age: Duration, now: Duration) -> bool {
-        self.heard_at.is_some_and(|at| at + age > now)
+        self.last_heartbeat_at.is_some_and(|at| at + age > now)
     }
 
     /// Whether heartbeats were expected from it and did not arrive for `age`.
     fn is_silent(&self, age: Duration, now: Duration) -> bool {
-        let last = self.expected_since.max(self.heard_at);
+        let last = self.expected_since.max(self.last_heartbeat_at);
         self.expected_since.is_some() && last.is_some_and(|last| last + age <= now)
     }
 
@@ -72,7 +72,7 @@
 
 /// Change of a node's state by a heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PeerNews {
+pub struct PeerChange {
     /// The node is new or restarted.
     pub fresh: bool,
     /// The node began to leave.
@@ -126,9 +126,9 @@
     }
 
     /// Processes a received heartbeat, including the cards of other nodes in it.
-    pub fn heard(&mut self, mut heartbeat: NodeHeartbeat, now: Duration) -> PeerNews {
+    pub fn receive_heartbeat(&mut self, mut heartbeat: NodeHeartbeat, now: Duration) -> PeerChange {
         if heartbeat.card.name == self.own.name {
-            return PeerNews::default();
+            return PeerChange::default();
         }
         for card in std::mem::take(&mut heartbeat.cards) {
             self.named(card, now);
@@ -144,13 +144,13 @@
         let known = self.peers.get(&heartbeat.card.name);
         let incarnation = known.map(|peer| peer.heartbeat.card.incarnation);
         if known.is_some_and(|peer| peer.outlasts(&heartbeat.card, now)) {
-            return PeerNews::default();
+            return PeerChange::default();
         }
         let same_run = known.filter(|_| incarnation == Some(heartbeat.card.incarnation));
         let state = same_run.map_or(NodeState::Starting, |peer| peer.heartbeat.card.state);
         heartbeat.card.state = heartbeat.card.state.max(state);
-        let news = PeerNews {
-            fresh: same_run.is_none_or(|peer| peer.heard_at.is_none()),
+        let news = PeerChange {
+            fresh: same_run.is_none_or(|peer| peer.last_heartbeat_at.is_none()),
             left: heartbeat.card.state == NodeState::Leaving && state != NodeState::Leaving,
         };
         if heartbeat.work.is_none() {
@@ -158,7 +158,7 @@
         }
         let expected_since = known.and_then(|peer| peer.expected_since);
         let peer = FleetPeer {
-            heard_at: Some(now),
+            last_heartbeat_at: Some(now),
             named_at: now,
             expected_since,
             heartbeat,
@@ -181,7 +181,7 @@
             }
             _ => {
                 let peer = FleetPeer {
-                    heard_at: None,
+                    last_heartbeat_at: None,
                     named_at: now,
                     expected_since: None,
                     heartbeat: NodeHeartbeat::new(card),
@@ -192,7 +192,7 @@
     }
 
     /// Records that heartbeats were sent to these addresses and are expected in return.
-    pub fn expect(&mut self, told: &[SocketAddr], now: Duration) {
+    pub fn expect_heartbeats(&mut self, told: &[SocketAddr], now: Duration) {
         let told: BTreeSet<&SocketAddr> = told.iter().collect();
         for peer in self.peers.values_mut() {
             if told.contains(&peer.heartbeat.card.peers) {
@@ -202,7 +202,7 @@
     }
 
     /// Removes nodes that no heartbeat has mentioned for a minute.
-    pub fn forget(&mut self, now: Duration) {
+    pub fn expire(&mut self, now: Duration) {
         self.peers
             .retain(|_, peer| peer.named_at + FORGOTTEN_AFTER > now);
         for peer in self.peers.values_mut() {
@@ -226,7 +226,7 @@
 
     /// Cards that this node may send to others: those of nodes that it received heartbeats from
     /// itself, so that the card of a stopped node does not circulate for ever.
-    pub fn namable(&self, now: Duration) -> Vec<&NodeCard> {
+    pub fn advertisable(&self, now: Duration) -> Vec<&NodeCard> {
         let heard = |peer: &&FleetPeer| {
             let near = peer.heartbeat.card.zone == self.own.zone;
             let age = if near { SILENT_AFTER } else { FAR_SILENT_AFTER };
@@ -270,7 +270,7 @@
 
     /// Hashes of the other nodes that send calls. A node whose heartbeats stopped is included for a
     /// while: it may be cut off from this one and still send calls.
-    pub fn rivals(&self) -> Vec<u64> {
+    pub fn sender_hashes(&self) -> Vec<u64> {
         let peers = self.peers.values().filter(|peer| peer.sends_calls());
         peers
             .map(|peer| node_hash(&peer.heartbeat.card.name))
@@ -278,7 +278,7 @@
     }
 
     /// Number of nodes that send calls and whose heartbeats stopped.
-    pub fn silent_rivals(&self, now: Duration) -> u32 {
+    pub fn silent_senders(&self, now: Duration) -> u32 {
         let peers = self.peers.values().filter(|peer| peer.sends_calls());
         let silent = peers.filter(|peer| !peer.heard_within(SILENT_AFTER, now));
         silent.count() as u32
@@ -289,7 +289,7 @@
     pub fn unix_start(&self, own: Duration, now: Duration) -> Duration {
         let told = self.live(now).filter_map(|peer| {
             let unix = Duration::from_millis(peer.heartbeat.unix_ms);
-            unix.checked_sub(peer.heard_at?)
+            unix.checked_sub(peer.last_heartbeat_at?)
         });
         let told = told.filter(|start| !start.is_zero());
         let mut starts: Vec<Duration> = told.chain(std::iter::once(own)).collect();
@@ -300,7 +300,7 @@
     /// Time without a notice from a holder after which this node claims the duties, at least
     /// `silence`: hubs in order of capacity, then the other nodes spread over a time that increases
     /// with the size of the fleet, so that an outage of the store causes few requests to it.
-    pub fn claim_patience(&self, silence: Duration, now: Duration) -> Duration {
+    pub fn claim_delay(&self, silence: Duration, now: Duration) -> Duration {
         let own = claim_order(&self.own);
         let claimants = self.claimants(now);
         let rank = claimants.filter(|card| claim_order(card) < own).count();
@@ -313,7 +313,7 @@
 
     /// Address of the other node that is first to claim the duties when this one stops; `None` if
     /// there is none.
-    pub fn duty_deputy(&self, now: Duration) -> Option<SocketAddr> {
+    pub fn duty_successor(&self, now: Duration) -> Option<SocketAddr> {
         let first = self.claimants(now).min_by_key(|card| claim_order(card))?;
         Some(first.peers)
     }
--- a/kernel/src/gateway/fleet/callers.rs
+++ b/kernel/src/gateway/fleet/callers.rs
@@ -12,7 +12,7 @@
 impl FleetView {
     /// Addresses of the nodes that receive this node's work: of its zone if `near`, else of all
     /// others, those that have many calls or are listed for callers, and the hubs.
-    pub fn call_nodes(&self, near: bool, entries: &[u64], now: Duration) -> Vec<SocketAddr> {
+    pub fn work_recipients(&self, near: bool, entries: &[u64], now: Duration) -> Vec<SocketAddr> {
         let in_reach = |zone: &str| (zone == &*self.own.zone) == near;
         let zones: BTreeSet<&str> = self
             .peers
@@ -71,7 +71,12 @@
     /// Addresses of the nodes that callers of a zone are directed to: as advertised by the zone's
     /// first hub, or as this node determines them if it is a hub itself or receives no hub's list.
     /// If there are none, all nodes that accept calls.
-    pub fn callers_nodes(&self, own: &NodeHeartbeat, zone: &str, now: Duration) -> Vec<SocketAddr> {
+    pub fn entry_addresses(
+        &self,
+        own: &NodeHeartbeat,
+        zone: &str,
+        now: Duration,
+    ) -> Vec<SocketAddr> {
         let is_own_hub = zone == &*self.own.zone && self.is_hub(now);
         let told = (!is_own_hub).then(|| self.told_entries(zone, now));
         let mut cards = told.unwrap_or_default();
--- a/kernel/src/gateway/fleet/hubs.rs
+++ b/kernel/src/gateway/fleet/hubs.rs
@@ -40,7 +40,7 @@
     }
 
     /// Whether rendezvous hashing of a number selects this node among the hubs of all zones.
-    pub fn is_drawn(&self, number: u64, now: Duration) -> bool {
+    pub fn is_selected_hub(&self, number: u64, now: Duration) -> bool {
         let hubs = self
             .zones()
             .into_iter()
@@ -87,7 +87,7 @@
             let reads = |card: &&NodeCard| {
                 let peer = self.peers.get(&card.name);
                 peer.is_some_and(|peer| {
-                    peer.heartbeat.store_well && peer.heard_within(READER_SILENT_AFTER, now)
+                    peer.heartbeat.store_reachable && peer.heard_within(READER_SILENT_AFTER, now)
                 })
             };
             return !ranked[..rank].iter().any(reads);
--- a/kernel/src/gateway/spread.rs
+++ b/kernel/src/gateway/gossip.rs
@@ -64,7 +64,7 @@
 
 /// Which nodes have to receive a change at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum SpreadNews {
+pub enum GossipUrgency {
     /// No node: there is no urgent change.
     #[default]
     None,
@@ -76,18 +76,18 @@
 
 /// State of a node at one check for due heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SpreadRound {
+pub struct GossipRound {
     /// Whether the node has calls.
     pub busy: bool,
     /// Which nodes have to receive a change at once.
-    pub news: SpreadNews,
+    pub urgency: GossipUrgency,
     /// Current time.
     pub now: Duration,
 }
 
 /// Receivers and contents of the heartbeats that are due.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct SpreadPlan {
+pub struct GossipPlan {
     /// Nodes of its zone that receive its work at upstreams.
     pub near: Vec<SocketAddr>,
     /// Nodes of its zone that receive the state in force, without its work.
@@ -116,7 +116,7 @@
 
 /// Times and receivers of a node's last heartbeats.
 #[derive(Clone, Debug, Default)]
-pub struct HeartbeatSpread {
+pub struct GossipSchedule {
     near_at: Option<Duration>,
     zone_at: Option<Duration>,
     far_at: Option<Duration>,
@@ -127,24 +127,24 @@
     hubs_changed_at: Option<Duration>,
 }
 
-impl HeartbeatSpread {
+impl GossipSchedule {
     /// Determines the heartbeats that are due. `own` is the node's own state.
     pub fn plan(
         &mut self,
         fleet: &mut FleetView,
         own: &NodeHeartbeat,
-        round: SpreadRound,
-    ) -> SpreadPlan {
+        round: GossipRound,
+    ) -> GossipPlan {
         let now = round.now;
         // A leaving hub announces that to all nodes that it sent heartbeats to.
         let is_hub = fleet.is_hub(now) || fleet.own().state == NodeState::Leaving;
         let tells_far = is_hub || own.sends_many();
         let tells_calls = tells_far || round.busy || own.sends_calls();
-        let mut plan = SpreadPlan::default();
+        let mut plan = GossipPlan::default();
         if self.note_hubs(fleet, now) {
             self.near_at = None;
         }
-        if round.news >= SpreadNews::Calls {
+        if round.urgency >= GossipUrgency::Calls {
             self.near_at = None;
             self.far_at = None;
         }
@@ -156,7 +156,9 @@
         if is_due(&mut self.near_at, near_pause, now) {
             plan.near = near_nodes(fleet, own, tells_calls, now);
         }
-        if is_hub && (is_due(&mut self.zone_at, IDLE_TICK, now) || round.news == SpreadNews::All) {
+        if is_hub
+            && (is_due(&mut self.zone_at, IDLE_TICK, now) || round.urgency == GossipUrgency::All)
+        {
             plan.zone = self.zone_nodes(fleet, round);
             plan.zone_cards = self.zone_cards(fleet, now);
         }
@@ -181,8 +183,8 @@
         if is_hub {
             plan.hub_cards = hub_cards(fleet, now);
         }
-        fleet.expect(&plan.near, now);
-        fleet.expect(&plan.far, now);
+        fleet.expect_heartbeats(&plan.near, now);
+        fleet.expect_heartbeats(&plan.far, now);
         plan
     }
 
@@ -199,7 +201,7 @@
     }
 
     /// Next nodes of the zone that are no hubs, or all of them.
-    fn zone_nodes(&mut self, fleet: &FleetView, round: SpreadRound) -> Vec<SocketAddr> {
+    fn zone_nodes(&mut self, fleet: &FleetView, round: GossipRound) -> Vec<SocketAddr> {
         let hubs = fleet.hubs(&fleet.own().zone, round.now);
         let hubs: Vec<SocketAddr> = hubs.iter().map(|card| card.peers).collect();
         let peers = fleet.zone_peers().map(|peer| peer.heartbeat.card.peers);
@@ -210,12 +212,12 @@
             &others,
             &mut self.zone_turn,
             share,
-            round.news == SpreadNews::All,
+            round.urgency == GossipUrgency::All,
         )
     }
 
-    fn far_nodes(&mut self, fleet: &FleetView, round: SpreadRound) -> Vec<SocketAddr> {
-        let far = fleet.call_nodes(false, &[], round.now);
+    fn far_nodes(&mut self, fleet: &FleetView, round: GossipRound) -> Vec<SocketAddr> {
+        let far = fleet.work_recipients(false, &[], round.now);
         let share = if round.busy {
             MOST_FAR
         } else {
@@ -225,16 +227,16 @@
             &far,
             &mut self.far_turn,
             share,
-            round.news >= SpreadNews::Calls,
+            round.urgency >= GossipUrgency::Calls,
         )
     }
 
     fn zone_cards(&self, fleet: &FleetView, now: Duration) -> Vec<NodeCard> {
-        let namable = fleet.namable(now);
+        let advertisable = fleet.advertisable(now);
         let cycle = (now.as_millis() / ZONE_CYCLE.as_millis()) as u64;
-        let turns = (0..NAMED_CARDS.min(namable.len() as u64)).map(|step| {
+        let turns = (0..NAMED_CARDS.min(advertisable.len() as u64)).map(|step| {
             let turn = cycle * NAMED_CARDS + step;
-            namable[(turn % namable.len() as u64) as usize].clone()
+            advertisable[(turn % advertisable.len() as u64) as usize].clone()
         });
         let new_hubs = self
             .hubs_changed_at
@@ -259,7 +261,7 @@
 
 /// Hubs of all zones that this node received heartbeats from.
 fn heard_hubs(fleet: &FleetView, now: Duration) -> Vec<&NodeCard> {
-    let heard = fleet.namable(now);
+    let heard = fleet.advertisable(now);
     let zones: BTreeSet<&str> = heard.iter().map(|card| &*card.zone).collect();
     let hubs: BTreeSet<&str> = zones
         .iter()
@@ -277,7 +279,7 @@
 
 /// Reasons why a node's heartbeat may need a reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AnswerNeed {
+pub struct ReplyReason {
     /// The node is new to this one or restarted.
     pub fresh: bool,
     /// The node asks for the cards of others.
@@ -287,10 +289,10 @@
 /// Cards with which to reply to the heartbeat of the node with this card, one list per datagram; no
 /// list if it needs no reply. A new node gets the hubs of its zone, and the first of these sends it
 /// the cards of all nodes.
-pub fn answer(
+pub fn reply(
     fleet: &FleetView,
     card: &NodeCard,
-    need: AnswerNeed,
+    need: ReplyReason,
     now: Duration,
 ) -> Vec<Vec<NodeCard>> {
     let hubs = fleet.hubs(&card.zone, now);
@@ -311,8 +313,8 @@
         if !is_first {
             return vec![others];
         }
-        let namable = fleet.namable(now);
-        let all: Vec<NodeCard> = namable.into_iter().cloned().collect();
+        let advertisable = fleet.advertisable(now);
+        let all: Vec<NodeCard> = advertisable.into_iter().cloned().collect();
         return in_datagrams(&all);
     }
     if is_near && !is_hub {
@@ -352,7 +354,7 @@
     now: Duration,
 ) -> Vec<SocketAddr> {
     if tells_calls {
-        return fleet.call_nodes(true, &own.entries, now);
+        return fleet.work_recipients(true, &own.entries, now);
     }
     let hubs = fleet.hubs(&fleet.own().zone, now);
     hubs.iter().map(|card| card.peers).collect()
--- a/kernel/src/gateway/health.rs
+++ b/kernel/src/gateway/health.rs
@@ -73,13 +73,13 @@
 
     /// Records that no answer arrived: the connection broke or timed out. Returns whether a
     /// back-off begins.
-    pub fn silent(&mut self, now: Duration) -> bool {
+    pub fn unanswered(&mut self, now: Duration) -> bool {
         self.count_failure();
         self.rest(now, false)
     }
 
     /// Records that another node reported it failing or unreachable.
-    pub fn warned(&mut self, now: Duration) {
+    pub fn reported_failing(&mut self, now: Duration) {
         let fresh_answer = self.answered_at.is_some_and(|at| at + ANSWER_AGE > now);
         if fresh_answer && self.failed_in_a_row == 0 {
             return;
@@ -90,25 +90,25 @@
 
     /// Records that a call is sent to it. While it is unproven that call is a trial, and no others
     /// are sent.
-    pub fn tried(&mut self, now: Duration) {
-        if self.unproven() && !self.resting(now) {
+    pub fn attempt_started(&mut self, now: Duration) {
+        if self.unproven() && !self.is_backed_off(now) {
             self.trial_until = Some(now + TRIAL_TIME);
         }
     }
 
     /// Whether heartbeats should report it as failing: only for failures observed by this node, and
     /// not for missing answers, which may be caused by this node's own link.
-    pub fn warns(&self, now: Duration) -> bool {
+    pub fn reports_failing(&self, now: Duration) -> bool {
         self.warns_until.is_some_and(|until| now < until)
     }
 
     /// Whether it is backed off.
-    pub fn resting(&self, now: Duration) -> bool {
-        !self.rest_left(now).is_zero()
+    pub fn is_backed_off(&self, now: Duration) -> bool {
+        !self.backoff_left(now).is_zero()
     }
 
     /// Time until its back-off ends; zero if it is not backed off.
-    pub fn rest_left(&self, now: Duration) -> Duration {
+    pub fn backoff_left(&self, now: Duration) -> Duration {
         let until = self.rest_until.max(self.trial_until).unwrap_or(now);
         until.saturating_sub(now)
     }
@@ -119,13 +119,13 @@
     }
 
     /// Whether it answered a call recently.
-    pub fn answers_some(&self, now: Duration) -> bool {
+    pub fn answered_recently(&self, now: Duration) -> bool {
         self.answered_at
             .is_some_and(|at| at + SOME_ANSWERS_AGE > now)
     }
 
     /// Running share of failed calls, from 0 to 1.
-    pub fn failures(&self) -> f64 {
+    pub fn failure_share(&self) -> f64 {
         self.failures
     }
 
--- a/kernel/src/gateway/heartbeat.rs
+++ b/kernel/src/gateway/heartbeat.rs
@@ -88,7 +88,7 @@
     pub peers: SocketAddr,
     /// Address of the node that is likely to be the next holder, which receives the same reports as
     /// the holder; `None` if there is none.
-    pub deputy: Option<SocketAddr>,
+    pub successor: Option<SocketAddr>,
     /// Time since the holder sent the notice, in ms.
     pub age_ms: u64,
     /// Position of the lease's newest record in the log.
@@ -105,7 +105,7 @@
     /// Version of the configuration that it has in force; 0 if none.
     pub version: u64,
     /// Whether the store answers it, as far as it knows.
-    pub store_well: bool,
+    pub store_reachable: bool,
     /// Time since the store answered any node that it knows of, in ms; `None` if it knows of no
     /// answer.
     pub store_age_ms: Option<u64>,
@@ -114,7 +114,7 @@
     /// Whether it has received no heartbeat yet and asks for the cards of others.
     pub seeking: bool,
     /// Whether it is a reply, which needs no reply itself.
-    pub answers: bool,
+    pub is_reply: bool,
     /// Number of nodes in the fleet, as the sender counts them.
     pub fleet_size: u32,
     /// Number of nodes in its availability zone if it is a hub; otherwise 0.
@@ -151,11 +151,11 @@
         Self {
             card,
             version: 0,
-            store_well: false,
+            store_reachable: false,
             store_age_ms: None,
             registry_digest: 0,
             seeking: false,
-            answers: false,
+            is_reply: false,
             fleet_size: 0,
             zone_size: 0,
             entries: Vec::new(),
--- a/kernel/src/gateway/lag.rs
+++ b/kernel/src/gateway/lag.rs
@@ -9,7 +9,7 @@
 /// Time after which it reads the store even while a fetch makes progress: 2 MB over a link of 10
 /// Mbit/s. On a path where large transfers break repeatedly, a fetch would otherwise never
 /// complete.
-pub const LONGEST_LAG: Duration = Duration::from_secs(2);
+pub const MAX_LAG: Duration = Duration::from_secs(2);
 
 /// Configuration version that other nodes advertised, and the progress of fetching it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 
 impl VersionLag {
     /// Records that another node has a version in force.
-    pub fn told(&mut self, version: u64, now: Duration) {
+    pub fn advertised(&mut self, version: u64, now: Duration) {
         if version > self.told {
             self.told = version;
             self.told_at = now;
@@ -29,7 +29,7 @@
     }
 
     /// Records that part of a transfer from another node arrived.
-    pub fn piece_came(&mut self, now: Duration) {
+    pub fn fetch_progressed(&mut self, now: Duration) {
         self.piece_at = now;
     }
 
@@ -42,7 +42,7 @@
     /// beside a fetch that makes progress, as it would take half the bandwidth of a slow link.
     pub fn is_behind(&self, version: u64, now: Duration) -> bool {
         let quiet_at = self.told_at.max(self.piece_at) + LAG_TIME;
-        let last = quiet_at.min(self.told_at + LONGEST_LAG);
+        let last = quiet_at.min(self.told_at + MAX_LAG);
         self.told > version && now > last
     }
 }
--- a/kernel/src/gateway/load.rs
+++ b/kernel/src/gateway/load.rs
@@ -95,7 +95,7 @@
     }
 
     /// Number of calls that this node sent and that other nodes may not have learned of yet.
-    pub fn unheard(&self, now: Duration) -> usize {
+    pub fn unreported_calls(&self, now: Duration) -> usize {
         let fresh = |at: &&Duration| **at + UNHEARD_TIME > now;
         self.sent_at.iter().rev().take_while(fresh).count()
     }
@@ -116,7 +116,7 @@
     }
 
     /// Records another node's report of its own work at this upstream.
-    pub fn heard(&mut self, node: &str, count: WorkCount, now: Duration) {
+    pub fn receive_report(&mut self, node: &str, count: WorkCount, now: Duration) {
         self.others.insert(node.into(), (now, count));
     }
 
@@ -136,16 +136,16 @@
 
     /// Records that a call with this prompt part was sent: the part is cached once the prompts
     /// queued before it are prefilled. Returns whether it was not known to be cached.
-    pub fn part_used(&mut self, part: u64, now: Duration) -> bool {
+    pub fn record_part_sent(&mut self, part: u64, now: Duration) -> bool {
         let total = self.total(now);
         let read_at = now + reading_time(total);
-        self.cache.note(part, read_at, moment(total, now))
+        self.cache.record_use(part, read_at, moment(total, now))
     }
 
     /// Records that this prompt part has been prefilled here.
-    pub fn part_read(&mut self, part: u64, now: Duration) {
+    pub fn record_part_read(&mut self, part: u64, now: Duration) {
         let moment = moment(self.total(now), now);
-        self.cache.note(part, now, moment);
+        self.cache.record_use(part, now, moment);
     }
 }
 
--- a/kernel/src/gateway/pace.rs
+++ b/kernel/src/gateway/pace.rs
@@ -31,7 +31,7 @@
 impl StreamPace {
     /// A stream ended whole: its first event came `first` after it was sent, the `events` after that
     /// took `rest`.
-    pub fn ended(&mut self, first: Duration, rest: Duration, events: u64) {
+    pub fn record_stream(&mut self, first: Duration, rest: Duration, events: u64) {
         take_in(&mut self.first, first.as_secs_f64());
         if events > 0 {
             take_in(&mut self.event, rest.as_secs_f64() / events as f64);
@@ -40,20 +40,20 @@
 
     /// Whether a stream that is thought to have so many events, and begins now, may well end in the
     /// time that is left.
-    pub fn can_end(&self, events: f64, left: Duration) -> bool {
-        self.time_for(events * SURE_PART) <= left
+    pub fn can_finish(&self, events: f64, left: Duration) -> bool {
+        self.expected_duration(events * SURE_PART) <= left
     }
 
     /// How long a stream of so many events takes; nothing before one was seen.
-    pub fn time_for(&self, events: f64) -> Duration {
+    pub fn expected_duration(&self, events: f64) -> Duration {
         let first = self.first.unwrap_or_default();
         let event = self.event.unwrap_or_default();
         Duration::from_secs_f64(first + event * (events - 1.0).max(0.0))
     }
 
     /// How long the first event of a stream takes.
-    pub fn time_to_first(&self) -> Duration {
-        self.time_for(1.0)
+    pub fn expected_first_event(&self) -> Duration {
+        self.expected_duration(1.0)
     }
 }
 
--- a/kernel/src/gateway/partition.rs
+++ b/kernel/src/gateway/partition.rs
@@ -23,7 +23,7 @@
 
 /// An upstream that a call may be sent to, with its total work.
 #[derive(Clone, Copy, Debug)]
-pub struct UpstreamOption<'a> {
+pub struct UpstreamCandidate<'a> {
     /// Key of the upstream.
     pub key: UpstreamKey,
     /// State of the upstream.
@@ -31,22 +31,22 @@
     /// Work of all nodes at it.
     pub total: WorkCount,
     /// Whether it is backed off after failures.
-    pub resting: bool,
+    pub backed_off: bool,
 }
 
 /// Engines that are reserved for tight streams: in each availability zone with two or more, as many
 /// as its streams fill, at least one and never all. If there are more engines than all calls fill,
 /// the surplus is shared in proportion, as a stream is faster in a smaller batch.
-pub fn kept_for_tight(options: &[UpstreamOption]) -> BTreeSet<UpstreamKey> {
-    let mut zones: BTreeMap<&str, Vec<&UpstreamOption>> = BTreeMap::new();
-    for option in options.iter().filter(|option| !option.resting) {
+pub fn reserved_for_tight(options: &[UpstreamCandidate]) -> BTreeSet<UpstreamKey> {
+    let mut zones: BTreeMap<&str, Vec<&UpstreamCandidate>> = BTreeMap::new();
+    for option in options.iter().filter(|option| !option.backed_off) {
         let zone = &*option.upstream.entry.zone;
         zones.entry(zone).or_default().push(option);
     }
     zones.into_values().flat_map(kept_in_zone).collect()
 }
 
-fn kept_in_zone(mut options: Vec<&UpstreamOption>) -> Vec<UpstreamKey> {
+fn kept_in_zone(mut options: Vec<&UpstreamCandidate>) -> Vec<UpstreamKey> {
     if options.len() < 2 {
         return Vec::new();
     }
--- a/kernel/src/gateway/pause.rs
+++ b/kernel/src/gateway/pause.rs
@@ -10,7 +10,7 @@
 
 impl UpstreamPause {
     /// Takes in that the upstream wants nothing for a while. A shorter pause does not end a longer one.
-    pub fn ask(&mut self, pause: Duration, now: Duration) {
+    pub fn extend(&mut self, pause: Duration, now: Duration) {
         self.until = self.until.max(Some(now.saturating_add(pause)));
     }
 
--- a/kernel/src/gateway/registry.rs
+++ b/kernel/src/gateway/registry.rs
@@ -179,7 +179,7 @@
 
     /// Applies another node's report that the run with this hash leaves. Returns the upstream if
     /// that is a change.
-    pub fn departed(&mut self, hash: u64, now: Duration) -> Option<UpstreamKey> {
+    pub fn receive_departure(&mut self, hash: u64, now: Duration) -> Option<UpstreamKey> {
         let key = self.by_hash(hash)?;
         let upstream = self.upstreams.get_mut(&key)?;
         if !upstream.leave(LeavingCause::Removed) {
@@ -192,7 +192,7 @@
 
     /// Records that an upstream announced in an answer that it leaves. Returns whether that is a
     /// change.
-    pub fn announced(&mut self, key: UpstreamKey, now: Duration) -> bool {
+    pub fn record_announcement(&mut self, key: UpstreamKey, now: Duration) -> bool {
         let upstream = self.upstreams.get_mut(&key);
         let is_news = upstream.is_some_and(|upstream| upstream.leave(LeavingCause::Announced));
         if is_news {
@@ -330,7 +330,7 @@
 
     /// Marks upstreams as left whose entries expired and did not return in time after
     /// `returned_at`, when the registry recovered. Returns them.
-    pub fn settle(&mut self, returned_at: Duration, now: Duration) -> Vec<UpstreamKey> {
+    pub fn expire_lapsed(&mut self, returned_at: Duration, now: Duration) -> Vec<UpstreamKey> {
         let mut gone = Vec::new();
         for (key, upstream) in &mut self.upstreams {
             let Some(lapsed_at) = upstream.lapsed_at else {
@@ -348,7 +348,7 @@
     }
 
     /// Records that another upstream answers at this one's address.
-    pub fn replaced(&mut self, key: UpstreamKey) {
+    pub fn record_replacement(&mut self, key: UpstreamKey) {
         if let Some(upstream) = self.upstreams.get_mut(&key) {
             upstream.leave(LeavingCause::Replaced);
             self.digest.set(None);
--- a/kernel/src/gateway/reports.rs
+++ b/kernel/src/gateway/reports.rs
@@ -124,7 +124,7 @@
     }
 
     /// Removes windows whose reports are past their time. Returns those that were not accepted.
-    pub fn forget(&mut self, ledger: &UsageLedger, now: Duration) -> Vec<u64> {
+    pub fn expire(&mut self, ledger: &UsageLedger, now: Duration) -> Vec<u64> {
         let late = self.late;
         let mut missed = Vec::new();
         self.windows.retain(|window, written| {
--- a/kernel/src/gateway/rules.rs
+++ b/kernel/src/gateway/rules.rs
@@ -43,7 +43,7 @@
     pub target: Duration,
     /// Time that callers wait for the first or the next event of a stream before they disconnect;
     /// `None` if unknown.
-    pub patience: Option<Duration>,
+    pub event_timeout: Option<Duration>,
     /// Maximum number of upstreams that one call may be sent to.
     pub max_attempts: u32,
     /// Target for the longest gap between two events of a stream; `None` if the class has none.
--- a/kernel/src/gateway/scaling.rs
+++ b/kernel/src/gateway/scaling.rs
@@ -89,7 +89,7 @@
 
 impl ZoneEngines {
     /// Engines of both kinds.
-    pub fn all(self) -> u32 {
+    pub fn total(self) -> u32 {
         self.firm + self.spot
     }
 }
@@ -182,7 +182,7 @@
     }
 
     /// Takes in how busy the pool is.
-    pub fn measured(&mut self, load: PoolLoad, now: Duration) {
+    pub fn record_load(&mut self, load: PoolLoad, now: Duration) {
         let needed = load.needed();
         while self.peaks.back().is_some_and(|(_, peak)| *peak <= needed) {
             self.peaks.pop_back();
@@ -204,7 +204,7 @@
         zones: &BTreeMap<Box<str>, ZoneEngines>,
         now: Duration,
     ) -> Option<EngineOrder> {
-        let present: u32 = zones.values().map(|engines| engines.all()).sum();
+        let present: u32 = zones.values().map(|engines| engines.total()).sum();
         if present > LARGEST_POOL {
             return None;
         }
@@ -221,7 +221,7 @@
         // Where there are more than may be ordered, an order would end those above the bound.
         let allowed = zones
             .iter()
-            .filter(|(_, engines)| engines.all() <= spec.most);
+            .filter(|(_, engines)| engines.total() <= spec.most);
         let wanted = allowed.flat_map(|(zone, engines)| {
             let order = |kind, desired| EngineOrder {
                 zone: zone.clone(),
@@ -405,7 +405,7 @@
     }
 
     /// An order was given.
-    pub fn ordered(&mut self, order: EngineOrder, outcome: OrderOutcome, now: Duration) {
+    pub fn record_order(&mut self, order: EngineOrder, outcome: OrderOutcome, now: Duration) {
         let subject = (order.zone, order.kind);
         let before = self.orders.get(&subject).map(|last| last.desired);
         if before.is_some_and(|before| order.desired < before) && subject.1 == EngineKind::Spot {
--- a/kernel/src/gateway/throttle.rs
+++ b/kernel/src/gateway/throttle.rs
@@ -17,7 +17,7 @@
 
 /// What an upstream said last of its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct NamedLimit {
+pub struct AdvertisedLimit {
     /// Requests a second; none if it named no limit any more.
     pub per_second: Option<f64>,
     /// When it said so.
@@ -37,8 +37,8 @@
 
 impl LimitReport {
     /// What the upstream said, by the clock of the node that received this.
-    pub fn named(&self, now: Duration) -> NamedLimit {
-        NamedLimit {
+    pub fn advertised(&self, now: Duration) -> AdvertisedLimit {
+        AdvertisedLimit {
             per_second: self.per_second,
             at: now.saturating_sub(Duration::from_millis(self.age_ms)),
         }
@@ -57,7 +57,7 @@
 /// What a node knows of an upstream's limit, and what it has sent of its share.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamThrottle {
-    named: Option<NamedLimit>,
+    named: Option<AdvertisedLimit>,
     share: LimitShare,
     tokens: f64,
     filled_at: Duration,
@@ -65,8 +65,8 @@
 
 impl UpstreamThrottle {
     /// Takes in what the upstream said. Gives whether the limit is another one now.
-    pub fn observe(&mut self, said: NamedLimit, now: Duration) -> bool {
-        let known = self.named.unwrap_or(NamedLimit {
+    pub fn observe(&mut self, said: AdvertisedLimit, now: Duration) -> bool {
+        let known = self.named.unwrap_or(AdvertisedLimit {
             per_second: None,
             at: Duration::ZERO,
         });
@@ -126,7 +126,7 @@
     }
 
     /// A request is sent.
-    pub fn take(&mut self, now: Duration) {
+    pub fn consume(&mut self, now: Duration) {
         self.tokens = (self.filled(now) - 1.0).max(0.0);
         self.filled_at = now;
     }
--- a/kernel/src/gateway/usage.rs
+++ b/kernel/src/gateway/usage.rs
@@ -135,7 +135,7 @@
     }
 
     /// Forgets windows that ended long before a time since 1970.
-    pub fn forget(&mut self, at: Duration) {
+    pub fn expire(&mut self, at: Duration) {
         let first = self.window(at).saturating_sub(KEPT_WINDOWS);
         self.own = self.own.split_off(&first);
         self.remote = self.remote.split_off(&first);
--- a/kernel/src/gateway/waiting.rs
+++ b/kernel/src/gateway/waiting.rs
@@ -13,7 +13,7 @@
     /// Rank among classes; 0 is the most urgent.
     pub tier: u8,
     /// Until when it is likely to be in time if it is sent.
-    pub hopeful_until: Duration,
+    pub send_by: Duration,
     /// When the call must have ended.
     pub deadline: Duration,
     /// Grows with each call that waits.
@@ -33,12 +33,12 @@
         &mut self,
         pool: &str,
         tier: u8,
-        hopeful_until: Duration,
+        send_by: Duration,
         deadline: Duration,
     ) -> WaitRank {
         let rank = WaitRank {
             tier,
-            hopeful_until,
+            send_by,
             deadline,
             number: self.next_number,
         };
@@ -56,7 +56,7 @@
     /// time, or if none can, the first of all.
     pub fn first(&self, pool: &str, now: Duration) -> Option<WaitRank> {
         let first = self.first_from(pool, 0, Duration::ZERO)?;
-        if first.hopeful_until > now {
+        if first.send_by > now {
             return Some(first);
         }
         let hopeful = self.first_from(pool, first.tier, now);
@@ -65,10 +65,10 @@
             .or(Some(first))
     }
 
-    fn first_from(&self, pool: &str, tier: u8, hopeful_until: Duration) -> Option<WaitRank> {
+    fn first_from(&self, pool: &str, tier: u8, send_by: Duration) -> Option<WaitRank> {
         let from = WaitRank {
             tier,
-            hopeful_until,
+            send_by,
             deadline: Duration::ZERO,
             number: 0,
         };
--- a/kernel/tests/gateway/budget.rs
+++ b/kernel/tests/gateway/budget.rs
@@ -15,7 +15,7 @@
 fn nodes_share_the_slack() {
     let mut budget = RetryBudget::default();
     let granted = (0..100)
-        .filter(|_| budget.try_repeat(Duration::ZERO, &SPEC, 5))
+        .filter(|_| budget.try_retry(Duration::ZERO, &SPEC, 5))
         .count();
     assert_eq!(granted, 8, "a fifth of 50, less the reserve");
 }
@@ -27,12 +27,12 @@
         budget.count_call(Duration::ZERO);
     }
     let granted = (0..100)
-        .filter(|_| budget.try_repeat(Duration::from_secs(1), &SPEC, 50))
+        .filter(|_| budget.try_retry(Duration::from_secs(1), &SPEC, 50))
         .count();
     assert_eq!(granted, 16);
-    assert!(!budget.try_repeat(Duration::from_secs(5), &SPEC, 50));
+    assert!(!budget.try_retry(Duration::from_secs(5), &SPEC, 50));
     assert!(
-        !budget.try_repeat(Duration::from_secs(11), &SPEC, 100),
+        !budget.try_retry(Duration::from_secs(11), &SPEC, 100),
         "calls and repeats are over"
     );
     assert_eq!(budget.used(), 0);
@@ -52,7 +52,7 @@
             if is_call {
                 budget.count_call(at);
                 calls.push(now);
-            } else if budget.try_repeat(at, &SPEC, nodes) {
+            } else if budget.try_retry(at, &SPEC, nodes) {
                 repeats.push(now);
                 let recent = |list: &[u64]| list.iter().filter(|at| **at + 10_000 > now).count() as f64;
                 let allowed = 0.2 * recent(&calls) + 50.0 / nodes as f64;
--- a/kernel/tests/gateway/cache.rs
+++ b/kernel/tests/gateway/cache.rs
@@ -40,11 +40,11 @@
         #[test]
         fn $name() {
             let mut cache = PromptCache::default();
-            cache.take(7000, SIZE);
-            assert!(cache.note(7, SECOND, moment(SECOND, 0)), "news");
+            cache.record_tokens(7000, SIZE);
+            assert!(cache.record_use(7, SECOND, moment(SECOND, 0)), "news");
             let steps: fn(&mut PromptCache) = $steps;
             steps(&mut cache);
-            assert_eq!(cache.kept_tokens(&prompt(), $moment), $tokens);
+            assert_eq!(cache.cached_tokens(&prompt(), $moment), $tokens);
         }
     )*};
 }
@@ -52,33 +52,33 @@
 kept! {
     an_idle_engine_keeps_it: |_| {}, moment(SECOND * 30, 0) => 6000;
     nothing_is_counted_on_for_ever: |_| {}, moment(SECOND * 90, 0) => 0;
-    a_little_more_does_not_push_it_out: |cache| cache.take(80_000, SIZE), moment(SECOND * 2, 0) => 6000;
-    a_cache_full_of_others_pushes_it_out: |cache| cache.take(95_000, SIZE), moment(SECOND * 2, 0) => 0;
-    running_calls_leave_less_room: |cache| cache.take(50_000, SIZE), moment(SECOND * 2, 60_000) => 0;
+    a_little_more_does_not_push_it_out: |cache| cache.record_tokens(80_000, SIZE), moment(SECOND * 2, 0) => 6000;
+    a_cache_full_of_others_pushes_it_out: |cache| cache.record_tokens(95_000, SIZE), moment(SECOND * 2, 0) => 0;
+    running_calls_leave_less_room: |cache| cache.record_tokens(50_000, SIZE), moment(SECOND * 2, 60_000) => 0;
     a_use_makes_it_the_newest: |cache| {
-        cache.take(60_000, SIZE);
-        cache.note(7, SECOND * 2, moment(SECOND * 2, 0));
-        cache.take(60_000, SIZE);
+        cache.record_tokens(60_000, SIZE);
+        cache.record_use(7, SECOND * 2, moment(SECOND * 2, 0));
+        cache.record_tokens(60_000, SIZE);
     }, moment(SECOND * 3, 0) => 6000;
-    other_nodes_calls_push_it_out: |cache| { cache.heard("b", 10_000); cache.heard("b", 110_000); },
+    other_nodes_calls_push_it_out: |cache| { cache.receive_total("b", 10_000); cache.receive_total("b", 110_000); },
         moment(SECOND * 2, 0) => 0;
-    what_came_before_a_nodes_first_word_does_not: |cache| cache.heard("b", 900_000),
+    what_came_before_a_nodes_first_word_does_not: |cache| cache.receive_total("b", 900_000),
         moment(SECOND * 2, 0) => 6000;
     a_node_that_starts_again_counts_from_nothing: |cache| {
-        cache.heard("b", 900_000);
-        cache.heard("b", 1000);
+        cache.receive_total("b", 900_000);
+        cache.receive_total("b", 1000);
     }, moment(SECOND * 2, 0) => 6000;
 }
 
 #[test]
 fn a_part_that_was_pushed_out_is_read_anew_before_it_can_be_fetched() {
     let mut cache = PromptCache::default();
-    cache.take(7000, SIZE);
-    cache.note(7, SECOND, moment(SECOND, 0));
-    cache.take(200_000, SIZE);
-    let news = cache.note(7, SECOND * 9, moment(SECOND * 8, 0));
+    cache.record_tokens(7000, SIZE);
+    cache.record_use(7, SECOND, moment(SECOND, 0));
+    cache.record_tokens(200_000, SIZE);
+    let news = cache.record_use(7, SECOND * 9, moment(SECOND * 8, 0));
     assert!(news);
-    assert_eq!(cache.kept_tokens(&prompt(), moment(SECOND * 8, 0)), 6000);
+    assert_eq!(cache.cached_tokens(&prompt(), moment(SECOND * 8, 0)), 6000);
     assert_eq!(cache.read_tokens(&prompt(), moment(SECOND * 8, 0)), 0);
     assert_eq!(cache.read_tokens(&prompt(), moment(SECOND * 9, 0)), 6000);
 }
--- a/kernel/tests/gateway/choice.rs
+++ b/kernel/tests/gateway/choice.rs
@@ -92,7 +92,11 @@
 fn a_kept_prompt_draws_calls_until_its_keeper_is_busy() {
     let mut registry = registry(&["east", "east"], 10);
     let key = registry.key("i-1").expect("known");
-    registry.get_mut(key).expect("known").load.part_read(7, NOW);
+    registry
+        .get_mut(key)
+        .expect("known")
+        .load
+        .record_part_read(7, NOW);
     let prompt = shared(7);
     let choice = choose(&registry, &input(&prompt, false)).expect("a choice");
     assert_eq!(
@@ -199,7 +203,7 @@
         .get_mut(key)
         .expect("known")
         .load
-        .heard("peer", count, NOW);
+        .receive_report("peer", count, NOW);
     let prompt = bulk(600);
     assert_eq!(
         id(&registry, choose(&registry, &input(&prompt, true))),
@@ -216,7 +220,7 @@
     let prompt = bulk(600);
     for upstream in ["i-0", "i-1"] {
         let key = registry.key(upstream).expect("known");
-        registry.get_mut(key).expect("known").health.silent(NOW);
+        registry.get_mut(key).expect("known").health.unanswered(NOW);
         let choice = choose(&registry, &input(&prompt, true));
         assert!(choice.is_some());
         if upstream == "i-0" {
@@ -235,7 +239,7 @@
         for _ in 0..20 {
             health.succeeded(NOW.saturating_sub(since));
         }
-        health.silent(NOW);
+        health.unanswered(NOW);
     }
     load(&mut registry, "i-2", WorkItem::default(), 18);
     registry
@@ -277,7 +281,7 @@
         let key = registry.key(upstream).expect("known");
         let health = &mut registry.get_mut(key).expect("known").health;
         for _ in 0..20 {
-            health.silent(NOW);
+            health.unanswered(NOW);
         }
     }
     let prompt = bulk(0);
@@ -306,7 +310,7 @@
     let mut registry = registry(&["east", "east"], 10);
     let key = registry.key("i-0").expect("known");
     let load = &mut registry.get_mut(key).expect("known").load;
-    load.part_used(7, NOW);
+    load.record_part_sent(7, NOW);
     for _ in 0..10 {
         load.begin(WorkItem::default());
     }
@@ -335,7 +339,7 @@
     let prompt = shared(7);
     let first = choose(&idle, &input(&prompt, false)).expect("a choice");
     let load = &mut registry.get_mut(first.key).expect("known").load;
-    load.part_used(7, NOW);
+    load.record_part_sent(7, NOW);
     let item = WorkItem {
         unread_tokens: 6000,
         ..WorkItem::default()
@@ -384,8 +388,8 @@
     let mut registry = registry(&["east", "east"], 10);
     let key = registry.key("i-1").expect("known");
     let upstream = registry.get_mut(key).expect("known");
-    upstream.load.part_read(7, NOW);
-    upstream.pause.ask(Duration::from_secs(3), NOW);
+    upstream.load.record_part_read(7, NOW);
+    upstream.pause.extend(Duration::from_secs(3), NOW);
     let prompt = shared(7);
     let choice = choose(&registry, &input(&prompt, false)).expect("a choice");
     assert_eq!(
--- a/kernel/tests/gateway/crash_fuzz.rs
+++ b/kernel/tests/gateway/crash_fuzz.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use monsoonbank_kernel::gateway::content::ContentDigest;
-use monsoonbank_kernel::gateway::crashes::{ContentVerdict, CrashLedger, CrashReport};
+use monsoonbank_kernel::gateway::crashes::{ContentDecision, CrashLedger, CrashReport};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -64,11 +64,11 @@
     fn arrive(&mut self) {
         let node = self.any_node();
         let content = ContentDigest::from(CRASHING);
-        let verdict = self.ledgers[node].verdict(content, || node == 0, self.now);
+        let verdict = self.ledgers[node].decide(content, || node == 0, self.now);
         match verdict {
-            ContentVerdict::Clear => {}
-            ContentVerdict::Trial => self.ledgers[node].begin_trial(content, self.now),
-            ContentVerdict::Quarantined { .. } => return,
+            ContentDecision::Admitted => {}
+            ContentDecision::Trial => self.ledgers[node].begin_trial(content, self.now),
+            ContentDecision::Quarantined { .. } => return,
         }
         self.running.push_back((self.now + RUN_TIME, node));
         let third = self.crashes.get(2);
@@ -85,18 +85,18 @@
             self.crashes.push(self.now);
             let run = self.next_run;
             self.next_run += 1;
-            self.ledgers[node].crashed(ContentDigest::from(CRASHING), run, self.now);
+            self.ledgers[node].record_crash(ContentDigest::from(CRASHING), run, self.now);
             for _ in 0..TAKEN_ALONG {
                 let innocent = ContentDigest::from(self.random.random_range(1..5000));
                 let other = self.any_node();
-                self.ledgers[other].crashed(innocent, run, self.now);
+                self.ledgers[other].record_crash(innocent, run, self.now);
             }
         }
     }
 
     fn tell(&mut self) {
         for node in 0..self.ledgers.len() {
-            let news = self.ledgers[node].news(self.now);
+            let news = self.ledgers[node].recent_reports(self.now);
             for _ in 0..TOLD {
                 let other = self.any_node();
                 if self.random.random_bool(LOSS) {
@@ -104,7 +104,7 @@
                 }
                 self.hear(other, &news);
                 if self.ledgers[other].digest() != self.ledgers[node].digest() {
-                    let settled = self.ledgers[node].settled(self.now);
+                    let settled = self.ledgers[node].decided_reports(self.now);
                     self.hear(other, &settled);
                 }
             }
@@ -120,7 +120,7 @@
     /// What nodes hold is written down a moment later; a node reads it when it starts.
     fn write_down(&mut self) {
         let writer = self.any_node();
-        for report in self.ledgers[writer].settled(self.now) {
+        for report in self.ledgers[writer].decided_reports(self.now) {
             self.store.insert(report.content, report);
         }
     }
--- a/kernel/tests/gateway/crashes.rs
+++ b/kernel/tests/gateway/crashes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use monsoonbank_kernel::gateway::content::ContentDigest;
-use monsoonbank_kernel::gateway::crashes::{ContentVerdict, CrashLedger, CrashNews};
+use monsoonbank_kernel::gateway::crashes::{ContentDecision, CrashChange, CrashLedger};
 
 const S: Duration = Duration::from_secs(1);
 
@@ -14,22 +14,25 @@
 fn quarantined() -> CrashLedger {
     let mut ledger = CrashLedger::default();
     for run in 1..=3 {
-        ledger.crashed(content(1), run, S);
+        ledger.record_crash(content(1), run, S);
     }
     ledger
 }
 
 fn may_be_sent(ledger: &CrashLedger, number: u64, now: Duration) -> bool {
-    ledger.verdict(content(number), || false, now) == ContentVerdict::Clear
+    ledger.decide(content(number), || false, now) == ContentDecision::Admitted
 }
 
 #[test]
 fn the_third_run_that_breaks_off_quarantines() {
     let mut ledger = CrashLedger::default();
-    assert_eq!(ledger.crashed(content(1), 1, S), CrashNews::Noted);
-    assert_eq!(ledger.crashed(content(1), 2, S), CrashNews::Noted);
+    assert_eq!(ledger.record_crash(content(1), 1, S), CrashChange::Updated);
+    assert_eq!(ledger.record_crash(content(1), 2, S), CrashChange::Updated);
     assert!(may_be_sent(&ledger, 1, S));
-    assert_eq!(ledger.crashed(content(1), 3, S), CrashNews::Quarantined);
+    assert_eq!(
+        ledger.record_crash(content(1), 3, S),
+        CrashChange::Quarantined
+    );
     assert!(!may_be_sent(&ledger, 1, S));
     assert!(may_be_sent(&ledger, 2, S));
 }
@@ -38,14 +41,14 @@
 #[test]
 fn a_run_counts_once_however_often_it_is_told() {
     let mut teller = CrashLedger::default();
-    teller.crashed(content(1), 7, S);
-    teller.crashed(content(1), 8, S);
+    teller.record_crash(content(1), 7, S);
+    teller.record_crash(content(1), 8, S);
     let mut ledger = CrashLedger::default();
     for _ in 0..5 {
-        for report in teller.news(S) {
+        for report in teller.recent_reports(S) {
             ledger.receive(&report, S);
         }
-        ledger.crashed(content(1), 7, S);
+        ledger.record_crash(content(1), 7, S);
     }
     assert_eq!(ledger.crashes(content(1)), 2);
     assert!(may_be_sent(&ledger, 1, S));
@@ -57,12 +60,12 @@
     let mut nodes: Vec<CrashLedger> = (1..=3)
         .map(|run| {
             let mut ledger = CrashLedger::default();
-            ledger.crashed(content(1), run, S);
+            ledger.record_crash(content(1), run, S);
             ledger
         })
         .collect();
     for (teller, listener) in [(0, 1), (2, 1), (1, 0), (1, 2)] {
-        for report in nodes[teller].news(S) {
+        for report in nodes[teller].recent_reports(S) {
             nodes[listener].receive(&report, S);
         }
     }
@@ -81,8 +84,8 @@
     let known = quarantined();
     let mut ledger = CrashLedger::default();
     assert_ne!(ledger.digest(), known.digest());
-    for report in known.settled(S * 2) {
-        assert_eq!(ledger.receive(&report, S * 2), CrashNews::Quarantined);
+    for report in known.decided_reports(S * 2) {
+        assert_eq!(ledger.receive(&report, S * 2), CrashChange::Quarantined);
     }
     assert_eq!(ledger.digest(), known.digest());
     assert!(!may_be_sent(&ledger, 1, S * 2));
@@ -93,8 +96,8 @@
 fn an_answer_between_crashes_clears_content() {
     let mut ledger = CrashLedger::default();
     for run in 0..10 {
-        ledger.crashed(content(1), run, S);
-        ledger.answered(content(1), S);
+        ledger.record_crash(content(1), run, S);
+        ledger.record_answer(content(1), S);
     }
     assert!(may_be_sent(&ledger, 1, S));
 }
@@ -103,15 +106,15 @@
 fn one_node_tries_a_few_times_and_an_answer_ends_the_quarantine_everywhere() {
     let mut ledger = quarantined();
     let mut other = quarantined();
-    let wait = ContentVerdict::Quarantined { pause: S * 29 };
-    assert_eq!(ledger.verdict(content(1), || true, S * 2), wait);
-    let trial = ledger.verdict(content(1), || true, S * 31);
-    assert_eq!(trial, ContentVerdict::Trial);
+    let wait = ContentDecision::Quarantined { pause: S * 29 };
+    assert_eq!(ledger.decide(content(1), || true, S * 2), wait);
+    let trial = ledger.decide(content(1), || true, S * 31);
+    assert_eq!(trial, ContentDecision::Trial);
     ledger.begin_trial(content(1), S * 31);
     assert!(!may_be_sent(&ledger, 1, S * 31));
-    assert!(ledger.answered(content(1), S * 32));
-    for report in ledger.news(S * 32) {
-        assert_eq!(other.receive(&report, S * 32), CrashNews::Cleared);
+    assert!(ledger.record_answer(content(1), S * 32));
+    for report in ledger.recent_reports(S * 32) {
+        assert_eq!(other.receive(&report, S * 32), CrashChange::Cleared);
     }
     assert!(may_be_sent(&other, 1, S * 32));
     assert_eq!(ledger.digest(), other.digest());
@@ -123,10 +126,10 @@
     let mut trials = 0;
     for second in 2..3600 {
         let now = S * second;
-        if ledger.verdict(content(1), || true, now) == ContentVerdict::Trial {
+        if ledger.decide(content(1), || true, now) == ContentDecision::Trial {
             ledger.begin_trial(content(1), now);
             trials += 1;
-            ledger.crashed(content(1), 10 + trials, now);
+            ledger.record_crash(content(1), 10 + trials, now);
         }
     }
     assert_eq!(trials, 2);
@@ -137,17 +140,17 @@
 fn a_trial_is_one_send() {
     let mut ledger = quarantined();
     ledger.begin_trial(content(1), S * 31);
-    let again = ledger.verdict(content(1), || true, S * 31);
-    assert!(matches!(again, ContentVerdict::Quarantined { .. }));
+    let again = ledger.decide(content(1), || true, S * 31);
+    assert!(matches!(again, ContentDecision::Quarantined { .. }));
 }
 
 #[test]
 fn a_late_report_of_a_crash_does_not_undo_a_clearing() {
     let mut ledger = quarantined();
-    let late = ledger.news(S);
-    ledger.answered(content(1), S * 2);
+    let late = ledger.recent_reports(S);
+    ledger.record_answer(content(1), S * 2);
     for report in &late {
-        assert_eq!(ledger.receive(report, S * 2), CrashNews::Known);
+        assert_eq!(ledger.receive(report, S * 2), CrashChange::Unchanged);
     }
     assert!(may_be_sent(&ledger, 1, S * 2));
 }
@@ -157,7 +160,7 @@
     let mut ledger = quarantined();
     assert!(!may_be_sent(&ledger, 1, S * 3600));
     assert!(may_be_sent(&ledger, 1, S * 3602));
-    ledger.forget(S * 3602);
+    ledger.expire(S * 3602);
     assert_eq!((ledger.quarantined(), ledger.digest()), (0, 0));
 }
 
@@ -166,24 +169,24 @@
 fn content_with_more_crashes_is_told_first_and_all_in_turn() {
     let mut ledger = CrashLedger::default();
     for number in 0..40 {
-        ledger.crashed(content(number), 1, S);
+        ledger.record_crash(content(number), 1, S);
     }
-    ledger.crashed(content(33), 2, S);
+    ledger.record_crash(content(33), 2, S);
     let mut told = std::collections::BTreeSet::new();
     for _ in 0..20 {
-        let news = ledger.news(S);
+        let news = ledger.recent_reports(S);
         assert!(news.iter().any(|report| report.content == content(33)));
         told.extend(news.into_iter().map(|report| report.content));
     }
     assert_eq!(told.len(), 40);
-    assert!(ledger.news(S * 3).is_empty());
+    assert!(ledger.recent_reports(S * 3).is_empty());
 }
 
 #[test]
 fn memory_is_bounded_and_quarantines_stay() {
     let mut ledger = quarantined();
     for number in 2..10_000 {
-        ledger.crashed(content(number), 1, S * 2);
+        ledger.record_crash(content(number), 1, S * 2);
     }
     assert!(!may_be_sent(&ledger, 1, S * 2));
     assert_eq!(ledger.crashes(content(2)), 0);
--- a/kernel/tests/gateway/duty.rs
+++ b/kernel/tests/gateway/duty.rs
@@ -62,8 +62,8 @@
 /// Reads the log.
 fn read(lease: &mut DutyLease, log: &LeaseLog, now: Duration) {
     let mut random = Pcg64Mcg::seed_from_u64(7);
-    lease.see_era(log.era, 0, now);
-    lease.see_topic(&log.topic(), now, &mut random);
+    lease.observe_era(log.era, 0, now);
+    lease.observe_topic(&log.topic(), now, &mut random);
 }
 
 /// Claims or renews if that is due, and gets the answer. Gives whether it stands.
@@ -158,7 +158,7 @@
     let claim = first.claim(LENGTH + ms(1900)).expect("a renewal");
     log.era += 1;
     assert!(log.append(&claim));
-    first.see_era(log.era, 0, now);
+    first.observe_era(log.era, 0, now);
     first.appended(&claim, log.era, log.records.len() as u64, now, &mut random);
     assert_eq!(first.claimed(now), None);
     read(&mut first, &log, now);
@@ -170,7 +170,7 @@
     let (mut first, mut log) = (lease("first", 1), LeaseLog::default());
     read(&mut first, &log, ms(0));
     let claim = first.claim(LENGTH).expect("a claim");
-    first.read_again();
+    first.require_read();
     assert!(log.append(&claim));
     read(&mut first, &log, LENGTH + ms(2000));
     assert!(first.claimed(LENGTH + ms(2600)).is_some());
@@ -181,14 +181,14 @@
 fn the_first_window_is_passed_on_within_an_era_and_set_anew_after_it() {
     let mut log = LeaseLog::default();
     let (mut first, mut second) = (lease("first", 1), lease("second", 1));
-    first.see_era(0, 40, ms(0));
+    first.observe_era(0, 40, ms(0));
     read(&mut first, &log, ms(0));
     assert!(append(&mut first, &mut log, LENGTH));
-    second.see_era(0, 90, ms(9000));
+    second.observe_era(0, 90, ms(9000));
     read(&mut second, &log, ms(9000));
     assert_eq!(second.first_window(), 40);
     log.roll_back(0);
-    second.see_era(1, 95, ms(9500));
+    second.observe_era(1, 95, ms(9500));
     read(&mut second, &log, ms(9500));
     assert_eq!(second.first_window(), 95);
 }
@@ -280,28 +280,28 @@
         let is_due = now >= self.read_at[host] || self.nodes[host].needs_read(now);
         if is_due && !self.chance(10) {
             self.read_at[host] = now + ms(900);
-            self.nodes[host].see_era(self.log.era, 0, now);
+            self.nodes[host].observe_era(self.log.era, 0, now);
             let topic = self.log.topic();
-            self.nodes[host].see_topic(&topic, now, &mut self.random);
+            self.nodes[host].observe_topic(&topic, now, &mut self.random);
         }
         let Some(claim) = self.nodes[host].claim(now) else {
             return;
         };
         match self.random.random_range(0..10) {
-            0 => self.nodes[host].read_again(),
+            0 => self.nodes[host].require_read(),
             1 => {
                 self.log.append(&claim);
-                self.nodes[host].read_again();
+                self.nodes[host].require_read();
             }
             2 => {
                 let at = now + ms(self.random.random_range(500..6000));
                 self.late.insert(at, claim);
-                self.nodes[host].read_again();
+                self.nodes[host].require_read();
             }
             _ => {
                 let stands = self.log.append(&claim);
                 let (era, end) = (self.log.era, self.log.records.len() as u64);
-                self.nodes[host].see_era(era, 0, now);
+                self.nodes[host].observe_era(era, 0, now);
                 if stands {
                     self.nodes[host].appended(&claim, era, end, now, &mut self.random);
                 } else {
@@ -352,7 +352,7 @@
 #[test]
 fn a_holder_whose_call_was_turned_away_reads_the_log_before_the_next() {
     let (mut first, log, now) = holder();
-    first.read_again();
+    first.require_read();
     assert_eq!(first.token(now), None);
     read(&mut first, &log, now);
     assert!(first.token(now).is_some());
--- a/kernel/tests/gateway/gate.rs
+++ b/kernel/tests/gateway/eligibility.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use monsoonbank_kernel::gateway::gate::{self, GateError};
+use monsoonbank_kernel::gateway::eligibility::{self, EligibilityError};
 use monsoonbank_kernel::gateway::registry::{
     LeavingCause, RegistryChange, UpstreamEntry, UpstreamKey, UpstreamRegistry,
 };
@@ -27,17 +27,20 @@
 
 fn ask(registry: &mut UpstreamRegistry, key: UpstreamKey, pause: Duration, now: Duration) {
     let upstream = registry.get_mut(key).expect("known");
-    upstream.pause.ask(pause, now);
+    upstream.pause.extend(pause, now);
 }
 
 // Guards against a call that was chosen for an upstream before that left, and is sent after.
 #[test]
 fn a_call_that_was_chosen_before_its_upstream_left_is_stopped() {
     let (mut registry, keys) = pool(1);
-    assert!(gate::check(&registry, keys[0], S).is_ok());
-    registry.announced(keys[0], S);
-    let refused = gate::check(&registry, keys[0], S).err();
-    assert_eq!(refused, Some(GateError::Left(LeavingCause::Announced)));
+    assert!(eligibility::check(&registry, keys[0], S).is_ok());
+    registry.record_announcement(keys[0], S);
+    let refused = eligibility::check(&registry, keys[0], S).err();
+    assert_eq!(
+        refused,
+        Some(EligibilityError::Left(LeavingCause::Announced))
+    );
 }
 
 // Guards against a call that was chosen for an upstream before that asked for a pause, and is sent after.
@@ -45,8 +48,8 @@
 fn a_call_that_was_chosen_before_a_pause_is_stopped() {
     let (mut registry, keys) = pool(1);
     ask(&mut registry, keys[0], S * 3, S);
-    let refused = gate::check(&registry, keys[0], S * 2).err();
-    assert_eq!(refused, Some(GateError::Paused(S * 2)));
+    let refused = eligibility::check(&registry, keys[0], S * 2).err();
+    assert_eq!(refused, Some(EligibilityError::Paused(S * 2)));
 }
 
 /// Names a case: pauses that an upstream asks for, each with the time of that, and when the last ends.
@@ -59,8 +62,8 @@
                 ask(&mut registry, keys[0], pause, at);
             }
             let end: Duration = $end;
-            assert!(gate::check(&registry, keys[0], end - MS).is_err());
-            assert!(gate::check(&registry, keys[0], end).is_ok());
+            assert!(eligibility::check(&registry, keys[0], end - MS).is_err());
+            assert!(eligibility::check(&registry, keys[0], end).is_ok());
         }
     )*};
 }
@@ -76,7 +79,7 @@
 fn a_pause_without_end_does_not_overflow() {
     let (mut registry, keys) = pool(1);
     ask(&mut registry, keys[0], Duration::MAX, S);
-    assert!(gate::check(&registry, keys[0], DAY * 10_000).is_err());
+    assert!(eligibility::check(&registry, keys[0], DAY * 10_000).is_err());
 }
 
 // Guards against a new run that gets no calls, as the run before it asked for a pause.
@@ -89,7 +92,10 @@
         ..entry("u1", 1, false)
     };
     registry.apply(RegistryChange::Put(run), true, S);
-    assert_eq!(gate::open_upstreams(&registry, "model", S).count(), 1);
+    assert_eq!(
+        eligibility::eligible_upstreams(&registry, "model", S).count(),
+        1
+    );
 }
 
 // Guards against the same run that is written again at another address and loses its pause.
@@ -98,7 +104,10 @@
     let (mut registry, keys) = pool(1);
     ask(&mut registry, keys[0], DAY, S);
     registry.apply(RegistryChange::Put(entry("u1", 2, false)), true, S);
-    assert_eq!(gate::open_upstreams(&registry, "model", S).count(), 0);
+    assert_eq!(
+        eligibility::eligible_upstreams(&registry, "model", S).count(),
+        0
+    );
 }
 
 /// Names a case: pauses of the upstreams of a pool, which of them were tried, and when it opens.
@@ -114,7 +123,7 @@
             let tried: &[usize] = &$tried;
             let tried: Vec<UpstreamKey> = tried.iter().map(|index| keys[*index]).collect();
             let opens: Option<Duration> = $opens;
-            assert_eq!(gate::opens_in(&registry, "model", &tried, S), opens);
+            assert_eq!(eligibility::eligible_in(&registry, "model", &tried, S), opens);
         }
     )*};
 }
--- a/kernel/tests/gateway/fleet.rs
+++ b/kernel/tests/gateway/fleet.rs
@@ -21,10 +21,10 @@
     }
 }
 
-fn heartbeat(name: &str, zone: &str, incarnation: u64, store_well: bool) -> NodeHeartbeat {
+fn heartbeat(name: &str, zone: &str, incarnation: u64, store_reachable: bool) -> NodeHeartbeat {
     NodeHeartbeat {
         version: 1,
-        store_well,
+        store_reachable,
         ..NodeHeartbeat::new(card(name, zone, incarnation))
     }
 }
@@ -39,11 +39,21 @@
 #[test]
 fn an_older_incarnation_is_not_believed() {
     let mut fleet = view();
-    assert!(fleet.heard(heartbeat("a", "east", 2, true), SECOND).fresh);
-    assert!(!fleet.heard(heartbeat("a", "east", 1, false), SECOND).fresh);
-    assert!(fleet.iter().all(|peer| peer.heartbeat.store_well));
     assert!(
-        fleet.heard(heartbeat("a", "east", 3, true), SECOND).fresh,
+        fleet
+            .receive_heartbeat(heartbeat("a", "east", 2, true), SECOND)
+            .fresh
+    );
+    assert!(
+        !fleet
+            .receive_heartbeat(heartbeat("a", "east", 1, false), SECOND)
+            .fresh
+    );
+    assert!(fleet.iter().all(|peer| peer.heartbeat.store_reachable));
+    assert!(
+        fleet
+            .receive_heartbeat(heartbeat("a", "east", 3, true), SECOND)
+            .fresh,
         "a new start is news"
     );
 }
@@ -51,19 +61,23 @@
 #[test]
 fn a_node_whose_time_of_day_was_set_back_before_its_new_start_is_believed() {
     let mut fleet = view();
-    fleet.heard(heartbeat("a", "east", 9000, true), SECOND);
+    fleet.receive_heartbeat(heartbeat("a", "east", 9000, true), SECOND);
     let later = SECOND * 4;
-    assert!(fleet.heard(heartbeat("a", "east", 4000, true), later).fresh);
+    assert!(
+        fleet
+            .receive_heartbeat(heartbeat("a", "east", 4000, true), later)
+            .fresh
+    );
     assert_eq!(fleet.live(later).count(), 1);
 }
 
 #[test]
 fn a_silent_node_is_not_live_and_is_forgotten() {
     let mut fleet = view();
-    fleet.heard(heartbeat("a", "east", 1, true), SECOND);
+    fleet.receive_heartbeat(heartbeat("a", "east", 1, true), SECOND);
     assert_eq!(fleet.live(SECOND * 2).count(), 1);
     assert_eq!(fleet.live(SECOND * 4).count(), 0);
-    fleet.forget(SECOND * 70);
+    fleet.expire(SECOND * 70);
     assert_eq!(fleet.iter().count(), 0);
 }
 
@@ -72,12 +86,12 @@
     let mut fleet = view();
     let mut leaving = heartbeat("a", "east", 1, true);
     leaving.card.state = NodeState::Leaving;
-    fleet.heard(heartbeat("a", "east", 1, true), SECOND);
-    assert!(fleet.heard(leaving, SECOND).left);
-    fleet.heard(heartbeat("a", "east", 1, true), SECOND);
+    fleet.receive_heartbeat(heartbeat("a", "east", 1, true), SECOND);
+    assert!(fleet.receive_heartbeat(leaving, SECOND).left);
+    fleet.receive_heartbeat(heartbeat("a", "east", 1, true), SECOND);
     let hubs = fleet.hubs("east", SECOND);
     assert_eq!(hubs.len(), 1, "itself alone: {hubs:?}");
-    fleet.heard(heartbeat("a", "east", 2, true), SECOND);
+    fleet.receive_heartbeat(heartbeat("a", "east", 2, true), SECOND);
     assert_eq!(fleet.hubs("east", SECOND).len(), 2);
 }
 
@@ -88,7 +102,7 @@
         fn $name() {
             let mut fleet = view();
             for heartbeat in $heartbeats {
-                fleet.heard(heartbeat, SECOND);
+                fleet.receive_heartbeat(heartbeat, SECOND);
             }
             assert_eq!(fleet.reads_store($now), $reads);
         }
@@ -108,7 +122,7 @@
 fn outranked(count: usize) -> FleetView {
     let mut fleet = view();
     for index in 0..count {
-        fleet.heard(heartbeat(&format!("a{index:03}"), "east", 1, false), SECOND);
+        fleet.receive_heartbeat(heartbeat(&format!("a{index:03}"), "east", 1, false), SECOND);
     }
     fleet
 }
@@ -137,7 +151,7 @@
         store_age_ms: Some(500),
         ..heartbeat("a000", "east", 1, false)
     };
-    fleet.heard(told, SECOND * 5);
+    fleet.receive_heartbeat(told, SECOND * 5);
     assert!(!fleet.reads_store(SECOND * 6));
 }
 
@@ -209,7 +223,7 @@
         hub.card.capacity = 500;
         hub.card.callers = ([10, 0, 0, index], 1).into();
         hub.entries = entries.iter().map(|name| short_hash(name)).collect();
-        fleet.heard(hub, SECOND);
+        fleet.receive_heartbeat(hub, SECOND);
     }
     fleet
 }
@@ -218,7 +232,7 @@
 fn a_node_that_hears_hubs_alone_names_the_nodes_that_they_name() {
     let fleet = told(&["h0", "h2"]);
     let own = heartbeat("m", "east", 1, true);
-    let named = fleet.callers_nodes(&own, "east", SECOND);
+    let named = fleet.entry_addresses(&own, "east", SECOND);
     assert_eq!(
         named,
         [([10, 0, 0, 0], 1).into(), ([10, 0, 0, 2], 1).into()]
@@ -229,23 +243,26 @@
 fn a_node_whose_hubs_fall_silent_names_itself() {
     let fleet = told(&["h0", "h2"]);
     let own = heartbeat("m", "east", 1, true);
-    let named = fleet.callers_nodes(&own, "east", SECOND * 4);
+    let named = fleet.entry_addresses(&own, "east", SECOND * 4);
     assert_eq!(named, [own.card.callers]);
 }
 
 #[test]
 fn a_silent_node_that_sent_calls_stays_a_rival_until_it_is_forgotten() {
     let mut fleet = view();
-    fleet.heard(heartbeat("idle", "east", 1, true), SECOND);
+    fleet.receive_heartbeat(heartbeat("idle", "east", 1, true), SECOND);
     let busy = NodeHeartbeat {
         work: Some(work(0)),
         ..heartbeat("busy", "east", 1, true)
     };
-    fleet.heard(busy, SECOND);
-    assert_eq!((fleet.rivals().len(), fleet.silent_rivals(SECOND)), (1, 0));
-    assert_eq!(fleet.silent_rivals(SECOND * 5), 1);
-    fleet.forget(SECOND * 35);
-    assert!(fleet.rivals().is_empty());
+    fleet.receive_heartbeat(busy, SECOND);
+    assert_eq!(
+        (fleet.sender_hashes().len(), fleet.silent_senders(SECOND)),
+        (1, 0)
+    );
+    assert_eq!(fleet.silent_senders(SECOND * 5), 1);
+    fleet.expire(SECOND * 35);
+    assert!(fleet.sender_hashes().is_empty());
 }
 
 /// A fleet of hubs and others that know each other, in one zone, and the patience of each.
@@ -259,9 +276,9 @@
     all.map(|own| {
         let mut fleet = FleetView::new(card_of(own), Duration::ZERO);
         for other in (0..nodes).filter(|other| *other != own) {
-            fleet.heard(NodeHeartbeat::new(card_of(other)), SECOND);
+            fleet.receive_heartbeat(NodeHeartbeat::new(card_of(other)), SECOND);
         }
-        fleet.claim_patience(SECOND, SECOND)
+        fleet.claim_delay(SECOND, SECOND)
     })
     .collect()
 }
@@ -290,7 +307,7 @@
             unix_ms,
             ..heartbeat(name, "east", 1, true)
         };
-        fleet.heard(heartbeat, SECOND);
+        fleet.receive_heartbeat(heartbeat, SECOND);
     }
     let own = Duration::from_millis(49_001);
     assert_eq!(fleet.unix_start(own, SECOND), own);
--- a/kernel/tests/gateway/spread.rs
+++ b/kernel/tests/gateway/gossip.rs
@@ -11,11 +11,11 @@
 
 use monsoonbank_kernel::gateway::entries::entries;
 use monsoonbank_kernel::gateway::fleet::FleetView;
+use monsoonbank_kernel::gateway::gossip::{
+    self, GossipPlan, GossipRound, GossipSchedule, GossipUrgency, ReplyReason, SeedChoice,
+};
 use monsoonbank_kernel::gateway::heartbeat::{NodeCard, NodeHeartbeat, NodeState, WorkReport};
 use monsoonbank_kernel::gateway::load::WorkCount;
-use monsoonbank_kernel::gateway::spread::{
-    self, AnswerNeed, HeartbeatSpread, SeedChoice, SpreadNews, SpreadPlan, SpreadRound,
-};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -33,10 +33,10 @@
     card: NodeCard,
     up: bool,
     view: FleetView,
-    spread: HeartbeatSpread,
+    spread: GossipSchedule,
     tick_at: Duration,
     version: u64,
-    news: SpreadNews,
+    news: GossipUrgency,
 }
 
 /// What one node sent and received.
@@ -95,10 +95,10 @@
                     view: FleetView::new(card.clone(), Duration::ZERO),
                     card,
                     up: true,
-                    spread: HeartbeatSpread::default(),
+                    spread: GossipSchedule::default(),
                     tick_at: Duration::from_millis(random.random_range(0..300)),
                     version: 0,
-                    news: SpreadNews::None,
+                    news: GossipUrgency::None,
                 }
             })
             .collect();
@@ -120,8 +120,8 @@
         let node = &self.nodes[index];
         let mut heartbeat = NodeHeartbeat {
             version: node.version,
-            store_well: true,
-            seeking: spread::is_seeking(&node.view, self.now),
+            store_reachable: true,
+            seeking: gossip::is_seeking(&node.view, self.now),
             zone_size: if node.view.is_hub(self.now) {
                 node.view.zone_size(self.now)
             } else {
@@ -185,24 +185,24 @@
         if heartbeat.version > node.version {
             node.version = heartbeat.version;
             if node.view.is_hub(now) {
-                node.news = SpreadNews::All;
+                node.news = GossipUrgency::All;
             }
             node.tick_at = now;
         }
-        let news = node.view.heard(heartbeat.clone(), now);
-        let need = AnswerNeed {
+        let news = node.view.receive_heartbeat(heartbeat.clone(), now);
+        let need = ReplyReason {
             fresh: news.fresh,
             seeking: heartbeat.seeking,
         };
         if news.fresh {
             node.tick_at = now;
         }
-        if heartbeat.answers {
+        if heartbeat.is_reply {
             return;
         }
-        for cards in spread::answer(&node.view, &heartbeat.card, need, now) {
+        for cards in gossip::reply(&node.view, &heartbeat.card, need, now) {
             let answer = NodeHeartbeat {
-                answers: true,
+                is_reply: true,
                 cards,
                 work: None,
                 ..self.heartbeat(index)
@@ -215,14 +215,14 @@
         let now = self.now;
         let mut own = self.heartbeat(index);
         let node = &mut self.nodes[index];
-        node.view.forget(now);
-        node.tick_at = now + spread::tick(&node.view, false, now);
-        let round = SpreadRound {
+        node.view.expire(now);
+        node.tick_at = now + gossip::tick(&node.view, false, now);
+        let round = GossipRound {
             busy: self.stray_calls,
-            news: std::mem::take(&mut node.news),
+            urgency: std::mem::take(&mut node.news),
             now,
         };
-        let SpreadPlan {
+        let GossipPlan {
             near,
             zone,
             far,
@@ -283,7 +283,7 @@
             let node = &mut self.nodes[index];
             node.card.incarnation += 1;
             node.view = FleetView::new(node.card.clone(), now);
-            node.spread = HeartbeatSpread::default();
+            node.spread = GossipSchedule::default();
             node.version = 0;
             node.up = true;
             node.tick_at = now + Duration::from_millis(self.random.random_range(0..300));
@@ -324,7 +324,7 @@
         let wrong = self.live().filter(|node| {
             let zone = &node.card.zone;
             let own = NodeHeartbeat::new(node.card.clone());
-            let named = node.view.callers_nodes(&own, zone, self.now);
+            let named = node.view.entry_addresses(&own, zone, self.now);
             let right = entries(live.iter(), zone);
             let right = right.iter().map(|entry| entry.card.callers);
             BTreeSet::from_iter(named) != right.collect()
@@ -342,7 +342,7 @@
         let now = self.now;
         let node = &mut self.nodes[index];
         node.version = version;
-        node.news = SpreadNews::All;
+        node.news = GossipUrgency::All;
         node.tick_at = now;
     }
 
@@ -492,9 +492,9 @@
     let own = fleet.heartbeat(reader);
     let now = fleet.now;
     let node = &mut fleet.nodes[reader];
-    let far = node.view.call_nodes(false, &own.entries, now);
+    let far = node.view.work_recipients(false, &own.entries, now);
     assert_eq!(far.len(), 4 * 3, "hubs of four other zones");
-    let near = node.view.call_nodes(true, &own.entries, now);
+    let near = node.view.work_recipients(true, &own.entries, now);
     assert_eq!(near.len(), 2, "the other hubs of the zone");
 }
 
--- a/kernel/tests/gateway/health.rs
+++ b/kernel/tests/gateway/health.rs
@@ -9,20 +9,20 @@
 #[test]
 fn a_silent_upstream_rests_longer_each_time_and_not_at_all_after_an_answer() {
     let mut health = UpstreamHealth::default();
-    health.silent(Duration::ZERO);
-    assert!(health.resting(MS * 499) && !health.resting(MS * 500));
-    health.silent(MS * 500);
-    assert!(health.resting(MS * 1499) && !health.resting(MS * 1500));
+    health.unanswered(Duration::ZERO);
+    assert!(health.is_backed_off(MS * 499) && !health.is_backed_off(MS * 500));
+    health.unanswered(MS * 500);
+    assert!(health.is_backed_off(MS * 1499) && !health.is_backed_off(MS * 1500));
     for round in 2..10 {
-        health.silent(Duration::from_secs(10 * round));
+        health.unanswered(Duration::from_secs(10 * round));
     }
     assert!(
-        !health.resting(Duration::from_secs(94)),
+        !health.is_backed_off(Duration::from_secs(94)),
         "never for more than four seconds"
     );
     health.succeeded(Duration::from_secs(99));
-    health.silent(Duration::from_secs(100));
-    assert!(!health.resting(Duration::from_millis(100_500)));
+    health.unanswered(Duration::from_secs(100));
+    assert!(!health.is_backed_off(Duration::from_millis(100_500)));
 }
 
 #[test]
@@ -30,7 +30,7 @@
     let mut health = UpstreamHealth::default();
     let failures = (0..100).take_while(|_| {
         health.failed(Duration::ZERO);
-        !health.resting(MS)
+        !health.is_backed_off(MS)
     });
     assert!(failures.count() < 3);
 }
@@ -44,70 +44,79 @@
         } else {
             health.succeeded(MS * call);
         }
-        assert!(!health.resting(MS * call));
+        assert!(!health.is_backed_off(MS * call));
     }
-    assert!(health.failures() < 0.3);
+    assert!(health.failure_share() < 0.3);
 }
 
 #[test]
 fn many_failures_at_once_are_one_rest() {
     let mut health = UpstreamHealth::default();
     for _ in 0..50 {
-        health.silent(Duration::ZERO);
+        health.unanswered(Duration::ZERO);
     }
-    assert!(!health.resting(MS * 500));
+    assert!(!health.is_backed_off(MS * 500));
 }
 
 #[test]
 fn after_a_rest_one_call_at_a_time_tries_it_until_one_is_answered() {
     let mut health = UpstreamHealth::default();
-    health.silent(Duration::ZERO);
-    assert!(!health.resting(MS * 500) && health.unproven());
-    health.tried(MS * 500);
-    assert!(health.resting(MS * 501), "another call is the trial");
+    health.unanswered(Duration::ZERO);
+    assert!(!health.is_backed_off(MS * 500) && health.unproven());
+    health.attempt_started(MS * 500);
+    assert!(health.is_backed_off(MS * 501), "another call is the trial");
     health.answered(MS * 520);
-    assert!(!health.resting(MS * 521) && !health.unproven());
+    assert!(!health.is_backed_off(MS * 521) && !health.unproven());
 }
 
 #[test]
 fn a_trial_that_never_ends_is_followed_by_another() {
     let mut health = UpstreamHealth::default();
-    health.silent(Duration::ZERO);
-    health.tried(MS * 500);
-    assert!(!health.resting(MS * 4500));
+    health.unanswered(Duration::ZERO);
+    health.attempt_started(MS * 500);
+    assert!(!health.is_backed_off(MS * 4500));
 }
 
 #[test]
 fn one_that_others_found_failing_rests_here_as_long_as_they_say_so() {
     let mut health = UpstreamHealth::default();
-    health.warned(Duration::ZERO);
-    assert!(health.resting(MS * 300) && health.unproven());
-    health.warned(MS * 400);
-    assert!(health.resting(MS * 900));
-    assert!(!health.resting(MS * 1500));
-    assert!(!health.warns(MS * 900), "hearsay is not passed on");
+    health.reported_failing(Duration::ZERO);
+    assert!(health.is_backed_off(MS * 300) && health.unproven());
+    health.reported_failing(MS * 400);
+    assert!(health.is_backed_off(MS * 900));
+    assert!(!health.is_backed_off(MS * 1500));
+    assert!(
+        !health.reports_failing(MS * 900),
+        "hearsay is not passed on"
+    );
 }
 
 #[test]
 fn a_warning_does_not_count_against_an_answer_of_a_moment_ago() {
     let mut health = UpstreamHealth::default();
     health.succeeded(MS * 900);
-    health.warned(MS * 1000);
-    assert!(!health.resting(MS * 1000));
+    health.reported_failing(MS * 1000);
+    assert!(!health.is_backed_off(MS * 1000));
     health.failed(MS * 1001);
-    health.warned(MS * 1002);
-    assert!(health.resting(MS * 1003), "but a failure since then does");
+    health.reported_failing(MS * 1002);
+    assert!(
+        health.is_backed_off(MS * 1003),
+        "but a failure since then does"
+    );
 }
 
 #[test]
 fn own_evidence_is_told_while_it_rests() {
     let mut health = UpstreamHealth::default();
-    health.silent(Duration::ZERO);
-    assert!(!health.warns(MS), "silence may be this node's own link");
+    health.unanswered(Duration::ZERO);
+    assert!(
+        !health.reports_failing(MS),
+        "silence may be this node's own link"
+    );
     let mut health = UpstreamHealth::default();
     health.unreachable(Duration::ZERO);
-    assert!(health.warns(MS * 499) && !health.warns(MS * 500));
-    health.tried(MS * 500);
+    assert!(health.reports_failing(MS * 499) && !health.reports_failing(MS * 500));
+    health.attempt_started(MS * 500);
     health.answered(MS * 501);
-    assert!(!health.warns(MS * 502));
+    assert!(!health.reports_failing(MS * 502));
 }
--- a/kernel/tests/gateway/lag.rs
+++ b/kernel/tests/gateway/lag.rs
@@ -11,9 +11,9 @@
 /// A node that was told of version 7 at 1 s and got pieces of it at these times.
 fn told(pieces: &[u64]) -> VersionLag {
     let mut lag = VersionLag::default();
-    lag.told(7, ms(1000));
+    lag.advertised(7, ms(1000));
     for piece in pieces {
-        lag.piece_came(ms(*piece));
+        lag.fetch_progressed(ms(*piece));
     }
     lag
 }
@@ -40,8 +40,8 @@
 #[test]
 fn an_older_word_does_not_begin_the_time_anew() {
     let mut lag = told(&[]);
-    lag.told(7, ms(1600));
-    lag.told(5, ms(1650));
+    lag.advertised(7, ms(1600));
+    lag.advertised(5, ms(1650));
     assert!(lag.is_behind(6, ms(1701)));
     assert_eq!(lag.since(7, ms(1500)), Some(ms(500)));
     assert_eq!(lag.since(8, ms(1500)), None);
--- a/kernel/tests/gateway/limit_fuzz.rs
+++ b/kernel/tests/gateway/limit_fuzz.rs
@@ -5,7 +5,7 @@
 
 use monsoonbank_kernel::gateway::fleet::{FleetView, SharedLimit};
 use monsoonbank_kernel::gateway::heartbeat::{NodeCard, NodeHeartbeat, NodeState};
-use monsoonbank_kernel::gateway::throttle::{LimitReport, NamedLimit, UpstreamThrottle};
+use monsoonbank_kernel::gateway::throttle::{AdvertisedLimit, LimitReport, UpstreamThrottle};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -88,7 +88,7 @@
         }
     }
 
-    fn hear(&mut self, index: usize, said: NamedLimit) {
+    fn hear(&mut self, index: usize, said: AdvertisedLimit) {
         let (now, node) = (self.now, &mut self.nodes[index]);
         node.throttle.observe(said, now);
         share_out(node, now);
@@ -108,9 +108,11 @@
                 if listener == teller || self.random.random_bool(LOSS) {
                     continue;
                 }
-                self.nodes[listener].view.heard(heartbeat.clone(), self.now);
+                self.nodes[listener]
+                    .view
+                    .receive_heartbeat(heartbeat.clone(), self.now);
                 if let Some(report) = report {
-                    self.hear(listener, report.named(self.now));
+                    self.hear(listener, report.advertised(self.now));
                 }
             }
         }
@@ -123,7 +125,7 @@
             if !node.throttle.is_open(self.now) {
                 continue;
             }
-            node.throttle.take(self.now);
+            node.throttle.consume(self.now);
             self.answers.push_back((self.now + ANSWER_TIME, index));
             let is_told = node.told_at.is_some_and(|at| at + TOLD_TIME <= self.now);
             let in_touch = node.started_at.is_zero() || node.started_at + CONTACT <= self.now;
@@ -152,7 +154,7 @@
                 continue;
             }
             self.nodes[index].told_at.get_or_insert(self.now);
-            let said = NamedLimit {
+            let said = AdvertisedLimit {
                 per_second: Some(self.limit),
                 at: self.now,
             };
--- a/kernel/tests/gateway/pace.rs
+++ b/kernel/tests/gateway/pace.rs
@@ -13,7 +13,7 @@
 fn pace(streams: usize, first_ms: u32, event_ms: u32) -> StreamPace {
     let mut pace = StreamPace::default();
     for _ in 0..streams {
-        pace.ended(MS * first_ms, MS * event_ms * 9, 9);
+        pace.record_stream(MS * first_ms, MS * event_ms * 9, 9);
     }
     pace
 }
@@ -24,7 +24,7 @@
         #[test]
         fn $name() {
             let pace: StreamPace = $pace;
-            assert_eq!(pace.can_end($events, MS * $left_ms), $ends);
+            assert_eq!(pace.can_finish($events, MS * $left_ms), $ends);
         }
     )*};
 }
@@ -40,12 +40,12 @@
 #[test]
 fn the_pace_follows_the_load_within_some_tens_of_streams() {
     let mut pace = pace(200, 150, 30);
-    assert!(pace.can_end(30.0, MS * 2500));
+    assert!(pace.can_finish(30.0, MS * 2500));
     for _ in 0..60 {
-        pace.ended(MS * 400, MS * 180 * 9, 9);
+        pace.record_stream(MS * 400, MS * 180 * 9, 9);
     }
-    assert!(!pace.can_end(30.0, MS * 2500));
-    assert!(pace.time_to_first() > MS * 350);
+    assert!(!pace.can_finish(30.0, MS * 2500));
+    assert!(pace.expected_first_event() > MS * 350);
 }
 
 #[test]
--- a/kernel/tests/gateway/partition.rs
+++ b/kernel/tests/gateway/partition.rs
@@ -4,7 +4,7 @@
 
 use monsoonbank_kernel::gateway::choice::{ChoiceInput, choose};
 use monsoonbank_kernel::gateway::load::WorkItem;
-use monsoonbank_kernel::gateway::partition::{UpstreamOption, kept_for_tight};
+use monsoonbank_kernel::gateway::partition::{UpstreamCandidate, reserved_for_tight};
 use monsoonbank_kernel::gateway::prompt::PromptShape;
 use monsoonbank_kernel::gateway::registry::{UpstreamKey, UpstreamRegistry};
 
@@ -16,16 +16,16 @@
 }
 
 fn kept(registry: &UpstreamRegistry) -> BTreeSet<UpstreamKey> {
-    let options: Vec<UpstreamOption> = registry
+    let options: Vec<UpstreamCandidate> = registry
         .usable("model")
-        .map(|(key, upstream)| UpstreamOption {
+        .map(|(key, upstream)| UpstreamCandidate {
             key,
             upstream,
             total: upstream.load.total(NOW),
-            resting: upstream.health.resting(NOW),
+            backed_off: upstream.health.is_backed_off(NOW),
         })
         .collect();
-    kept_for_tight(&options)
+    reserved_for_tight(&options)
 }
 
 fn load(registry: &mut UpstreamRegistry, key: UpstreamKey, item: WorkItem, times: usize) {
@@ -47,7 +47,7 @@
 fn among<'a>(prompt: &'a PromptShape, node: u64, rivals: &'a [u64]) -> ChoiceInput<'a> {
     ChoiceInput {
         node,
-        rivals,
+        senders: rivals,
         ..input(prompt, false)
     }
 }
@@ -98,7 +98,7 @@
 fn an_engine_that_rests_is_not_counted_on() {
     let mut registry = engines(4);
     let key = *kept(&registry).first().expect("one");
-    registry.get_mut(key).expect("known").health.silent(NOW);
+    registry.get_mut(key).expect("known").health.unanswered(NOW);
     let now_kept = kept(&registry);
     assert_eq!(now_kept.len(), 1);
     assert!(!now_kept.contains(&key));
@@ -190,7 +190,7 @@
     let key = registry.key("i-0").expect("known");
     let prompt = bulk(600);
     let cut_off = ChoiceInput {
-        silent: 3,
+        silent_senders: 3,
         ..input(&prompt, false)
     };
     let mut sent = 0;
--- a/kernel/tests/gateway/registry.rs
+++ b/kernel/tests/gateway/registry.rs
@@ -63,10 +63,17 @@
             Duration::from_secs(5),
         );
     }
-    assert!(registry.settle(START, Duration::from_secs(6)).is_empty());
+    assert!(
+        registry
+            .expire_lapsed(START, Duration::from_secs(6))
+            .is_empty()
+    );
     assert_eq!(usable(&registry), ["a", "b"]);
     put(&mut registry, "a", 1, false);
-    assert_eq!(registry.settle(START, Duration::from_secs(8)).len(), 1);
+    assert_eq!(
+        registry.expire_lapsed(START, Duration::from_secs(8)).len(),
+        1
+    );
     assert_eq!(usable(&registry), ["a"]);
     let b = registry
         .key("b")
@@ -109,7 +116,7 @@
     registry.apply(born(100, false), true, START);
     let old = registry.key("a").expect("known");
     let upstream = registry.get_mut(old).expect("known");
-    upstream.load.part_read(7, START);
+    upstream.load.record_part_read(7, START);
     upstream.health.unreachable(START);
     registry.apply(born(200, false), true, SECOND);
     let new = registry.key("a").expect("known");
@@ -131,7 +138,7 @@
         now: SECOND,
         held_tokens: 0,
     };
-    assert_eq!(upstream.load.cache.kept_tokens(&prompt, moment), 0);
+    assert_eq!(upstream.load.cache.cached_tokens(&prompt, moment), 0);
     assert!(!upstream.health.unproven());
     assert_eq!(usable(&registry), ["a"]);
 }
@@ -161,7 +168,7 @@
     hearer.apply(born(100, false), true, SECOND);
     hearer.apply(born(200, false), true, SECOND);
     for hash in teller.departures(SECOND) {
-        assert!(hearer.departed(hash, SECOND).is_none());
+        assert!(hearer.receive_departure(hash, SECOND).is_none());
     }
     assert_eq!(usable(&hearer), ["a"]);
     assert_ne!(teller.digest(), hearer.digest());
@@ -205,8 +212,11 @@
     let told = teller.departures(SECOND * 2);
     assert_eq!(told.len(), 1);
     assert!(teller.departures(SECOND * 4).is_empty());
-    assert!(hearer.departed(told[0], SECOND * 2).is_some());
-    assert!(hearer.departed(told[0], SECOND * 2).is_none(), "no news");
+    assert!(hearer.receive_departure(told[0], SECOND * 2).is_some());
+    assert!(
+        hearer.receive_departure(told[0], SECOND * 2).is_none(),
+        "no news"
+    );
     assert_eq!(hearer.usable("model").count(), 0);
     assert_eq!(hearer.digest(), teller.digest());
 }
@@ -225,8 +235,8 @@
     let mut registry = UpstreamRegistry::default();
     put(&mut registry, "a", 1, false);
     let key = registry.key("a").expect("known");
-    assert!(registry.announced(key, SECOND));
-    assert!(!registry.announced(key, SECOND));
+    assert!(registry.record_announcement(key, SECOND));
+    assert!(!registry.record_announcement(key, SECOND));
     put(&mut registry, "a", 1, false);
     assert!(usable(&registry).is_empty());
     assert_eq!(registry.departures(SECOND).len(), 1);
@@ -241,10 +251,13 @@
         let key = registry.key("a").expect("known");
         registry.apply(RegistryChange::Removed("a".into()), false, START);
         if announced_first {
-            registry.announced(key, SECOND);
+            registry.record_announcement(key, SECOND);
         }
-        registry.settle(START, SECOND * 5);
-        assert_eq!(!announced_first, registry.announced(key, SECOND * 6));
+        registry.expire_lapsed(START, SECOND * 5);
+        assert_eq!(
+            !announced_first,
+            registry.record_announcement(key, SECOND * 6)
+        );
         put(&mut registry, "a", 1, false);
         assert!(usable(&registry).is_empty());
     }
@@ -256,7 +269,7 @@
     let mut registry = UpstreamRegistry::default();
     put(&mut registry, "a", 1, false);
     let key = registry.key("a").expect("known");
-    registry.announced(key, SECOND);
+    registry.record_announcement(key, SECOND);
     let run = UpstreamEntry {
         born: Some(7),
         ..entry("a", 1, false)
@@ -281,13 +294,13 @@
     }
     let key = |registry: &UpstreamRegistry, id: &str| registry.key(id).expect("known");
     let a = key(&registry, "a");
-    registry.announced(a, START);
+    registry.record_announcement(a, START);
     differs(&registry, "announced");
     let b = registry.get(key(&registry, "b")).expect("known");
-    registry.departed(b.entry.run_hash(), START);
+    registry.receive_departure(b.entry.run_hash(), START);
     differs(&registry, "departed");
     let c = key(&registry, "c");
-    registry.replaced(c);
+    registry.record_replacement(c);
     differs(&registry, "replaced");
     registry.retain(
         &["a".into(), "b".into(), "c".into(), "e".into()],
@@ -296,7 +309,7 @@
     );
     differs(&registry, "not listed");
     registry.apply(RegistryChange::Removed("e".into()), false, START);
-    registry.settle(START, SECOND * 3);
+    registry.expire_lapsed(START, SECOND * 3);
     differs(&registry, "lapsed");
 }
 
@@ -319,7 +332,7 @@
     assert_eq!(full.differing(&[]).count(), usize::from(COUNT));
     let mut newer = full.clone();
     let key = newer.key("u7").expect("known");
-    newer.announced(key, START);
+    newer.record_announcement(key, START);
     let few = sent(&newer, &full);
     assert!((1..=usize::from(COUNT) / 50).contains(&few), "{few}");
     let changes: Vec<RegistryChange> = newer
--- a/kernel/tests/gateway/rules.rs
+++ b/kernel/tests/gateway/rules.rs
@@ -19,7 +19,7 @@
             tier,
             timeout: Duration::from_secs(1),
             target: Duration::from_millis(100),
-            patience: None,
+            event_timeout: None,
             max_attempts: 2,
             gap: gap_ms.map(Duration::from_millis),
             cached: false,
--- a/kernel/tests/gateway/scaling.rs
+++ b/kernel/tests/gateway/scaling.rs
@@ -54,7 +54,7 @@
     }
 
     fn present(&self) -> u32 {
-        self.zones.values().map(|engines| engines.all()).sum()
+        self.zones.values().map(|engines| engines.total()).sum()
     }
 
     fn zone(&self, zone: &str) -> ZoneEngines {
@@ -74,7 +74,7 @@
         while self.now < end {
             self.now += STEP;
             self.start_engines();
-            self.scaling.measured(self.load, self.now);
+            self.scaling.record_load(self.load, self.now);
             let next = self.scaling.next_order(&self.spec, &self.zones, self.now);
             if let Some(order) = next {
                 self.order(order);
@@ -113,7 +113,7 @@
         {
             engines.firm = order.desired;
         }
-        self.scaling.ordered(order, outcome, self.now);
+        self.scaling.record_order(order, outcome, self.now);
     }
 }
 
@@ -150,8 +150,8 @@
     world.reclaim("west");
     world.run(8);
     assert_eq!(world.zone("west"), ZoneEngines { firm: 1, spot: 0 });
-    assert_eq!(world.zone("east").all(), 36);
-    assert_eq!(world.zone("north").all(), 36);
+    assert_eq!(world.zone("east").total(), 36);
+    assert_eq!(world.zone("north").total(), 36);
     assert!(world.fewest >= 36);
     world.dry.clear();
     world.run(8);
@@ -202,7 +202,7 @@
     world.run(10);
     let lowered = world.orders.iter().any(|(_, order)| order.desired < 23);
     assert!(!lowered, "{:?}", world.orders);
-    assert_eq!(world.zone("east").all(), 36);
+    assert_eq!(world.zone("east").total(), 36);
 }
 
 #[test]
--- a/kernel/tests/gateway/surge.rs
+++ b/kernel/tests/gateway/surge.rs
@@ -104,7 +104,7 @@
         while let Some(came_ms) = self.waiting[node].front().copied() {
             let call = ChoiceInput {
                 node: node as u64,
-                rivals: &rivals,
+                senders: &rivals,
                 target: TARGET,
                 tier: 1,
                 now: Duration::from_millis(now_ms),
@@ -186,7 +186,7 @@
                 for (speaker, count) in counts.iter().enumerate() {
                     if speaker != hearer {
                         let now = Duration::from_millis(now_ms);
-                        load.heard(&format!("n{speaker}"), *count, now);
+                        load.receive_report(&format!("n{speaker}"), *count, now);
                     }
                 }
             }
--- a/kernel/tests/gateway/throttle.rs
+++ b/kernel/tests/gateway/throttle.rs
@@ -4,15 +4,15 @@
 
 use monsoonbank_kernel::gateway::fleet::{FleetView, SharedLimit};
 use monsoonbank_kernel::gateway::heartbeat::{NodeCard, NodeHeartbeat, NodeState};
-use monsoonbank_kernel::gateway::throttle::{LimitShare, NamedLimit, UpstreamThrottle};
+use monsoonbank_kernel::gateway::throttle::{AdvertisedLimit, LimitShare, UpstreamThrottle};
 
 const MS: Duration = Duration::from_millis(1);
 const S: Duration = Duration::from_secs(1);
 /// Time in which an upstream counts its requests.
 const WINDOW_S: f64 = 4.0;
 
-fn named(per_second: Option<f64>, at: Duration) -> NamedLimit {
-    NamedLimit { per_second, at }
+fn named(per_second: Option<f64>, at: Duration) -> AdvertisedLimit {
+    AdvertisedLimit { per_second, at }
 }
 
 fn throttled(per_second: f64, share: LimitShare) -> UpstreamThrottle {
@@ -49,7 +49,7 @@
                 zone_size: zone_size as u32,
                 ..NodeHeartbeat::new(card(other, zones))
             };
-            view.heard(heartbeat, S);
+            view.receive_heartbeat(heartbeat, S);
         }
         view
     });
@@ -140,7 +140,7 @@
     let mut throttle = throttled(2.0, share);
     assert!(!throttle.is_open(S) && !throttle.is_open(S + MS * 499));
     assert!(throttle.is_open(S + MS * 500));
-    throttle.take(S + MS * 500);
+    throttle.consume(S + MS * 500);
     assert!(!throttle.is_open(S + MS * 999) && throttle.is_open(S * 2));
 }
 
@@ -152,7 +152,7 @@
     };
     let mut throttle = throttled(2.0, share);
     let later = S * 100;
-    throttle.take(later);
+    throttle.consume(later);
     assert!(!throttle.is_open(later + MS * 499));
 }
 
@@ -194,7 +194,7 @@
         (report.run, report.per_second, report.age_ms),
         (7, Some(1.5), 300)
     );
-    assert_eq!(report.named(S * 5), named(Some(1.5), MS * 4700));
+    assert_eq!(report.advertised(S * 5), named(Some(1.5), MS * 4700));
     assert!(throttle.report(7, S * 3).is_none());
     assert!(UpstreamThrottle::default().report(7, S).is_none());
 }
--- a/kernel/tests/gateway/usage.rs
+++ b/kernel/tests/gateway/usage.rs
@@ -168,8 +168,8 @@
         window: WINDOW,
         counts: counts(2),
     });
-    assert!(reports.forget(&ledger, at(520.0)).is_empty());
-    assert_eq!(reports.forget(&ledger, at(526.0)), [WINDOW]);
+    assert!(reports.expire(&ledger, at(520.0)).is_empty());
+    assert_eq!(reports.expire(&ledger, at(526.0)), [WINDOW]);
     assert_eq!(reports.missed(), 1);
 }
 
