--- a/daemon/src/gateway/peers.rs
+++ b/daemon/src/gateway/peers.rs
@@ -74,7 +74,7 @@
         .map(|(_, upstream)| WorkReport {
             run: upstream.entry.run_hash(),
             count: upstream.load.own(),
-            taken_tokens: upstream.load.cache.own_taken(),
+            taken_tokens: upstream.load.cache.own_tokens(),
         })
         .collect();
     let failing = registry
--- a/daemon/src/gateway/scaling.rs
+++ b/daemon/src/gateway/scaling.rs
@@ -55,7 +55,7 @@
             if &*upstream.entry.pool == pool {
                 load.calls += upstream.load.total(now).calls;
                 load.slots = load.slots.max(upstream.entry.slots);
-                taken += upstream.load.cache.taken();
+                taken += upstream.load.cache.total_tokens();
             }
         }
         load.tokens_per_s = taken.saturating_sub(self.taken) as f64 / passed.as_secs_f64();
--- a/kernel/src/gateway/cache.rs
+++ b/kernel/src/gateway/cache.rs
@@ -11,13 +11,13 @@
 
 /// Time after its last use after which a part is no longer assumed to be cached, whatever the
 /// engine added since: other nodes' heartbeats may have been lost.
-const LONGEST_KEPT: Duration = Duration::from_mins(1);
+const MAX_AGE: Duration = Duration::from_mins(1);
 /// Share of the cache that is assumed to be available for parts. Generated tokens, and prompts in
 /// lost heartbeats, occupy space too.
-const COUNTED_PART: f64 = 0.9;
+const USABLE_SHARE: f64 = 0.9;
 /// Number of recorded parts above which old ones are removed: limits memory to some 100 kB per
 /// engine.
-const MOST_PARTS: usize = 4096;
+const MAX_PARTS: usize = 4096;
 
 /// Time and occupancy at which a cache is examined.
 #[derive(Clone, Copy, Debug)]
@@ -35,10 +35,10 @@
     /// Size of the cache in tokens; `None` until a call gives it.
     size: Option<u64>,
     /// Tokens that calls of this node added to the cache.
-    own_taken: u64,
+    own_tokens: u64,
     /// Tokens that calls of all nodes added to the cache.
-    taken: u64,
-    others_taken: BTreeMap<Box<str>, u64>,
+    total_tokens: u64,
+    others_tokens: BTreeMap<Box<str>, u64>,
 }
 
 impl PromptCache {
@@ -46,59 +46,59 @@
     /// tokens.
     pub fn record_tokens(&mut self, tokens: u32, size: u64) {
         self.size = Some(size);
-        self.own_taken += u64::from(tokens);
-        self.taken += u64::from(tokens);
+        self.own_tokens += u64::from(tokens);
+        self.total_tokens += u64::from(tokens);
     }
 
     /// Number of tokens that calls of this node have added to the cache.
-    pub fn own_taken(&self) -> u64 {
-        self.own_taken
+    pub fn own_tokens(&self) -> u64 {
+        self.own_tokens
     }
 
     /// Number of tokens that calls of all nodes have added to the cache, since this node's first
     /// report from each.
-    pub fn taken(&self) -> u64 {
-        self.taken
+    pub fn total_tokens(&self) -> u64 {
+        self.total_tokens
     }
 
     /// Records another node's report of the number of tokens that its calls have added. The count
     /// in its first report is not added here; after a restart the node counts from zero.
-    pub fn receive_total(&mut self, node: &str, taken: u64) {
-        let before = self.others_taken.insert(node.into(), taken);
-        let before = before.unwrap_or(taken);
-        self.taken += taken.checked_sub(before).unwrap_or(taken);
+    pub fn receive_total(&mut self, node: &str, total: u64) {
+        let before = self.others_tokens.insert(node.into(), total);
+        let before = before.unwrap_or(total);
+        self.total_tokens += total.checked_sub(before).unwrap_or(total);
     }
 
     /// Records that a call uses a part now; the engine has prefilled it at `read_at` unless it was
     /// cached before. Returns whether it was not known to be cached.
     pub fn record_use(&mut self, part: u64, read_at: Duration, moment: CacheMoment) -> bool {
-        let kept = self.parts.get(&part).copied();
-        let kept = kept.filter(|old| self.keeps(old, moment));
+        let cached = self.parts.get(&part).copied();
+        let cached = cached.filter(|old| self.is_cached(old, moment));
         let new = PartUse {
             at: moment.now,
-            read_at: kept.map_or(read_at, |old| old.read_at.min(read_at)),
-            taken: self.taken,
+            read_at: cached.map_or(read_at, |old| old.read_at.min(read_at)),
+            total_at_use: self.total_tokens,
         };
         self.parts.insert(part, new);
-        if self.parts.len() > MOST_PARTS {
-            let oldest = moment.now.saturating_sub(LONGEST_KEPT);
-            let least = self.taken.saturating_sub(self.room(moment));
+        if self.parts.len() > MAX_PARTS {
+            let oldest = moment.now.saturating_sub(MAX_AGE);
+            let least = self.total_tokens.saturating_sub(self.capacity(moment));
             self.parts
-                .retain(|_, old| old.at > oldest && old.taken >= least);
+                .retain(|_, old| old.at > oldest && old.total_at_use >= least);
         }
-        kept.is_none()
+        cached.is_none()
     }
 
     /// Number of tokens of the prompt's shared parts that the engine has cached or will have
     /// prefilled before a call that is sent now: a part is cached together with all before it.
     pub fn cached_tokens(&self, prompt: &PromptShape, moment: CacheMoment) -> u32 {
-        self.tokens_up_to(prompt, |part| self.keeps(part, moment))
+        self.tokens_up_to(prompt, |part| self.is_cached(part, moment))
     }
 
     /// Number of such tokens that are prefilled already, so that other engines can fetch them.
     pub fn read_tokens(&self, prompt: &PromptShape, moment: CacheMoment) -> u32 {
         self.tokens_up_to(prompt, |part| {
-            part.read_at <= moment.now && self.keeps(part, moment)
+            part.read_at <= moment.now && self.is_cached(part, moment)
         })
     }
 
@@ -112,16 +112,16 @@
         })
     }
 
-    fn keeps(&self, part: &PartUse, moment: CacheMoment) -> bool {
-        let after = self.taken.saturating_sub(part.taken);
-        part.at + LONGEST_KEPT > moment.now && after <= self.room(moment)
+    fn is_cached(&self, part: &PartUse, moment: CacheMoment) -> bool {
+        let after = self.total_tokens.saturating_sub(part.total_at_use);
+        part.at + MAX_AGE > moment.now && after <= self.capacity(moment)
     }
 
     /// Number of tokens that the cache can keep beside those of running calls.
-    fn room(&self, moment: CacheMoment) -> u64 {
+    fn capacity(&self, moment: CacheMoment) -> u64 {
         let size = self.size.unwrap_or(u64::MAX);
-        let room = size.saturating_sub(u64::from(moment.held_tokens));
-        (room as f64 * COUNTED_PART) as u64
+        let capacity = size.saturating_sub(u64::from(moment.held_tokens));
+        (capacity as f64 * USABLE_SHARE) as u64
     }
 }
 
@@ -131,5 +131,5 @@
 struct PartUse {
     at: Duration,
     read_at: Duration,
-    taken: u64,
+    total_at_use: u64,
 }
--- a/kernel/src/gateway/capacity.rs
+++ b/kernel/src/gateway/capacity.rs
@@ -7,27 +7,27 @@
 
 /// Share of an engine's slots that is used. The rest is for calls that other nodes have sent and
 /// not reported yet.
-const SLOT_PART: f64 = 0.95;
+const SLOT_SHARE: f64 = 0.95;
 /// Share of the KV cache that calls may occupy. The rest is for tokens cached between calls.
-const CACHE_PART: f64 = 0.85;
+const CACHE_SHARE: f64 = 0.85;
 /// Share of slots and cache that the least urgent calls leave free. A surge fills all engines up to
 /// the share of the least urgent tier, so the difference between two tiers has to fit a prompt or
 /// two.
-const RESERVED_PART: f64 = 0.3;
+const RESERVED_SHARE: f64 = 0.3;
 /// Maximum share of an engine's slots that a node leaves to nodes that rank before it there.
 /// Without this order all nodes would take the slot that becomes free, since all learn of it from
 /// the same heartbeat.
-const UNSEEN_PART: f64 = 0.05;
+const UNREPORTED_SHARE: f64 = 0.05;
 /// Share of a call's latency target that the prefill of earlier prompts may take. With a limit on
 /// slots alone, prompts queue up until every first token is late; this limit keeps engines busy and
 /// their calls in time.
-const READING_PART: f64 = 0.5;
+const PREFILL_SHARE: f64 = 0.5;
 /// Prompt tokens that an engine prefills in one step.
 const CHUNK_TOKENS: u32 = 2048;
 /// Share of a reserved engine's slots with tight streams above which it accepts no longer prompt.
-const UNDISTURBED_PART: f64 = 0.125;
+const UNDISTURBED_SHARE: f64 = 0.125;
 /// Calls per slot of a plain service, which queues a few and ends each within some ms.
-const PLAIN_QUEUE: f64 = 3.0;
+const PLAIN_CALLS_PER_SLOT: f64 = 3.0;
 
 /// Whether an upstream can accept the call without delaying or preempting others. Less urgent calls
 /// leave more capacity free.
@@ -38,27 +38,28 @@
     let total = place.candidate.total;
     let slots = f64::from(place.candidate.upstream.entry.slots);
     if input.cache_tokens == 0 {
-        return f64::from(total.calls) < slots * PLAIN_QUEUE;
+        return f64::from(total.calls) < slots * PLAIN_CALLS_PER_SLOT;
     }
-    let crowds =
-        unread > CHUNK_TOKENS && f64::from(total.tight_streams) >= slots * UNDISTURBED_PART;
-    if place.reserved && !input.tight && crowds {
+    let disrupts =
+        unread > CHUNK_TOKENS && f64::from(total.tight_streams) >= slots * UNDISTURBED_SHARE;
+    if place.reserved && !input.tight && disrupts {
         return false;
     }
-    let alone = total.calls == 0;
-    if !alone && reading_time(place) > input.target.mul_f64(READING_PART) {
+    let is_idle = total.calls == 0;
+    if !is_idle && prefill_time(place) > input.target.mul_f64(PREFILL_SHARE) {
         return false;
     }
-    let reserved = RESERVED_PART * f64::from(input.tier) / f64::from(input.tiers.max(1));
-    let most_held = (CACHE_PART - reserved) * input.cache_tokens as f64;
-    let unseen = unseen_calls(place, input);
+    let reserved = RESERVED_SHARE * f64::from(input.tier) / f64::from(input.tiers.max(1));
+    let max_held = (CACHE_SHARE - reserved) * input.cache_tokens as f64;
+    let unreported = unreported_calls(place, input);
     let held =
-        f64::from(total.held_tokens) + (1.0 + unseen) * f64::from(input.prompt.prompt_tokens);
-    f64::from(total.calls) + unseen < slots * (SLOT_PART - reserved) && (alone || held < most_held)
+        f64::from(total.held_tokens) + (1.0 + unreported) * f64::from(input.prompt.prompt_tokens);
+    f64::from(total.calls) + unreported < slots * (SLOT_SHARE - reserved)
+        && (is_idle || held < max_held)
 }
 
 /// Time that an upstream needs to prefill its pending prompts.
-fn reading_time(place: CandidatePlace) -> Duration {
+fn prefill_time(place: CandidatePlace) -> Duration {
     let tokens = f64::from(place.candidate.total.prompt_tokens);
     Duration::from_secs_f64(tokens / TOKENS_PER_MS / 1000.0)
 }
@@ -66,15 +67,15 @@
 /// Estimate of calls that other nodes sent but have not reported yet: one from each node that ranks
 /// before this one, or, for each of this node's own unreported calls, as many as other nodes have
 /// for each of its reported ones.
-fn unseen_calls(place: CandidatePlace, input: &ChoiceInput) -> f64 {
+fn unreported_calls(place: CandidatePlace, input: &ChoiceInput) -> f64 {
     let load = &place.candidate.upstream.load;
     let slots = f64::from(place.candidate.upstream.entry.slots);
-    let unreported_calls = load.unreported_calls(input.now) as f64;
-    let heard = (f64::from(load.own().calls) - unreported_calls).max(0.0);
+    let own_unreported = load.unreported_calls(input.now) as f64;
+    let reported = (f64::from(load.own().calls) - own_unreported).max(0.0);
     let others = f64::from(place.candidate.total.calls.saturating_sub(load.own().calls));
-    let rivals = input.senders.len() as f64;
-    let ratio = (others + rivals) / (heard + 1.0);
+    let senders = input.senders.len() as f64;
+    let ratio = (others + senders) / (reported + 1.0);
     (place.rank as f64)
-        .min(slots * UNSEEN_PART)
-        .max(unreported_calls * ratio.min(rivals))
+        .min(slots * UNREPORTED_SHARE)
+        .max(own_unreported * ratio.min(senders))
 }
--- a/kernel/src/gateway/choice.rs
+++ b/kernel/src/gateway/choice.rs
@@ -19,7 +19,7 @@
 
 /// Delay in ms that each call in a batch adds to the others: it lengthens each of some hundred
 /// steps by a few hundredths of a ms.
-const CALL_MS: f64 = 4.0;
+const CALL_DELAY_MS: f64 = 4.0;
 /// Consecutive prompt tokens that stretch a tight stream's gap to its bound: an event is a handful
 /// of tokens, and each token waits for a prefill chunk of about 2,048 tokens.
 const STALL_TOKENS: f64 = 12_000.0;
@@ -27,30 +27,30 @@
 const STALL_COST: f64 = 100.0;
 /// Cost to a tight stream on an engine that is not reserved for tight streams: prompts that arrive
 /// later delay it.
-const COMING_COST: f64 = 400.0;
+const ARRIVING_PROMPTS_COST: f64 = 400.0;
 /// Minimum number of tight streams that a reserved engine is assumed to have, to account for those
 /// still to arrive.
-const COMING_STREAMS: f64 = 8.0;
+const MIN_RESERVED_STREAMS: f64 = 8.0;
 /// Cost of traffic between availability zones, relative to the value of an answer in time.
-const ZONE_COST: f64 = 150.0;
+const CROSS_ZONE_COST: f64 = 150.0;
 /// Cost of a failed attempt.
 const FAILURE_COST: f64 = 1500.0;
 /// Running share of failures above which a call is more likely to fail than to succeed.
-const LIKELY_LOST: f64 = 0.5;
+const LIKELY_FAILURE: f64 = 0.5;
 /// Cost of fetching a cached token, relative to prefilling it.
-const FETCH_PART: f64 = 0.07;
+const FETCH_RATIO: f64 = 0.07;
 /// Cost of prefilling a thousand tokens that some engine has cached already. A prompt's shared part
 /// of 4,900 tokens is worth as much as the call; being late by one target costs half of that.
-const REREAD_COST: f64 = 250.0;
-/// Cost of fetching a thousand cached tokens: a tenth of `REREAD_COST`.
+const REPEATED_PREFILL_COST: f64 = 250.0;
+/// Cost of fetching a thousand cached tokens: a tenth of `REPEATED_PREFILL_COST`.
 const FETCH_COST: f64 = 25.0;
 /// Bonus, for each thousand shared tokens, of the upstream on which all nodes agree when none is
 /// known to have the prompt cached. Without it, nodes that receive calls at the same time would
 /// have the prompt prefilled several times.
-const HOME_COST: f64 = 50.0;
+const HOME_BONUS: f64 = 50.0;
 /// Cost of the upstream that this node ranks last. Nodes rank upstreams differently, so that they
 /// do not all select the same cheapest one between two heartbeats.
-const LEAN_COST: f64 = 100.0;
+const RANK_COST: f64 = 100.0;
 
 /// Origin and requirements of a call, as input to the selection of an upstream.
 #[derive(Clone, Copy, Debug)]
@@ -107,7 +107,7 @@
 
 /// Upstream that has the most of a call's prompt cached.
 #[derive(Clone, Copy, Debug)]
-struct PromptKeeper {
+struct FetchSource {
     key: UpstreamKey,
     tokens: u32,
 }
@@ -124,57 +124,58 @@
                 backed_off: upstream.health.is_backed_off(input.now),
             })
             .collect();
-    let kept = if input.cache_tokens > 0 {
+    let reserved = if input.cache_tokens > 0 {
         partition::reserved_for_tight(&all)
     } else {
         BTreeSet::new()
     };
-    let keeper = prompt_keeper(&all, input);
+    let source = fetch_source(&all, input);
     let known_tokens = known_tokens(&all, input);
     let home = if known_tokens == 0 {
-        anchor_home(&all, &kept, input)
+        home_upstream(&all, &reserved, input)
     } else {
         None
     };
-    let fresh = all
+    let untried = all
         .iter()
-        .filter(|option| !input.tried.contains(&option.key));
-    let (resting, sound): (Vec<_>, Vec<_>) = fresh.partition(|option| option.backed_off);
-    let cheapest = |options: &[&UpstreamCandidate]| {
-        options
+        .filter(|candidate| !input.tried.contains(&candidate.key));
+    let (backed_off, healthy): (Vec<_>, Vec<_>) =
+        untried.partition(|candidate| candidate.backed_off);
+    let cheapest = |candidates: &[&UpstreamCandidate]| {
+        candidates
             .iter()
-            .map(|option| {
+            .map(|candidate| {
                 let place = CandidatePlace {
-                    candidate: option,
-                    reserved: kept.contains(&option.key),
-                    is_home: home == Some(option.key),
-                    rank: own_rank(option.upstream, input),
+                    candidate,
+                    reserved: reserved.contains(&candidate.key),
+                    is_home: home == Some(candidate.key),
+                    rank: own_rank(candidate.upstream, input),
                 };
-                (place, weigh(place, input, keeper, known_tokens))
+                (place, evaluate(place, input, source, known_tokens))
             })
             .filter(|(place, choice)| capacity::has_capacity(*place, choice.unread_tokens, input))
             .map(|(_, choice)| choice)
             .min_by(|one, other| one.cost.total_cmp(&other.cost))
     };
-    if sound.is_empty() {
-        return cheapest(&resting);
+    if healthy.is_empty() {
+        return cheapest(&backed_off);
     }
-    cheapest(&sound).or_else(|| cheapest(&overflow(&resting, input)))
+    cheapest(&healthy).or_else(|| cheapest(&overflow(&backed_off, input)))
 }
 
 /// Backed-off upstreams that get the calls for which healthy ones have no capacity: they still
 /// answer some calls, and with most of a pool backed off, the few others cannot serve its load. A
 /// call that may run only once goes there if it is more likely to succeed than to fail.
 fn overflow<'a>(
-    resting: &[&'a UpstreamCandidate<'a>],
+    backed_off: &[&'a UpstreamCandidate<'a>],
     input: &ChoiceInput,
 ) -> Vec<&'a UpstreamCandidate<'a>> {
-    let fits = |option: &&&UpstreamCandidate| {
-        let health = &option.upstream.health;
+    let fits = |candidate: &&&UpstreamCandidate| {
+        let health = &candidate.upstream.health;
         health.answered_recently(input.now)
-            && (input.repeatable || health.failure_share() < LIKELY_LOST)
+            && (input.repeatable || health.failure_share() < LIKELY_FAILURE)
     };
-    resting.iter().filter(fits).copied().collect()
+    backed_off.iter().filter(fits).copied().collect()
 }
 
 /// An upstream and its role in its pool for one call.
@@ -193,68 +194,71 @@
 /// Largest number of tokens of the prompt's shared parts that any upstream has cached or is about
 /// to prefill.
 fn known_tokens(all: &[UpstreamCandidate], input: &ChoiceInput) -> u32 {
-    let tokens = all.iter().map(|option| kept_tokens(option, input));
+    let tokens = all.iter().map(|candidate| cached_tokens(candidate, input));
     tokens.max().unwrap_or(0)
 }
 
-fn kept_tokens(option: &UpstreamCandidate, input: &ChoiceInput) -> u32 {
-    let moment = cache_moment(option, input);
-    option
+fn cached_tokens(candidate: &UpstreamCandidate, input: &ChoiceInput) -> u32 {
+    let moment = cache_moment(candidate, input);
+    candidate
         .upstream
         .load
         .cache
         .cached_tokens(input.prompt, moment)
 }
 
-fn cache_moment(option: &UpstreamCandidate, input: &ChoiceInput) -> CacheMoment {
+fn cache_moment(candidate: &UpstreamCandidate, input: &ChoiceInput) -> CacheMoment {
     CacheMoment {
         now: input.now,
-        held_tokens: option.total.held_tokens,
+        held_tokens: candidate.total.held_tokens,
     }
 }
 
-fn prompt_keeper(all: &[UpstreamCandidate], input: &ChoiceInput) -> Option<PromptKeeper> {
-    let (option, tokens) = all
+fn fetch_source(all: &[UpstreamCandidate], input: &ChoiceInput) -> Option<FetchSource> {
+    let (candidate, tokens) = all
         .iter()
-        .filter(|option| !option.backed_off)
-        .map(|option| {
-            let cache = &option.upstream.load.cache;
-            let moment = cache_moment(option, input);
-            (option, cache.read_tokens(input.prompt, moment))
+        .filter(|candidate| !candidate.backed_off)
+        .map(|candidate| {
+            let cache = &candidate.upstream.load.cache;
+            let moment = cache_moment(candidate, input);
+            (candidate, cache.read_tokens(input.prompt, moment))
         })
-        .max_by_key(|(option, tokens)| (*tokens, is_near(option, input)))?;
-    let key = option.key;
-    (tokens > 0).then_some(PromptKeeper { key, tokens })
+        .max_by_key(|(candidate, tokens)| (*tokens, is_own_zone(candidate, input)))?;
+    let key = candidate.key;
+    (tokens > 0).then_some(FetchSource { key, tokens })
 }
 
-fn is_near(option: &UpstreamCandidate, input: &ChoiceInput) -> bool {
-    &*option.upstream.entry.zone == input.zone
+fn is_own_zone(candidate: &UpstreamCandidate, input: &ChoiceInput) -> bool {
+    &*candidate.upstream.entry.zone == input.zone
 }
 
 /// Upstream on which all nodes of a zone agree for the call's last shared part, among those for
 /// calls of its kind: the one with the highest hash.
-fn anchor_home(
+fn home_upstream(
     all: &[UpstreamCandidate],
-    kept: &BTreeSet<UpstreamKey>,
+    reserved: &BTreeSet<UpstreamKey>,
     input: &ChoiceInput,
 ) -> Option<UpstreamKey> {
     let anchor = input.prompt.shared_parts().last()?;
-    let fits = |option: &&UpstreamCandidate| kept.contains(&option.key) == input.tight;
-    let any_near = all.iter().filter(fits).any(|option| is_near(option, input));
+    let fits = |candidate: &&UpstreamCandidate| reserved.contains(&candidate.key) == input.tight;
+    let any_in_zone = all
+        .iter()
+        .filter(fits)
+        .any(|candidate| is_own_zone(candidate, input));
     all.iter()
         .filter(fits)
-        .filter(|option| !any_near || is_near(option, input))
-        .max_by_key(|option| {
-            let id = option.upstream.entry.id.as_bytes();
+        .filter(|candidate| !any_in_zone || is_own_zone(candidate, input))
+        .max_by_key(|candidate| {
+            let id = candidate.upstream.entry.id.as_bytes();
             xxh3_64_with_seed(id, anchor.id)
         })
-        .map(|option| option.key)
+        .map(|candidate| candidate.key)
 }
 
-fn weigh(
+fn evaluate(
     place: CandidatePlace,
     input: &ChoiceInput,
-    keeper: Option<PromptKeeper>,
+    source: Option<FetchSource>,
     known_tokens: u32,
 ) -> UpstreamChoice {
     let UpstreamCandidate {
@@ -263,38 +267,39 @@
         total,
         ..
     } = *place.candidate;
-    let kept = kept_tokens(place.candidate, input);
-    let keeper = keeper.filter(|keeper| keeper.key != key && keeper.tokens > kept);
-    let fetched = keeper.map_or(0, |keeper| keeper.tokens - kept);
-    let unread = input.prompt.prompt_tokens.saturating_sub(kept + fetched);
+    let cached = cached_tokens(place.candidate, input);
+    let source = source.filter(|source| source.key != key && source.tokens > cached);
+    let fetched = source.map_or(0, |source| source.tokens - cached);
+    let unread = input.prompt.prompt_tokens.saturating_sub(cached + fetched);
     let mut cost = wait_cost(
         input,
         total,
-        f64::from(unread) + FETCH_PART * f64::from(fetched),
+        f64::from(unread) + FETCH_RATIO * f64::from(fetched),
     );
-    let read_again = known_tokens.saturating_sub(kept + fetched);
-    cost += (REREAD_COST * f64::from(read_again) + FETCH_COST * f64::from(fetched)) / 1000.0;
+    let prefilled_again = known_tokens.saturating_sub(cached + fetched);
+    cost += (REPEATED_PREFILL_COST * f64::from(prefilled_again) + FETCH_COST * f64::from(fetched))
+        / 1000.0;
     cost += stall_cost(place, input, f64::from(unread));
     cost += FAILURE_COST * upstream.health.failure_share();
     if upstream.health.unproven() && !input.repeatable {
         cost += FAILURE_COST;
     }
-    if !is_near(place.candidate, input) {
-        cost += ZONE_COST;
+    if !is_own_zone(place.candidate, input) {
+        cost += CROSS_ZONE_COST;
     }
     if place.is_home {
         let shared = input.prompt.shared_tokens();
-        cost -= HOME_COST * f64::from(shared) / 1000.0;
+        cost -= HOME_BONUS * f64::from(shared) / 1000.0;
     }
-    cost += LEAN_COST * place.rank as f64 / (input.senders.len() + 1) as f64;
+    cost += RANK_COST * place.rank as f64 / (input.senders.len() + 1) as f64;
     UpstreamChoice {
         key,
         cost,
         unread_tokens: unread,
-        cached_tokens: kept,
+        cached_tokens: cached,
         known_tokens,
         taken_tokens: unread + fetched,
-        fetch_from: keeper.map(|keeper| keeper.key),
+        fetch_from: source.map(|source| source.key),
     }
 }
 
@@ -303,14 +308,14 @@
 fn own_rank(upstream: &Upstream, input: &ChoiceInput) -> usize {
     let id = upstream.entry.id.as_bytes();
     let own = xxh3_64_with_seed(id, input.node);
-    let before = |rival: &&u64| xxh3_64_with_seed(id, **rival) < own;
+    let before = |sender: &&u64| xxh3_64_with_seed(id, **sender) < own;
     input.senders.iter().filter(before).count()
 }
 
 /// Cost of the call's own wait.
 fn wait_cost(input: &ChoiceInput, total: WorkCount, unread: f64) -> f64 {
     let wait_ms = (f64::from(total.prompt_tokens) + unread) / TOKENS_PER_MS
-        + CALL_MS * f64::from(total.calls);
+        + CALL_DELAY_MS * f64::from(total.calls);
     wait_ms / input.target.as_secs_f64().max(0.001)
 }
 
@@ -318,17 +323,17 @@
 fn stall_cost(place: CandidatePlace, input: &ChoiceInput, unread: f64) -> f64 {
     let total = place.candidate.total;
     let pending = (f64::from(total.prompt_tokens) + unread) / STALL_TOKENS;
-    let to_come = if input.tight && !place.reserved {
-        COMING_COST
+    let arriving = if input.tight && !place.reserved {
+        ARRIVING_PROMPTS_COST
     } else {
         0.0
     };
     let streams = if input.tight {
         3.0
     } else if place.reserved {
-        f64::from(total.tight_streams).max(COMING_STREAMS)
+        f64::from(total.tight_streams).max(MIN_RESERVED_STREAMS)
     } else {
         f64::from(total.tight_streams)
     };
-    streams * STALL_COST * pending * pending + to_come
+    streams * STALL_COST * pending * pending + arriving
 }
--- a/kernel/src/gateway/content.rs
+++ b/kernel/src/gateway/content.rs
@@ -1,11 +1,11 @@
-//! What a call asks for, whichever attempt brings it.
+//! Digest of a call's content, independent of the attempt.
 
 use derive_more::{Display, From, Into};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Names calls that ask for the same thing in the same workspace's name: they have the same digest under
-/// any attempt id, at any node.
+/// Identifies calls with the same content from the same workspace: their digest is the same for any
+/// attempt id and at any node.
 #[derive(
     Clone,
     Copy,
@@ -25,7 +25,7 @@
 pub struct ContentDigest(u64);
 
 impl ContentDigest {
-    /// The digest of a call's parts.
+    /// Computes the digest of a call's parts.
     pub fn of(parts: ContentParts) -> Self {
         let mut hasher = Xxh3::new();
         let workspace = parts.workspace.unwrap_or_default();
@@ -38,17 +38,17 @@
     }
 }
 
-/// What makes two calls the same.
+/// Parts of a call that have to be equal for two calls to have the same content.
 #[derive(Clone, Copy, Debug)]
 pub struct ContentParts<'a> {
-    /// The host that is called.
+    /// Host that is called.
     pub host: &'a str,
-    /// The method.
+    /// HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// Who calls, if a workspace does.
+    /// Name of the calling workspace; `None` if the call has none.
     pub workspace: Option<&'a str>,
-    /// The body.
+    /// Body of the request.
     pub body: &'a [u8],
 }
--- a/kernel/src/gateway/crashes.rs
+++ b/kernel/src/gateway/crashes.rs
@@ -15,25 +15,25 @@
 use crate::gateway::content::ContentDigest;
 
 /// Crashed runs of upstreams at which content is quarantined.
-pub const MOST_CRASHES: usize = 3;
+pub const QUARANTINE_CRASHES: usize = 3;
 /// Maximum number of runs recorded for each content; further ones would not change any decision.
-const MOST_RUNS: usize = 8;
+const MAX_RUNS: usize = 8;
 /// Times since the newest crash at which quarantined content is sent once more: if a pool lost all
 /// its upstreams at once, harmless calls are quarantined too.
-const TRIAL_PAUSES: [Duration; 2] = [Duration::from_secs(30), Duration::from_mins(5)];
+const TRIAL_DELAYS: [Duration; 2] = [Duration::from_secs(30), Duration::from_mins(5)];
 /// Time since the newest crash after which a quarantine ends.
-const QUARANTINE_LIFE: Duration = Duration::from_hours(1);
+const QUARANTINE_TTL: Duration = Duration::from_hours(1);
 /// Time since the newest crash after which a record below the quarantine threshold expires.
-const SUSPICION_LIFE: Duration = Duration::from_mins(10);
+const SUSPICION_TTL: Duration = Duration::from_mins(10);
 /// Time for which a change is sent in heartbeats: two of the longest intervals between heartbeats.
-const NEWS_AGE: Duration = Duration::from_millis(1500);
+const UPDATE_TTL: Duration = Duration::from_millis(1500);
 /// Maximum number of changes in one heartbeat, some 20 bytes each.
-const MOST_NEWS: usize = 8;
-/// Step by which the start of the next heartbeat's changes advances: smaller than `MOST_NEWS`, as
+const MAX_UPDATES: usize = 8;
+/// Step by which the start of the next heartbeat's changes advances: smaller than `MAX_UPDATES`, as
 /// those closest to quarantine are in every heartbeat.
-const NEWS_STEP: usize = MOST_NEWS / 2;
+const UPDATE_STEP: usize = MAX_UPDATES / 2;
 /// Maximum number of recorded contents.
-const MOST_RECORDS: usize = 4096;
+const MAX_RECORDS: usize = 4096;
 
 /// One node's record of content during whose calls upstreams crashed, as sent to other nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
@@ -53,7 +53,7 @@
 impl CrashReport {
     /// Whether the content is quarantined.
     pub fn is_quarantined(&self) -> bool {
-        self.runs.len() >= MOST_CRASHES
+        self.runs.len() >= QUARANTINE_CRASHES
     }
 }
 
@@ -95,26 +95,26 @@
 
 impl ContentRecord {
     fn is_quarantined(&self) -> bool {
-        self.runs.len() >= MOST_CRASHES
+        self.runs.len() >= QUARANTINE_CRASHES
     }
 
     /// Whether all nodes have to agree on the record: the content is quarantined or was cleared
     /// before.
-    fn is_settled(&self) -> bool {
+    fn is_decided(&self) -> bool {
         self.is_quarantined() || self.round > 0
     }
 
     fn ends_at(&self) -> Duration {
-        let life = if self.is_settled() {
-            QUARANTINE_LIFE
+        let ttl = if self.is_decided() {
+            QUARANTINE_TTL
         } else {
-            SUSPICION_LIFE
+            SUSPICION_TTL
         };
-        self.changed_at + life
+        self.changed_at + ttl
     }
 
     fn trial_at(&self) -> Option<Duration> {
-        let pause = TRIAL_PAUSES.get(usize::from(self.trials))?;
+        let pause = TRIAL_DELAYS.get(usize::from(self.trials))?;
         Some(self.changed_at + *pause)
     }
 
@@ -132,7 +132,7 @@
         }
         self.trials = self.trials.max(report.trials);
         self.runs.extend(&report.runs);
-        while self.runs.len() > MOST_RUNS {
+        while self.runs.len() > MAX_RUNS {
             self.runs.pop_last();
         }
         self.changed_at = self.changed_at.max(at);
@@ -155,8 +155,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct CrashLedger {
     records: BTreeMap<ContentDigest, ContentRecord>,
-    news: VecDeque<(Duration, ContentDigest)>,
-    news_turn: usize,
+    updates: VecDeque<(Duration, ContentDigest)>,
+    update_turn: usize,
     digest: u64,
 }
 
@@ -203,7 +203,7 @@
             return false;
         };
         if !record.is_quarantined() {
-            if !record.is_settled() {
+            if !record.is_decided() {
                 self.records.remove(&content);
             }
             return false;
@@ -258,21 +258,21 @@
         record.map_or(0, |record| record.runs.len())
     }
 
-    /// Recent changes for the next heartbeat, at most `MOST_NEWS`: content closest to or in
+    /// Recent changes for the next heartbeat, at most `MAX_UPDATES`: content closest to or in
     /// quarantine first, the others in turn.
     pub fn recent_reports(&mut self, now: Duration) -> Vec<CrashReport> {
         while self
-            .news
+            .updates
             .front()
-            .is_some_and(|(at, _)| *at + NEWS_AGE <= now)
+            .is_some_and(|(at, _)| *at + UPDATE_TTL <= now)
         {
-            self.news.pop_front();
+            self.updates.pop_front();
         }
         let mut contents: Vec<ContentDigest> =
-            self.news.iter().map(|(_, content)| *content).collect();
-        if contents.len() > MOST_NEWS {
-            self.news_turn = self.news_turn.wrapping_add(NEWS_STEP);
-            let turn = self.news_turn % contents.len();
+            self.updates.iter().map(|(_, content)| *content).collect();
+        if contents.len() > MAX_UPDATES {
+            self.update_turn = self.update_turn.wrapping_add(UPDATE_STEP);
+            let turn = self.update_turn % contents.len();
             contents.rotate_left(turn);
             contents.sort_by_key(|content| Reverse(self.crashes(*content)));
         }
@@ -280,17 +280,17 @@
             let record = self.records.get(&content)?;
             Some(record.report(content, now))
         });
-        reports.take(MOST_NEWS).collect()
+        reports.take(MAX_UPDATES).collect()
     }
 
     /// Reports on all contents that are quarantined or were cleared, on which all nodes have to
     /// agree.
     pub fn decided_reports(&self, now: Duration) -> Vec<CrashReport> {
-        let settled = self
+        let decided = self
             .records
             .iter()
-            .filter(|(_, record)| record.is_settled());
-        settled
+            .filter(|(_, record)| record.is_decided());
+        decided
             .map(|(content, record)| record.report(*content, now))
             .collect()
     }
@@ -317,20 +317,20 @@
     }
 
     fn put(&mut self, content: ContentDigest, record: ContentRecord, now: Duration) {
-        let is_settled = record.is_settled();
+        let is_decided = record.is_decided();
         let old = self.records.insert(content, record);
-        self.news.retain(|(_, known)| *known != content);
-        self.news.push_back((now, content));
-        if self.records.len() > MOST_RECORDS {
+        self.updates.retain(|(_, known)| *known != content);
+        self.updates.push_back((now, content));
+        if self.records.len() > MAX_RECORDS {
             self.drop_oldest();
         }
-        if is_settled || old.is_some_and(|old| old.is_settled()) {
+        if is_decided || old.is_some_and(|old| old.is_decided()) {
             self.refresh_digest();
         }
     }
 
     fn drop_oldest(&mut self) {
-        let age = |record: &ContentRecord| (record.is_settled(), record.changed_at);
+        let age = |record: &ContentRecord| (record.is_decided(), record.changed_at);
         let oldest = self.records.iter().min_by_key(|(_, record)| age(record));
         if let Some(content) = oldest.map(|(content, _)| *content) {
             self.records.remove(&content);
@@ -339,16 +339,16 @@
     }
 
     fn refresh_digest(&mut self) {
-        let mark = |(content, record): (&ContentDigest, &ContentRecord)| {
+        let hash = |(content, record): (&ContentDigest, &ContentRecord)| {
             let is_quarantined = u64::from(record.is_quarantined());
             let seed =
                 u64::from(record.round) << 16 | u64::from(record.trials) << 1 | is_quarantined;
             xxh3_64_with_seed(&u64::from(*content).to_le_bytes(), seed) >> 32
         };
-        let settled = self
+        let decided = self
             .records
             .iter()
-            .filter(|(_, record)| record.is_settled());
-        self.digest = settled.map(mark).fold(0, |digest, mark| digest ^ mark);
+            .filter(|(_, record)| record.is_decided());
+        self.digest = decided.map(hash).fold(0, |digest, hash| digest ^ hash);
     }
 }
--- a/kernel/src/gateway/duty.rs
+++ b/kernel/src/gateway/duty.rs
@@ -27,7 +27,7 @@
 const OFFSET_BITS: u32 = 32;
 
 /// Placeholder for the holder of a lease whose record was received in heartbeats but not read.
-const NOT_READ: NodeId = NodeId(0);
+const UNREAD_HOLDER: NodeId = NodeId(0);
 
 /// A record of the lease in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -135,7 +135,7 @@
         if record.era == topic.era {
             self.first_window = record.first_window;
         }
-        self.see(*offset, record, now, random);
+        self.observe_record(*offset, record, now, random);
         if self.claimed(now).is_none() {
             self.engines = record.engines.clone();
         }
@@ -145,7 +145,13 @@
         }
     }
 
-    fn see(&mut self, offset: u64, record: &DutyRecord, now: Duration, random: &mut Pcg64Mcg) {
+    fn observe_record(
+        &mut self,
+        offset: u64,
+        record: &DutyRecord,
+        now: Duration,
+        random: &mut Pcg64Mcg,
+    ) {
         let Some(era) = self.era else {
             return;
         };
@@ -202,7 +208,7 @@
             return;
         }
         self.end = Some(end);
-        self.see(claim.at, &claim.record, now, random);
+        self.observe_record(claim.at, &claim.record, now, random);
     }
 
     /// Records that the claim was rejected because the topic ended at another offset.
@@ -264,7 +270,7 @@
         let head = LeaseHead {
             offset: newest,
             record: LeaseRecord {
-                node: NOT_READ,
+                node: UNREAD_HOLDER,
                 incarnation: Incarnation(0),
                 follows: 0,
                 length: self.state.terms().length,
--- a/kernel/src/gateway/eligibility.rs
+++ b/kernel/src/gateway/eligibility.rs
@@ -1,5 +1,6 @@
-//! Which upstreams want requests of this node: asked when one is chosen, and last of all before each
-//! send, since much may become known while a connection is opened.
+//! Determines which upstreams accept requests from this node. It is checked when an upstream is
+//! selected and again immediately before each send, since the state may change while a connection
+//! is opened.
 
 use std::time::Duration;
 
@@ -7,25 +8,25 @@
 
 use crate::gateway::registry::{LeavingCause, Upstream, UpstreamKey, UpstreamRegistry};
 
-/// Why a request is not sent to an upstream.
+/// Reason why a request is not sent to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum EligibilityError {
-    /// It is not known.
+    /// This node does not know the upstream.
     #[error("the upstream is not known")]
     Unknown,
-    /// It takes nothing new.
+    /// The upstream accepts no new calls.
     #[error("the upstream takes nothing new: {0}")]
     Left(LeavingCause),
-    /// It asked this node for a pause, of which so much is left.
+    /// The upstream requested a pause of this node, of which this time is left.
     #[error("the upstream asked for a pause")]
     Paused(Duration),
 }
 
-/// The upstream, if requests may be sent to it now.
+/// Returns the upstream if requests may be sent to it now.
 ///
 /// # Errors
 ///
-/// If it wants no request.
+/// If it accepts no request, with the reason.
 pub fn check(
     registry: &UpstreamRegistry,
     key: UpstreamKey,
@@ -51,8 +52,9 @@
     usable.filter(move |(_, upstream)| upstream.pause.left(now).is_none())
 }
 
-/// Time until the first upstream of a pool wants requests again that is not among `tried`, if none does
-/// now and some asked for a pause; the longest time if all those were tried.
+/// Time until the first upstream of a pool that is not among `tried` accepts requests again after a
+/// pause. `None` if one accepts them now, or if none requested a pause; the maximum duration if all
+/// that requested one were tried.
 pub fn eligible_in(
     registry: &UpstreamRegistry,
     pool: &str,
--- a/kernel/src/gateway/entries.rs
+++ b/kernel/src/gateway/entries.rs
@@ -1,21 +1,22 @@
-//! Which nodes of an availability zone callers are sent to.
+//! Selects the nodes of an availability zone that callers are directed to, its *entries*.
 
 use crate::gateway::heartbeat::NodeHeartbeat;
 
-/// Fewest nodes of an availability zone that are named to callers, so that the loss of one leaves
-/// callers two others.
-const FEWEST_ENTRIES: usize = 3;
-/// Fewest if the next node is much weaker than those that are named: the loss of one leaves one.
-const FEWEST_STRONG: usize = 2;
-/// Capacity against the strongest node's below which a node is much weaker. Callers choose evenly, so
-/// such a node is full while the others are idle.
-const WEAK_PART: f64 = 0.5;
-/// Part of their capacity that entries are filled to before more are named.
-const ENTRY_PART: f64 = 0.8;
+/// Minimum number of entries of an availability zone, so that after the loss of one two others
+/// remain.
+const MIN_ENTRIES: usize = 3;
+/// The same minimum if the next node has much less capacity than the entries: after the loss of
+/// one, one remains.
+const MIN_STRONG_ENTRIES: usize = 2;
+/// Share of the strongest node's capacity below which a node counts as weak. Callers distribute
+/// calls evenly, so a weak node would be full while the others are idle.
+const WEAK_SHARE: f64 = 0.5;
+/// Share of their capacity that entries use before more are added.
+const ENTRY_SHARE: f64 = 0.8;
 
-/// The ready nodes among `heartbeats` that callers of an availability zone are sent to: as few as can
-/// carry the zone's calls when each gets the same share, since few entries know each other's work
-/// well; the strongest first.
+/// Selects, among the ready nodes in `heartbeats`, those that callers of an availability zone are
+/// directed to, the largest capacity first. They are as few as can handle the zone's calls with
+/// equal shares, since few entries know each other's work well.
 pub fn entries<'a>(
     heartbeats: impl Iterator<Item = &'a NodeHeartbeat>,
     zone: &str,
@@ -28,26 +29,26 @@
         (other.capacity, &one.name).cmp(&(one.capacity, &other.name))
     });
     let calls: u32 = nodes.iter().map(|node| node.open_calls()).sum();
-    let room = |count: usize| {
+    let load = |count: usize| {
         let weakest = nodes.get(count.wrapping_sub(1));
         weakest.map_or(0.0, |node| {
-            ENTRY_PART * f64::from(node.card.capacity) * count as f64
+            ENTRY_SHARE * f64::from(node.card.capacity) * count as f64
         })
     };
-    let fewest = fewest_entries(&nodes);
-    let count = (fewest..=nodes.len())
-        .find(|count| room(*count) >= f64::from(calls))
-        .or_else(|| (fewest..=nodes.len()).max_by(|one, other| room(*one).total_cmp(&room(*other))))
+    let least = min_entries(&nodes);
+    let count = (least..=nodes.len())
+        .find(|count| load(*count) >= f64::from(calls))
+        .or_else(|| (least..=nodes.len()).max_by(|one, other| load(*one).total_cmp(&load(*other))))
         .unwrap_or(nodes.len());
     nodes.truncate(count);
     nodes
 }
 
-/// Fewest of `nodes`, which stand in order of their capacity, that are named.
-fn fewest_entries(nodes: &[&NodeHeartbeat]) -> usize {
+/// Minimum number of entries among `nodes`, which are in descending order of capacity.
+fn min_entries(nodes: &[&NodeHeartbeat]) -> usize {
     let strongest = nodes.first().map_or(0, |node| node.card.capacity);
     let is_strong =
-        |node: &&&NodeHeartbeat| f64::from(node.card.capacity) >= WEAK_PART * f64::from(strongest);
+        |node: &&&NodeHeartbeat| f64::from(node.card.capacity) >= WEAK_SHARE * f64::from(strongest);
     let strong_count = nodes.iter().filter(is_strong).count();
-    strong_count.clamp(FEWEST_STRONG, FEWEST_ENTRIES)
+    strong_count.clamp(MIN_STRONG_ENTRIES, MIN_ENTRIES)
 }
--- a/kernel/src/gateway/fleet.rs
+++ b/kernel/src/gateway/fleet.rs
@@ -24,16 +24,16 @@
 pub const FAR_SILENT_AFTER: Duration = Duration::from_secs(15);
 /// Time after which a node that no heartbeat mentions is removed. Hubs advertise all nodes of a
 /// zone of some hundred to each other node in less.
-const FORGOTTEN_AFTER: Duration = Duration::from_mins(1);
+const EXPIRED_AFTER: Duration = Duration::from_mins(1);
 /// Delay between the claims of two consecutive hubs for the duties.
 const RANK_STEP: Duration = Duration::from_millis(600);
 /// Time for which only hubs claim the duties.
-const HUBS_TURN: Duration = Duration::from_secs(8);
+const HUBS_PERIOD: Duration = Duration::from_secs(8);
 /// Mean delay between the claims of two other nodes, which may be cut off from all hubs or find the
 /// hubs cut off from the store.
 const MEMBER_STEP: Duration = Duration::from_millis(250);
 /// Time for which a node is assumed to send calls after its heartbeats stopped.
-const RIVAL_AGE: Duration = Duration::from_secs(30);
+const SENDER_AGE: Duration = Duration::from_secs(30);
 
 /// State of another node.
 #[derive(Clone, Debug)]
@@ -43,13 +43,13 @@
     /// Time at which its newest heartbeat was received; `None` if none was.
     pub last_heartbeat_at: Option<Duration>,
     /// Time at which any heartbeat, its own or another node's, contained its card.
-    named_at: Duration,
+    mentioned_at: Duration,
     /// Time since when this node has sent it heartbeats and expects some in return.
     expected_since: Option<Duration>,
 }
 
 impl FleetPeer {
-    fn heard_within(&self, age: Duration, now: Duration) -> bool {
+    fn received_within(&self, age: Duration, now: Duration) -> bool {
         self.last_heartbeat_at.is_some_and(|at| at + age > now)
     }
 
@@ -62,7 +62,8 @@
     /// Whether a card is from an earlier run and outdated. If the later run is silent it is not:
     /// then the host's wall clock was set back.
     fn outlasts(&self, card: &NodeCard, now: Duration) -> bool {
-        self.heartbeat.card.incarnation > card.incarnation && self.heard_within(SILENT_AFTER, now)
+        self.heartbeat.card.incarnation > card.incarnation
+            && self.received_within(SILENT_AFTER, now)
     }
 
     fn sends_calls(&self) -> bool {
@@ -131,7 +132,7 @@
             return PeerChange::default();
         }
         for card in std::mem::take(&mut heartbeat.cards) {
-            self.named(card, now);
+            self.receive_card(card, now);
         }
         heartbeat.parts = Vec::new();
         heartbeat.usage = Vec::new();
@@ -149,7 +150,7 @@
         let same_run = known.filter(|_| incarnation == Some(heartbeat.card.incarnation));
         let state = same_run.map_or(NodeState::Starting, |peer| peer.heartbeat.card.state);
         heartbeat.card.state = heartbeat.card.state.max(state);
-        let news = PeerChange {
+        let change = PeerChange {
             fresh: same_run.is_none_or(|peer| peer.last_heartbeat_at.is_none()),
             left: heartbeat.card.state == NodeState::Leaving && state != NodeState::Leaving,
         };
@@ -159,30 +160,30 @@
         let expected_since = known.and_then(|peer| peer.expected_since);
         let peer = FleetPeer {
             last_heartbeat_at: Some(now),
-            named_at: now,
+            mentioned_at: now,
             expected_since,
             heartbeat,
         };
         self.peers.insert(peer.heartbeat.card.name.clone(), peer);
-        news
+        change
     }
 
     /// Processes the card of a node in another node's heartbeat.
-    fn named(&mut self, card: NodeCard, now: Duration) {
+    fn receive_card(&mut self, card: NodeCard, now: Duration) {
         if card.name == self.own.name {
             return;
         }
         match self.peers.get_mut(&card.name) {
             Some(peer) if peer.outlasts(&card, now) => {}
             Some(peer) if peer.heartbeat.card.incarnation == card.incarnation => {
-                peer.named_at = now;
+                peer.mentioned_at = now;
                 let state = &mut peer.heartbeat.card.state;
                 *state = card.state.max(*state);
             }
             _ => {
                 let peer = FleetPeer {
                     last_heartbeat_at: None,
-                    named_at: now,
+                    mentioned_at: now,
                     expected_since: None,
                     heartbeat: NodeHeartbeat::new(card),
                 };
@@ -192,10 +193,10 @@
     }
 
     /// Records that heartbeats were sent to these addresses and are expected in return.
-    pub fn expect_heartbeats(&mut self, told: &[SocketAddr], now: Duration) {
-        let told: BTreeSet<&SocketAddr> = told.iter().collect();
+    pub fn expect_heartbeats(&mut self, recipients: &[SocketAddr], now: Duration) {
+        let recipients: BTreeSet<&SocketAddr> = recipients.iter().collect();
         for peer in self.peers.values_mut() {
-            if told.contains(&peer.heartbeat.card.peers) {
+            if recipients.contains(&peer.heartbeat.card.peers) {
                 peer.expected_since.get_or_insert(now);
             }
         }
@@ -204,18 +205,18 @@
     /// Removes nodes that no heartbeat has mentioned for a minute.
     pub fn expire(&mut self, now: Duration) {
         self.peers
-            .retain(|_, peer| peer.named_at + FORGOTTEN_AFTER > now);
+            .retain(|_, peer| peer.mentioned_at + EXPIRED_AFTER > now);
         for peer in self.peers.values_mut() {
-            if !peer.heard_within(RIVAL_AGE, now) {
+            if !peer.received_within(SENDER_AGE, now) {
                 peer.heartbeat.work = None;
             }
         }
     }
 
-    /// Nodes whose heartbeats arrive.
+    /// Nodes whose newest heartbeat was received within `SILENT_AFTER`.
     pub fn live(&self, now: Duration) -> impl Iterator<Item = &FleetPeer> {
         let peers = self.peers.values();
-        peers.filter(move |peer| peer.heard_within(SILENT_AFTER, now))
+        peers.filter(move |peer| peer.received_within(SILENT_AFTER, now))
     }
 
     /// All other nodes of this node's zone.
@@ -227,19 +228,23 @@
     /// Cards that this node may send to others: those of nodes that it received heartbeats from
     /// itself, so that the card of a stopped node does not circulate for ever.
     pub fn advertisable(&self, now: Duration) -> Vec<&NodeCard> {
-        let heard = |peer: &&FleetPeer| {
-            let near = peer.heartbeat.card.zone == self.own.zone;
-            let age = if near { SILENT_AFTER } else { FAR_SILENT_AFTER };
-            peer.heard_within(age, now) && peer.heartbeat.card.state != NodeState::Leaving
+        let is_live = |peer: &&FleetPeer| {
+            let is_own_zone = peer.heartbeat.card.zone == self.own.zone;
+            let age = if is_own_zone {
+                SILENT_AFTER
+            } else {
+                FAR_SILENT_AFTER
+            };
+            peer.received_within(age, now) && peer.heartbeat.card.state != NodeState::Leaving
         };
-        let peers = self.peers.values().filter(heard);
+        let peers = self.peers.values().filter(is_live);
         peers.map(|peer| &peer.heartbeat.card).collect()
     }
 
     /// Number of nodes of this node's zone whose heartbeats arrive, including itself.
     pub fn zone_size(&self, now: Duration) -> u32 {
         let live = self.zone_peers();
-        let live = live.filter(|peer| peer.heard_within(FAR_SILENT_AFTER, now));
+        let live = live.filter(|peer| peer.received_within(FAR_SILENT_AFTER, now));
         1 + live.count() as u32
     }
 
@@ -247,14 +252,14 @@
     /// knows.
     pub fn size(&self, now: Duration) -> u32 {
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-        let mut told = 0;
-        let heard = |peer: &&FleetPeer| peer.heard_within(FAR_SILENT_AFTER, now);
-        for peer in self.peers.values().filter(heard) {
+        let mut reported = 0;
+        let is_live = |peer: &&FleetPeer| peer.received_within(FAR_SILENT_AFTER, now);
+        for peer in self.peers.values().filter(is_live) {
             let heartbeat = &peer.heartbeat;
             let zone = zones.entry(&heartbeat.card.zone).or_default();
             *zone = heartbeat.zone_size.max(*zone);
             if heartbeat.card.zone == self.own.zone {
-                told = heartbeat.fleet_size.max(told);
+                reported = heartbeat.fleet_size.max(reported);
             }
         }
         let own_zone = zones.entry(&self.own.zone).or_default();
@@ -264,7 +269,7 @@
         if self.is_hub(now) {
             counted.max(known)
         } else {
-            told.max(known)
+            reported.max(known)
         }
     }
 
@@ -280,19 +285,19 @@
     /// Number of nodes that send calls and whose heartbeats stopped.
     pub fn silent_senders(&self, now: Duration) -> u32 {
         let peers = self.peers.values().filter(|peer| peer.sends_calls());
-        let silent = peers.filter(|peer| !peer.heard_within(SILENT_AFTER, now));
+        let silent = peers.filter(|peer| !peer.received_within(SILENT_AFTER, now));
         silent.count() as u32
     }
 
     /// Unix time at which this node's monotonic clock was zero: the median of the values from live
     /// nodes and `own`, that of this node, so that a step of some hosts' wall clocks has no effect.
     pub fn unix_start(&self, own: Duration, now: Duration) -> Duration {
-        let told = self.live(now).filter_map(|peer| {
+        let reported = self.live(now).filter_map(|peer| {
             let unix = Duration::from_millis(peer.heartbeat.unix_ms);
             unix.checked_sub(peer.last_heartbeat_at?)
         });
-        let told = told.filter(|start| !start.is_zero());
-        let mut starts: Vec<Duration> = told.chain(std::iter::once(own)).collect();
+        let reported = reported.filter(|start| !start.is_zero());
+        let mut starts: Vec<Duration> = reported.chain(std::iter::once(own)).collect();
         starts.sort_unstable();
         starts[starts.len() / 2]
     }
@@ -308,7 +313,7 @@
             return silence + RANK_STEP * u32::try_from(rank).unwrap_or(u32::MAX);
         }
         let draw = node_hash(&self.own.name) as f64 / u64::MAX as f64;
-        silence + HUBS_TURN + MEMBER_STEP.mul_f64(draw * f64::from(self.size(now)))
+        silence + HUBS_PERIOD + MEMBER_STEP.mul_f64(draw * f64::from(self.size(now)))
     }
 
     /// Address of the other node that is first to claim the duties when this one stops; `None` if
--- a/kernel/src/gateway/fleet/callers.rs
+++ b/kernel/src/gateway/fleet/callers.rs
@@ -20,7 +20,7 @@
             .map(|peer| &*peer.heartbeat.card.zone)
             .filter(|zone| in_reach(zone))
             .collect();
-        let mut told: BTreeSet<SocketAddr> = zones
+        let mut recipients: BTreeSet<SocketAddr> = zones
             .iter()
             .flat_map(|zone| self.hubs(zone, now))
             .map(|card| card.peers)
@@ -33,18 +33,18 @@
         }
         let calls = |peer: &&FleetPeer| {
             let card = &peer.heartbeat.card;
-            let busy = peer.heartbeat.sends_many() && peer.heard_within(SILENT_AFTER, now);
+            let busy = peer.heartbeat.sends_many() && peer.received_within(SILENT_AFTER, now);
             busy || entries.contains(&short_hash(&card.name))
         };
         let peers = self.peers.values().filter(calls);
         let cards = peers.map(|peer| &peer.heartbeat.card);
-        told.extend(
+        recipients.extend(
             cards
                 .filter(|card| in_reach(&card.zone))
                 .map(|card| card.peers),
         );
-        told.remove(&self.own.peers);
-        told.into_iter().collect()
+        recipients.remove(&self.own.peers);
+        recipients.into_iter().collect()
     }
 
     /// Short hashes of the nodes that callers of this zone are directed to. Empty unless this node
@@ -78,8 +78,8 @@
         now: Duration,
     ) -> Vec<SocketAddr> {
         let is_own_hub = zone == &*self.own.zone && self.is_hub(now);
-        let told = (!is_own_hub).then(|| self.told_entries(zone, now));
-        let mut cards = told.unwrap_or_default();
+        let advertised = (!is_own_hub).then(|| self.advertised_entries(zone, now));
+        let mut cards = advertised.unwrap_or_default();
         if cards.is_empty() {
             let known = self.known_entries(own, zone, now);
             cards = known.iter().map(|entry| &entry.card).collect();
@@ -94,12 +94,12 @@
         cards.iter().map(|card| card.callers).collect()
     }
 
-    fn told_entries(&self, zone: &str, now: Duration) -> Vec<&NodeCard> {
+    fn advertised_entries(&self, zone: &str, now: Duration) -> Vec<&NodeCard> {
         let hubs = self.hubs(zone, now);
         let mut lists = hubs
             .iter()
             .filter_map(|card| self.peers.get(&card.name))
-            .filter(|peer| peer.heard_within(SILENT_AFTER, now))
+            .filter(|peer| peer.received_within(SILENT_AFTER, now))
             .map(|peer| &peer.heartbeat.entries);
         let Some(entries) = lists.find(|entries| !entries.is_empty()) else {
             return Vec::new();
--- a/kernel/src/gateway/fleet/hubs.rs
+++ b/kernel/src/gateway/fleet/hubs.rs
@@ -20,7 +20,7 @@
 const READER_SILENT_AFTER: Duration = Duration::from_millis(1800);
 /// Time without an answer of the store to any node after which the first node that is no hub tries.
 /// Readers ask every 0.7 s, and it takes a second until all nodes learn of the answer.
-const STORE_PATIENCE: Duration = Duration::from_secs(3);
+const STORE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Delay between the tries of two such nodes: long enough that a whole outage causes few requests,
 /// and short enough that a store that rejects all hubs is read again within seconds.
 const STORE_STEP: Duration = Duration::from_millis(500);
@@ -87,13 +87,13 @@
             let reads = |card: &&NodeCard| {
                 let peer = self.peers.get(&card.name);
                 peer.is_some_and(|peer| {
-                    peer.heartbeat.store_reachable && peer.heard_within(READER_SILENT_AFTER, now)
+                    peer.heartbeat.store_reachable && peer.received_within(READER_SILENT_AFTER, now)
                 })
             };
             return !ranked[..rank].iter().any(reads);
         }
-        let quiet_since = self.store_answered_at.unwrap_or(self.started_at);
+        let unanswered_since = self.store_answered_at.unwrap_or(self.started_at);
         let steps = u32::try_from(rank - HUBS).unwrap_or(u32::MAX);
-        now > quiet_since + STORE_PATIENCE + STORE_STEP.saturating_mul(steps)
+        now > unanswered_since + STORE_TIMEOUT + STORE_STEP.saturating_mul(steps)
     }
 }
--- a/kernel/src/gateway/fleet/shares.rs
+++ b/kernel/src/gateway/fleet/shares.rs
@@ -16,7 +16,7 @@
 const EXTRA_BURST: f64 = 2.0;
 /// Minimum rate, in requests per second, that is divided: with a rate of 0 the end of such a limit
 /// would never be observed.
-const LEAST_RATE: f64 = 0.2;
+const MIN_RATE: f64 = 0.2;
 
 /// An upstream's limit to divide among nodes.
 #[derive(Clone, Copy, Debug)]
@@ -35,7 +35,7 @@
     /// This node's share of a limit. Each zone gets a part by its size if every zone can send one
     /// request at once; otherwise the upstream's own zone gets all of it.
     pub fn limit_share(&self, limit: SharedLimit, now: Duration) -> LimitShare {
-        let rate = limit.per_second.max(LEAST_RATE);
+        let rate = limit.per_second.max(MIN_RATE);
         let size = f64::from(self.size(now).max(1));
         if !limit.confirmed {
             return LimitShare {
@@ -60,9 +60,9 @@
     /// This node's share of its zone's part.
     fn zone_share(&self, run: u64, rate: f64, burst: f64, now: Duration) -> LimitShare {
         let nodes = self.ranked(&self.own.zone, now);
-        let draw = |name: &str| xxh3_64_with_seed(name.as_bytes(), run);
-        let own = draw(&self.own.name);
-        let before = nodes.iter().filter(|card| draw(&card.name) < own).count();
+        let hash = |name: &str| xxh3_64_with_seed(name.as_bytes(), run);
+        let own = hash(&self.own.name);
+        let before = nodes.iter().filter(|card| hash(&card.name) < own).count();
         let sharers = burst.min(nodes.len().max(1) as f64);
         if before as f64 >= sharers {
             return LimitShare::default();
@@ -82,18 +82,18 @@
     /// Number of nodes of this node's zone as counted by its hubs, but at least the number whose
     /// heartbeats arrive here.
     fn own_zone_size(&self, now: Duration) -> u32 {
-        let told = self.live(now).map(|peer| &peer.heartbeat);
-        let told = told.filter(|heartbeat| heartbeat.card.zone == self.own.zone);
-        let told = told.map(|heartbeat| heartbeat.zone_size).max();
-        self.zone_size(now).max(told.unwrap_or(0))
+        let reported = self.live(now).map(|peer| &peer.heartbeat);
+        let reported = reported.filter(|heartbeat| heartbeat.card.zone == self.own.zone);
+        let reported = reported.map(|heartbeat| heartbeat.zone_size).max();
+        self.zone_size(now).max(reported.unwrap_or(0))
     }
 }
 
 /// Availability zone of the upstream, or the one that replaces it if it has no node.
 fn home_zone<'a>(zones: &BTreeSet<&'a str>, limit: SharedLimit) -> &'a str {
-    let draw = |zone: &&&str| {
-        let drawn = xxh3_64_with_seed(zone.as_bytes(), limit.run);
-        (**zone == limit.zone, drawn)
+    let hash = |zone: &&&str| {
+        let hash = xxh3_64_with_seed(zone.as_bytes(), limit.run);
+        (**zone == limit.zone, hash)
     };
-    zones.iter().max_by_key(draw).copied().unwrap_or_default()
+    zones.iter().max_by_key(hash).copied().unwrap_or_default()
 }
--- a/kernel/src/gateway/gossip.rs
+++ b/kernel/src/gateway/gossip.rs
@@ -26,30 +26,30 @@
 const TICK_SLACK: Duration = Duration::from_millis(20);
 
 /// Interval between heartbeats of a hub without calls to the other hubs of its zone.
-const HUB_PAUSE: Duration = Duration::from_millis(800);
+const HUB_INTERVAL: Duration = Duration::from_millis(800);
 /// Interval between heartbeats to hubs from a node without calls that is no hub: its state seldom
 /// changes.
-const MEMBER_PAUSE: Duration = Duration::from_millis(800);
+const MEMBER_INTERVAL: Duration = Duration::from_millis(800);
 /// Time within which a hub sends a heartbeat to each node of its zone. With three hubs a node
 /// receives one about every 0.3 s.
 const ZONE_CYCLE: Duration = Duration::from_millis(800);
 /// Interval between heartbeats to nodes of other zones that send calls, while this node has calls.
-const FAR_BUSY_PAUSE: Duration = Duration::from_millis(200);
+const FAR_BUSY_INTERVAL: Duration = Duration::from_millis(200);
 /// The same interval without calls, when only urgent changes matter, which are sent at once.
-const FAR_IDLE_PAUSE: Duration = Duration::from_millis(400);
+const FAR_IDLE_INTERVAL: Duration = Duration::from_millis(400);
 /// Number of such intervals in which each of those nodes receives one heartbeat.
 const FAR_IDLE_ROUNDS: usize = 12;
 /// Maximum number of nodes of other zones that receive a heartbeat in one round, in turn, while
 /// there are calls: limits the traffic between zones.
-const MOST_FAR: usize = 12;
+const MAX_FAR: usize = 12;
 /// Interval between heartbeats of a hub to the seeds, which refer new nodes to the hubs.
-const SEED_PAUSE: Duration = Duration::from_secs(4);
+const SEED_INTERVAL: Duration = Duration::from_secs(4);
 /// Number of nodes, in turn, whose cards a heartbeat to the zone contains.
-const NAMED_CARDS: u64 = 1;
+const CARDS_PER_HEARTBEAT: u64 = 1;
 /// Time for which each heartbeat to the zone contains the cards of new hubs.
-const HUBS_NEW_FOR: Duration = Duration::from_secs(3);
+const NEW_HUBS_TIME: Duration = Duration::from_secs(3);
 /// Maximum number of cards in one datagram that answers a new node, some 75 bytes each.
-const MOST_CARDS: usize = 14;
+const MAX_CARDS: usize = 14;
 
 /// Time until a node should check again for due heartbeats.
 pub fn tick(fleet: &FleetView, busy: bool, now: Duration) -> Duration {
@@ -138,23 +138,23 @@
         let now = round.now;
         // A leaving hub announces that to all nodes that it sent heartbeats to.
         let is_hub = fleet.is_hub(now) || fleet.own().state == NodeState::Leaving;
-        let tells_far = is_hub || own.sends_many();
-        let tells_calls = tells_far || round.busy || own.sends_calls();
+        let sends_work_far = is_hub || own.sends_many();
+        let sends_work = sends_work_far || round.busy || own.sends_calls();
         let mut plan = GossipPlan::default();
-        if self.note_hubs(fleet, now) {
+        if self.update_hubs(fleet, now) {
             self.near_at = None;
         }
         if round.urgency >= GossipUrgency::Calls {
             self.near_at = None;
             self.far_at = None;
         }
-        let near_pause = match (round.busy, is_hub) {
+        let near_interval = match (round.busy, is_hub) {
             (true, _) => BUSY_TICK,
-            (false, true) => HUB_PAUSE,
-            (false, false) => MEMBER_PAUSE,
+            (false, true) => HUB_INTERVAL,
+            (false, false) => MEMBER_INTERVAL,
         };
-        if is_due(&mut self.near_at, near_pause, now) {
-            plan.near = near_nodes(fleet, own, tells_calls, now);
+        if is_due(&mut self.near_at, near_interval, now) {
+            plan.near = near_nodes(fleet, own, sends_work, now);
         }
         if is_hub
             && (is_due(&mut self.zone_at, IDLE_TICK, now) || round.urgency == GossipUrgency::All)
@@ -162,18 +162,18 @@
             plan.zone = self.zone_nodes(fleet, round);
             plan.zone_cards = self.zone_cards(fleet, now);
         }
-        let far_pause = if round.busy {
-            FAR_BUSY_PAUSE
+        let far_interval = if round.busy {
+            FAR_BUSY_INTERVAL
         } else {
-            FAR_IDLE_PAUSE
+            FAR_IDLE_INTERVAL
         };
-        if tells_far && is_due(&mut self.far_at, far_pause, now) {
+        if sends_work_far && is_due(&mut self.far_at, far_interval, now) {
             plan.far = self.far_nodes(fleet, round);
         }
         let is_seeking = is_seeking(fleet, now);
-        let seed_pause = if is_seeking { SEEK_TICK } else { SEED_PAUSE };
+        let seed_interval = if is_seeking { SEEK_TICK } else { SEED_INTERVAL };
         let is_first = self.seeds_at.is_none();
-        if (is_hub || is_seeking) && is_due(&mut self.seeds_at, seed_pause, now) {
+        if (is_hub || is_seeking) && is_due(&mut self.seeds_at, seed_interval, now) {
             plan.seeds = if is_seeking && !is_first {
                 SeedChoice::Next
             } else {
@@ -189,7 +189,7 @@
     }
 
     /// Records the hubs of the node's zone. Returns whether they changed.
-    fn note_hubs(&mut self, fleet: &FleetView, now: Duration) -> bool {
+    fn update_hubs(&mut self, fleet: &FleetView, now: Duration) -> bool {
         let hubs = fleet.hubs(&fleet.own().zone, now);
         let names: Vec<Box<str>> = hubs.iter().map(|card| card.name.clone()).collect();
         if names == self.hubs {
@@ -208,7 +208,7 @@
         let others: Vec<SocketAddr> = peers.filter(|peer| !hubs.contains(peer)).collect();
         let rounds = (ZONE_CYCLE.as_millis() / IDLE_TICK.as_millis()) as usize;
         let share = others.len().div_ceil(rounds);
-        take_turn(
+        next_in_rotation(
             &others,
             &mut self.zone_turn,
             share,
@@ -219,11 +219,11 @@
     fn far_nodes(&mut self, fleet: &FleetView, round: GossipRound) -> Vec<SocketAddr> {
         let far = fleet.work_recipients(false, &[], round.now);
         let share = if round.busy {
-            MOST_FAR
+            MAX_FAR
         } else {
             far.len().div_ceil(FAR_IDLE_ROUNDS)
         };
-        take_turn(
+        next_in_rotation(
             &far,
             &mut self.far_turn,
             share,
@@ -234,13 +234,13 @@
     fn zone_cards(&self, fleet: &FleetView, now: Duration) -> Vec<NodeCard> {
         let advertisable = fleet.advertisable(now);
         let cycle = (now.as_millis() / ZONE_CYCLE.as_millis()) as u64;
-        let turns = (0..NAMED_CARDS.min(advertisable.len() as u64)).map(|step| {
-            let turn = cycle * NAMED_CARDS + step;
+        let turns = (0..CARDS_PER_HEARTBEAT.min(advertisable.len() as u64)).map(|step| {
+            let turn = cycle * CARDS_PER_HEARTBEAT + step;
             advertisable[(turn % advertisable.len() as u64) as usize].clone()
         });
         let new_hubs = self
             .hubs_changed_at
-            .is_some_and(|at| at + HUBS_NEW_FOR > now);
+            .is_some_and(|at| at + NEW_HUBS_TIME > now);
         let hubs = fleet.hubs(&fleet.own().zone, now);
         let hubs = hubs.into_iter().filter(|_| new_hubs).cloned();
         turns.chain(hubs).collect()
@@ -250,26 +250,26 @@
 /// Card of the next hub that this node received a heartbeat from, of any zone: hubs have to learn
 /// of each other.
 fn hub_cards(fleet: &FleetView, now: Duration) -> Vec<NodeCard> {
-    let hubs = heard_hubs(fleet, now);
+    let hubs = live_hubs(fleet, now);
     // Chosen by hash, since a rotation in step with the rounds would send the same hubs' cards to
     // the same nodes.
-    let round = (now.as_millis() / FAR_IDLE_PAUSE.as_millis()) as u64;
+    let round = (now.as_millis() / FAR_IDLE_INTERVAL.as_millis()) as u64;
     let turn = xxh3_64_with_seed(fleet.own().name.as_bytes(), round) as usize;
     let next = hubs.get(turn % hubs.len().max(1));
     next.map(|card| (*card).clone()).into_iter().collect()
 }
 
 /// Hubs of all zones that this node received heartbeats from.
-fn heard_hubs(fleet: &FleetView, now: Duration) -> Vec<&NodeCard> {
-    let heard = fleet.advertisable(now);
-    let zones: BTreeSet<&str> = heard.iter().map(|card| &*card.zone).collect();
+fn live_hubs(fleet: &FleetView, now: Duration) -> Vec<&NodeCard> {
+    let advertisable = fleet.advertisable(now);
+    let zones: BTreeSet<&str> = advertisable.iter().map(|card| &*card.zone).collect();
     let hubs: BTreeSet<&str> = zones
         .iter()
         .flat_map(|zone| fleet.hubs(zone, now))
         .map(|card| &*card.name)
         .collect();
     let is_hub = |card: &&NodeCard| hubs.contains(&*card.name);
-    heard.into_iter().filter(is_hub).collect()
+    advertisable.into_iter().filter(is_hub).collect()
 }
 
 /// Whether a node knows no other live one, so that it asks the seeds for cards.
@@ -320,20 +320,20 @@
     if is_near && !is_hub {
         return vec![others];
     }
-    let meets_hub = need.fresh && is_hub && fleet.is_hub(now);
-    if !need.seeking && !meets_hub {
+    let is_new_hub = need.fresh && is_hub && fleet.is_hub(now);
+    if !need.seeking && !is_new_hub {
         return Vec::new();
     }
     let mut cards = others;
     if is_hub {
-        let far = heard_hubs(fleet, now);
+        let far = live_hubs(fleet, now);
         let mut far: Vec<&NodeCard> = far
             .into_iter()
             .filter(|hub| hub.zone != card.zone)
             .collect();
         let own = node_hash(&fleet.own().name);
         far.sort_by_key(|hub| xxh3_64_with_seed(hub.name.as_bytes(), own));
-        cards.extend(far.into_iter().take(MOST_CARDS).cloned());
+        cards.extend(far.into_iter().take(MAX_CARDS).cloned());
     }
     in_datagrams(&cards)
 }
@@ -344,24 +344,24 @@
     if cards.is_empty() {
         return vec![Vec::new()];
     }
-    cards.chunks(MOST_CARDS).map(<[NodeCard]>::to_vec).collect()
+    cards.chunks(MAX_CARDS).map(<[NodeCard]>::to_vec).collect()
 }
 
 fn near_nodes(
     fleet: &FleetView,
     own: &NodeHeartbeat,
-    tells_calls: bool,
+    sends_work: bool,
     now: Duration,
 ) -> Vec<SocketAddr> {
-    if tells_calls {
+    if sends_work {
         return fleet.work_recipients(true, &own.entries, now);
     }
     let hubs = fleet.hubs(&fleet.own().zone, now);
     hubs.iter().map(|card| card.peers).collect()
 }
 
-fn is_due(last: &mut Option<Duration>, pause: Duration, now: Duration) -> bool {
-    if last.is_some_and(|last| now + TICK_SLACK < last + pause) {
+fn is_due(last: &mut Option<Duration>, interval: Duration, now: Duration) -> bool {
+    if last.is_some_and(|last| now + TICK_SLACK < last + interval) {
         return false;
     }
     *last = Some(now);
@@ -369,7 +369,12 @@
 }
 
 /// Next `share` entries of a list in rotation, or all of it.
-fn take_turn(list: &[SocketAddr], turn: &mut usize, share: usize, whole: bool) -> Vec<SocketAddr> {
+fn next_in_rotation(
+    list: &[SocketAddr],
+    turn: &mut usize,
+    share: usize,
+    whole: bool,
+) -> Vec<SocketAddr> {
     let count = if whole {
         list.len()
     } else {
--- a/kernel/src/gateway/lag.rs
+++ b/kernel/src/gateway/lag.rs
@@ -14,35 +14,35 @@
 /// Configuration version that other nodes advertised, and the progress of fetching it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VersionLag {
-    told: u64,
-    told_at: Duration,
-    piece_at: Duration,
+    newest: u64,
+    advertised_at: Duration,
+    progressed_at: Duration,
 }
 
 impl VersionLag {
     /// Records that another node has a version in force.
     pub fn advertised(&mut self, version: u64, now: Duration) {
-        if version > self.told {
-            self.told = version;
-            self.told_at = now;
+        if version > self.newest {
+            self.newest = version;
+            self.advertised_at = now;
         }
     }
 
     /// Records that part of a transfer from another node arrived.
     pub fn fetch_progressed(&mut self, now: Duration) {
-        self.piece_at = now;
+        self.progressed_at = now;
     }
 
     /// Time since `version` or a newer one was first advertised; `None` if none was.
     pub fn since(&self, version: u64, now: Duration) -> Option<Duration> {
-        (self.told >= version).then(|| now.saturating_sub(self.told_at))
+        (self.newest >= version).then(|| now.saturating_sub(self.advertised_at))
     }
 
     /// Whether a node with `version` in force has to read the store. Such a read does not start
     /// beside a fetch that makes progress, as it would take half the bandwidth of a slow link.
     pub fn is_behind(&self, version: u64, now: Duration) -> bool {
-        let quiet_at = self.told_at.max(self.piece_at) + LAG_TIME;
-        let last = quiet_at.min(self.told_at + MAX_LAG);
-        self.told > version && now > last
+        let stalled_at = self.advertised_at.max(self.progressed_at) + LAG_TIME;
+        let last = stalled_at.min(self.advertised_at + MAX_LAG);
+        self.newest > version && now > last
     }
 }
--- a/kernel/src/gateway/load.rs
+++ b/kernel/src/gateway/load.rs
@@ -50,10 +50,10 @@
 
 /// Time after which another node's report expires: three of the longest intervals between
 /// heartbeats.
-const REPORT_AGE: Duration = Duration::from_millis(1500);
+const REPORT_TTL: Duration = Duration::from_millis(1500);
 
 /// Time within which the other sending nodes of a zone learn of a call: two heartbeat intervals.
-const UNHEARD_TIME: Duration = Duration::from_millis(100);
+const UNREPORTED_TIME: Duration = Duration::from_millis(100);
 
 /// Prompt tokens that an engine prefills in a ms. It serves only as a scale: engines in use prefill
 /// about 50.
@@ -87,7 +87,7 @@
         while self
             .sent_at
             .front()
-            .is_some_and(|at| *at + UNHEARD_TIME <= now)
+            .is_some_and(|at| *at + UNREPORTED_TIME <= now)
         {
             self.sent_at.pop_front();
         }
@@ -96,7 +96,7 @@
 
     /// Number of calls that this node sent and that other nodes may not have learned of yet.
     pub fn unreported_calls(&self, now: Duration) -> usize {
-        let fresh = |at: &&Duration| **at + UNHEARD_TIME > now;
+        let fresh = |at: &&Duration| **at + UNREPORTED_TIME > now;
         self.sent_at.iter().rev().take_while(fresh).count()
     }
 
@@ -130,7 +130,7 @@
         let fresh = self
             .others
             .values()
-            .filter(|(at, _)| *at + REPORT_AGE > now);
+            .filter(|(at, _)| *at + REPORT_TTL > now);
         fresh.fold(self.own, |sum, (_, count)| sum + *count)
     }
 
@@ -138,7 +138,7 @@
     /// queued before it are prefilled. Returns whether it was not known to be cached.
     pub fn record_part_sent(&mut self, part: u64, now: Duration) -> bool {
         let total = self.total(now);
-        let read_at = now + reading_time(total);
+        let read_at = now + prefill_time(total);
         self.cache.record_use(part, read_at, moment(total, now))
     }
 
@@ -156,7 +156,7 @@
     }
 }
 
-fn reading_time(total: WorkCount) -> Duration {
+fn prefill_time(total: WorkCount) -> Duration {
     let tokens = f64::from(total.prompt_tokens);
     FIRST_STEPS + Duration::from_secs_f64(tokens / TOKENS_PER_MS / 1000.0)
 }
--- a/kernel/src/gateway/outcome.rs
+++ b/kernel/src/gateway/outcome.rs
@@ -1,56 +1,57 @@
-//! What the end of one attempt means for its call.
+//! Decides how a call continues after an attempt.
 
 use crate::gateway::rules::CallSafety;
 
-/// How an attempt ended before any of its answer was passed on.
+/// Result of an attempt that ended before any of its answer was forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum AttemptEnd {
-    /// Nothing was sent: no connection came about.
+    /// Nothing was sent: no connection was established.
     #[display("not_sent")]
     NotSent,
-    /// Nothing was sent: the upstream or the call's content may get no calls any more.
+    /// Nothing was sent: the upstream accepts no calls any more, or the call's content is
+    /// quarantined.
     #[display("withheld")]
     Withheld,
     /// Nothing was sent: nothing listens at the upstream's address.
     #[display("unreachable")]
     Unreachable,
-    /// The upstream says that it did not run the call.
+    /// The upstream reported that it did not run the call.
     #[display("refused")]
     Refused,
-    /// The upstream that was meant no longer has this address; it did not run the call.
+    /// Another upstream now has this address; it did not run the call.
     #[display("moved")]
     Moved,
-    /// The upstream answered with a failure of its own.
+    /// The upstream answered with an error of its own.
     #[display("failed")]
     Failed,
-    /// It was sent and the answer is lost, cut or not to be trusted.
+    /// The call was sent, and its answer was lost, truncated or invalid.
     #[display("lost")]
     Lost,
 }
 
-/// What to do with the call.
+/// Next step for the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum NextStep {
-    /// Try another upstream.
+    /// Retry at another upstream.
     #[display("retry")]
     Retry,
-    /// Tell the caller that it has not run and when to come back.
+    /// Report to the caller that the call has not run and when to retry.
     #[display("not_run")]
     NotRun,
-    /// Pass the upstream's failure on.
+    /// Forward the upstream's error.
     #[display("pass_on")]
     PassOn,
-    /// Tell the caller that nothing is known.
+    /// Report to the caller that it is unknown whether the call ran.
     #[display("unknown")]
     Unknown,
 }
 
-/// What a call has been through so far.
+/// Attempts of a call so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallHistory {
-    /// Upstreams that it was sent to.
+    /// Number of attempts in which the call was sent to an upstream.
     pub sends: u32,
-    /// Whether it may have run at any of them.
+    /// Whether the call may have run in any of them.
     pub may_have_run: bool,
 }
 
@@ -60,21 +61,22 @@
         matches!(self, Self::Failed | Self::Lost)
     }
 
-    /// Whether anything reached the upstream.
+    /// Whether the call was sent to the upstream in this attempt.
     pub fn was_sent(self) -> bool {
         !matches!(self, Self::NotSent | Self::Withheld | Self::Unreachable)
     }
 }
 
-/// Decides after an attempt. `room` says whether time, attempts and budget allow one more.
+/// Decides the next step after an attempt. `may_retry` is whether time, attempts and budget allow one
+/// more.
 pub fn next_step(
     end: AttemptEnd,
     safety: CallSafety,
     history: CallHistory,
-    room: bool,
+    may_retry: bool,
 ) -> NextStep {
     let repeatable = safety == CallSafety::Idempotent || !history.may_have_run;
-    if room && repeatable {
+    if may_retry && repeatable {
         return NextStep::Retry;
     }
     if end == AttemptEnd::Failed {
--- a/kernel/src/gateway/partition.rs
+++ b/kernel/src/gateway/partition.rs
@@ -37,34 +37,37 @@
 /// Engines that are reserved for tight streams: in each availability zone with two or more, as many
 /// as its streams fill, at least one and never all. If there are more engines than all calls fill,
 /// the surplus is shared in proportion, as a stream is faster in a smaller batch.
-pub fn reserved_for_tight(options: &[UpstreamCandidate]) -> BTreeSet<UpstreamKey> {
+pub fn reserved_for_tight(candidates: &[UpstreamCandidate]) -> BTreeSet<UpstreamKey> {
     let mut zones: BTreeMap<&str, Vec<&UpstreamCandidate>> = BTreeMap::new();
-    for option in options.iter().filter(|option| !option.backed_off) {
-        let zone = &*option.upstream.entry.zone;
-        zones.entry(zone).or_default().push(option);
+    for candidate in candidates.iter().filter(|candidate| !candidate.backed_off) {
+        let zone = &*candidate.upstream.entry.zone;
+        zones.entry(zone).or_default().push(candidate);
     }
-    zones.into_values().flat_map(kept_in_zone).collect()
+    zones.into_values().flat_map(reserved_in_zone).collect()
 }
 
-fn kept_in_zone(mut options: Vec<&UpstreamCandidate>) -> Vec<UpstreamKey> {
-    if options.len() < 2 {
+fn reserved_in_zone(mut candidates: Vec<&UpstreamCandidate>) -> Vec<UpstreamKey> {
+    if candidates.len() < 2 {
         return Vec::new();
     }
-    let streams: u32 = options
+    let streams: u32 = candidates
         .iter()
-        .map(|option| option.total.tight_streams)
+        .map(|candidate| candidate.total.tight_streams)
         .sum();
-    let slots: u32 = options
+    let slots: u32 = candidates
         .iter()
-        .map(|option| option.upstream.entry.slots)
+        .map(|candidate| candidate.upstream.entry.slots)
+        .sum();
+    let calls: u32 = candidates
+        .iter()
+        .map(|candidate| candidate.total.calls)
         .sum();
-    let calls: u32 = options.iter().map(|option| option.total.calls).sum();
     let slots = f64::from(slots).max(1.0);
     let tight = f64::from(streams) / (TIGHT_FILL * slots);
     let other = f64::from(calls.saturating_sub(streams)) / (OTHER_FILL * slots);
     let share = tight.max(tight / (tight + other).max(f64::MIN_POSITIVE));
-    let wanted = (share * options.len() as f64).ceil() as usize;
-    options.sort_by_key(|option| xxh3_64(option.upstream.entry.id.as_bytes()));
-    options.truncate(wanted.clamp(1, options.len() - 1));
-    options.iter().map(|option| option.key).collect()
+    let wanted = (share * candidates.len() as f64).ceil() as usize;
+    candidates.sort_by_key(|candidate| xxh3_64(candidate.upstream.entry.id.as_bytes()));
+    candidates.truncate(wanted.clamp(1, candidates.len() - 1));
+    candidates.iter().map(|candidate| candidate.key).collect()
 }
--- a/kernel/src/gateway/registry.rs
+++ b/kernel/src/gateway/registry.rs
@@ -105,10 +105,10 @@
 
 /// Time for which a departure is sent to other nodes: two of the longest intervals between
 /// heartbeats, so that one heartbeat may be lost.
-const DEPARTURE_AGE: Duration = Duration::from_millis(1500);
+const DEPARTURE_TTL: Duration = Duration::from_millis(1500);
 /// Maximum number of departures in one heartbeat, five bytes each. Others are learned from the
 /// whole registry.
-const MOST_DEPARTURES: usize = 24;
+const MAX_DEPARTURES: usize = 24;
 
 /// Number of buckets of ids that nodes compare: each contains some 80 of 10,000 upstreams, about 8
 /// kB on the wire.
@@ -132,7 +132,7 @@
 
 impl Upstream {
     /// Hash of its run and of whether it left.
-    fn mark(&self) -> u32 {
+    fn state_hash(&self) -> u32 {
         let left = [u8::from(self.left.is_some())];
         (xxh3_64_with_seed(&left, self.entry.run_hash()) >> 32) as u32
     }
@@ -148,10 +148,10 @@
         if self.left.is_some_and(|left| left != LeavingCause::Lapsed) {
             return false;
         }
-        let is_news = self.left != Some(cause);
+        let is_change = self.left != Some(cause);
         self.left = Some(cause);
         self.lapsed_at = None;
-        is_news
+        is_change
     }
 }
 
@@ -169,7 +169,7 @@
             RegistryChange::Removed(id) => self.remove(&id, trusted, now).into_iter().collect(),
         };
         for key in &changed {
-            self.note_departure(*key, now);
+            self.record_departure(*key, now);
         }
         if !changed.is_empty() {
             self.digest.set(None);
@@ -186,7 +186,7 @@
             return None;
         }
         self.digest.set(None);
-        self.note_departure(key, now);
+        self.record_departure(key, now);
         Some(key)
     }
 
@@ -194,25 +194,22 @@
     /// change.
     pub fn record_announcement(&mut self, key: UpstreamKey, now: Duration) -> bool {
         let upstream = self.upstreams.get_mut(&key);
-        let is_news = upstream.is_some_and(|upstream| upstream.leave(LeavingCause::Announced));
-        if is_news {
+        let is_change = upstream.is_some_and(|upstream| upstream.leave(LeavingCause::Announced));
+        if is_change {
             self.digest.set(None);
-            self.note_departure(key, now);
+            self.record_departure(key, now);
         }
-        is_news
+        is_change
     }
 
     /// Hashes of runs of upstreams that recently began to leave, the newest first.
     pub fn departures(&self, now: Duration) -> Vec<u64> {
-        let fresh = |(at, _): &&(Duration, u64)| *at + DEPARTURE_AGE > now;
+        let fresh = |(at, _): &&(Duration, u64)| *at + DEPARTURE_TTL > now;
         let newest = self.departures.iter().rev().take_while(fresh);
-        newest
-            .map(|(_, hash)| *hash)
-            .take(MOST_DEPARTURES)
-            .collect()
+        newest.map(|(_, hash)| *hash).take(MAX_DEPARTURES).collect()
     }
 
-    fn note_departure(&mut self, key: UpstreamKey, now: Duration) {
+    fn record_departure(&mut self, key: UpstreamKey, now: Duration) {
         let Some(upstream) = self.upstreams.get(&key) else {
             return;
         };
@@ -222,7 +219,7 @@
             Some(LeavingCause::Draining | LeavingCause::Announced | LeavingCause::Removed)
         ) {
             self.departures.push_back((now, upstream.entry.run_hash()));
-            if self.departures.len() > MOST_DEPARTURES {
+            if self.departures.len() > MAX_DEPARTURES {
                 self.departures.pop_front();
             }
         }
@@ -331,20 +328,20 @@
     /// Marks upstreams as left whose entries expired and did not return in time after
     /// `returned_at`, when the registry recovered. Returns them.
     pub fn expire_lapsed(&mut self, returned_at: Duration, now: Duration) -> Vec<UpstreamKey> {
-        let mut gone = Vec::new();
+        let mut lapsed = Vec::new();
         for (key, upstream) in &mut self.upstreams {
             let Some(lapsed_at) = upstream.lapsed_at else {
                 continue;
             };
             if now >= returned_at.max(lapsed_at) + RETURN_GRACE {
                 upstream.leave(LeavingCause::Lapsed);
-                gone.push(*key);
+                lapsed.push(*key);
             }
         }
-        if !gone.is_empty() {
+        if !lapsed.is_empty() {
             self.digest.set(None);
         }
-        gone
+        lapsed
     }
 
     /// Records that another upstream answers at this one's address.
@@ -389,21 +386,22 @@
         if let Some(digest) = self.digest.get() {
             return digest;
         }
-        let digest = self.count_digest();
+        let digest = self.compute_digest();
         self.digest.set(Some(digest));
         digest
     }
 
-    fn count_digest(&self) -> u64 {
-        self.newest()
-            .fold(0, |digest, upstream| digest ^ u64::from(upstream.mark()))
+    fn compute_digest(&self) -> u64 {
+        self.newest().fold(0, |digest, upstream| {
+            digest ^ u64::from(upstream.state_hash())
+        })
     }
 
     /// Digest of each bucket of ids, so that two nodes can find the buckets in which they differ.
     pub fn bucket_digests(&self) -> Vec<u32> {
         let mut digests = vec![0; DIGEST_BUCKETS];
         for upstream in self.newest() {
-            digests[upstream.bucket()] ^= upstream.mark();
+            digests[upstream.bucket()] ^= upstream.state_hash();
         }
         digests
     }
--- a/kernel/src/gateway/reports.rs
+++ b/kernel/src/gateway/reports.rs
@@ -12,7 +12,7 @@
 /// within a second and send all their counts in the next.
 const COLLECT_TIME: Duration = Duration::from_secs(2);
 /// Delay between two attempts to send a report.
-const SEND_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A window whose counts are in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -114,7 +114,7 @@
     /// Records that a report was rejected or not acknowledged; it is sent again after a delay.
     pub fn unanswered(&mut self, window: u64, now: Duration) {
         if let Some(written) = self.windows.get_mut(&window) {
-            written.send_at = now + SEND_PAUSE;
+            written.send_at = now + RETRY_INTERVAL;
         }
     }
 
@@ -128,11 +128,11 @@
         let late = self.late;
         let mut missed = Vec::new();
         self.windows.retain(|window, written| {
-            let is_kept = now < ledger.end(*window) + late * 2;
-            if !is_kept && !written.accepted {
+            let is_retained = now < ledger.end(*window) + late * 2;
+            if !is_retained && !written.accepted {
                 missed.push(*window);
             }
-            is_kept
+            is_retained
         });
         self.missed += missed.len() as u64;
         missed
--- a/kernel/src/gateway/scaling.rs
+++ b/kernel/src/gateway/scaling.rs
@@ -1,8 +1,8 @@
-//! How many engines of a pool each availability zone shall have, and of which kind.
+//! Determines how many engines of a pool each availability zone should have, and of which kind.
 //!
-//! *Spot* engines cost a part of the price, but all of a zone's may be reclaimed at once, with some
-//! seconds' notice. *Firm* ones stay. Most engines are spot, spread evenly, so that a zone's loss is borne
-//! by the others.
+//! *Spot* engines cost a fraction of the price, but all of a zone's may be reclaimed at once, with
+//! some seconds' notice. *Firm* ones stay. Most engines are spot, spread evenly over the zones, so
+//! that the other zones can absorb the loss of one.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,128 +11,131 @@
 
 use crate::gateway::load::TOKENS_PER_MS;
 
-/// Engines of a pool above which none are ordered: each that comes or goes has all nodes fetch the whole
-/// registry, which departures have to get past.
+/// Size of a pool above which no engines are ordered: whenever an engine is added or removed, all
+/// nodes fetch the whole registry, which delays notices of departures.
 const LARGEST_POOL: u32 = 1000;
-/// Firm engines of each availability zone that stay when spot engines have taken their place.
+/// Number of firm engines that each availability zone keeps after spot engines replaced the others.
 const FIRM_BASE: u32 = 1;
-/// Part of an engine's time in which it reads prompts at the load that the pool is sized for: beside more,
-/// pauses between events come near their bounds.
-const READING_FILL: f64 = 0.45;
-/// Part of an engine's slots that are taken at that load.
+/// Share of an engine's time spent on prefill at the load that the pool is sized for: above it,
+/// gaps between events come near their bounds.
+const PREFILL_FILL: f64 = 0.45;
+/// Share of an engine's slots in use at that load.
 const SLOT_FILL: f64 = 0.5;
-/// Time without new engines after which those that are there are taken to be all.
+/// Time without new engines after which the known ones are assumed to be all.
 const SETTLE_TIME: Duration = Duration::from_millis(1500);
-/// Engines, against those that were there at first, when most are spot: the loss of a zone of three in a
-/// surge still leaves more than there were. Never so many that they cost more than firm ones would.
+/// Number of engines relative to the baseline when most are spot: the loss of one of three zones
+/// during a surge still leaves more than the baseline. It is reduced where this many spot engines
+/// would cost more than the firm ones.
 const SPOT_HEADROOM: f64 = 2.0;
-/// Time for which the pool stays as large as its load needed: surges come in series, and a new engine
-/// takes seconds to start and has nothing cached.
-const PEAK_KEPT: Duration = Duration::from_mins(1);
-/// Time for which a load counts as that of now.
+/// Time for which the pool stays as large as its load required: surges come in series, and a new
+/// engine takes seconds to start and has an empty cache.
+const PEAK_RETENTION: Duration = Duration::from_mins(1);
+/// Time for which a measured load counts as current.
 const RECENT: Duration = Duration::from_secs(3);
-/// Engines, against what the load of `PEAK_KEPT` needed, below which a pool that was larger at first
-/// does not fall.
+/// Number of engines, relative to the need during `PEAK_RETENTION`, below which a pool whose baseline
+/// was larger does not shrink.
 const SHRINK_MARGIN: f64 = 1.5;
-/// Time after which an order that was refused is given again.
-const REFUSED_PAUSE: Duration = Duration::from_millis(2500);
-/// Time after which an order without an answer is given again.
-const UNANSWERED_PAUSE: Duration = Duration::from_secs(1);
-/// Time beyond their start in which ordered engines show in the registry.
+/// Time after which a rejected order is sent again.
+const REFUSED_DELAY: Duration = Duration::from_millis(2500);
+/// Time after which an unanswered order is sent again.
+const UNANSWERED_DELAY: Duration = Duration::from_secs(1);
+/// Time after their start within which ordered engines appear in the registry.
 const LATE_START: Duration = Duration::from_secs(3);
-/// Time between two orders for fewer engines, each of which drains and takes its cache along.
-const LOWER_PAUSE: Duration = Duration::from_secs(20);
+/// Time between two orders for fewer spot engines, each of which drains an engine and loses its
+/// cache.
+const SHRINK_INTERVAL: Duration = Duration::from_secs(20);
 
-/// What the platform says of ordering a pool's engines.
+/// The platform's terms for ordering a pool's engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScalingSpec {
-    /// Fewest engines in an availability zone, of both kinds together.
+    /// Minimum number of engines in an availability zone, of both kinds together.
     pub least: u32,
-    /// Most.
+    /// Maximum number of engines in an availability zone, of both kinds together.
     pub most: u32,
     /// Time that a new engine takes to start.
     pub startup: Duration,
-    /// Price of a spot engine, as a part of a firm one's; none if there are none to be had.
+    /// Price of a spot engine as a fraction of a firm one's; `None` if no spot engines are offered.
     pub spot_price: Option<f64>,
     /// Price of an engine in each availability zone.
     pub zone_prices: BTreeMap<Box<str>, f64>,
 }
 
-/// A kind of engine.
+/// Kind of an engine by its price and permanence.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EngineKind {
-    /// At full price; stays.
+    /// At full price; not reclaimed.
     #[display("firm")]
     Firm,
-    /// May be reclaimed.
+    /// At a reduced price; may be reclaimed by the platform.
     #[display("spot")]
     Spot,
 }
 
-/// Engines of an availability zone that take calls.
+/// Number of engines of an availability zone that accept calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneEngines {
-    /// At full price.
+    /// Firm engines.
     pub firm: u32,
-    /// Those that may be reclaimed.
+    /// Spot engines.
     pub spot: u32,
 }
 
 impl PoolLoad {
-    /// Engines that carry it well.
+    /// Number of engines that the load requires.
     fn needed(&self) -> u32 {
-        let reading = self.tokens_per_s / (TOKENS_PER_MS * 1000.0 * READING_FILL);
+        let prefill = self.tokens_per_s / (TOKENS_PER_MS * 1000.0 * PREFILL_FILL);
         let calls = f64::from(self.calls) / (f64::from(self.slots.max(1)) * SLOT_FILL);
-        reading.max(calls).ceil() as u32
+        prefill.max(calls).ceil() as u32
     }
 }
 
 impl ZoneEngines {
-    /// Engines of both kinds.
+    /// Number of engines of both kinds.
     pub fn total(self) -> u32 {
         self.firm + self.spot
     }
 }
 
-/// An order.
+/// An order to the platform for the number of engines of one kind in a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineOrder {
-    /// The availability zone.
+    /// Availability zone of the engines.
     pub zone: Box<str>,
-    /// Which engines.
+    /// Kind of the engines.
     pub kind: EngineKind,
-    /// How many of them it shall have.
+    /// Number of such engines that the zone should have.
     pub desired: u32,
 }
 
-/// How an order ended.
+/// Result of an order.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The platform took it.
+    /// The platform accepted the order.
     #[display("accepted")]
     Accepted,
-    /// There are no such engines now.
+    /// The platform has no such engines at present.
     #[display("unavailable")]
     Unavailable,
-    /// Nothing is known.
+    /// No answer arrived, so the order may or may not have been accepted.
     #[display("unanswered")]
     Unanswered,
 }
 
-/// How large a pool is and shall be.
+/// Current and desired size of a pool.
 #[derive(Clone, Copy, Debug)]
 struct PoolSize {
-    /// Engines that each zone shall have.
+    /// Number of engines that each zone should have.
     share: u32,
-    /// Engines that each zone had at first.
-    first_share: u32,
-    /// Engines that take calls.
+    /// Each zone's part of the pool's baseline.
+    baseline_share: u32,
+    /// Number of engines that accept calls.
     present: u32,
-    /// Engines below which the pool may not fall: those of the start, or what the load needs now.
+    /// Number of engines below which firm ones are ordered if no spot ones are available: the
+    /// baseline, or the need of the current load if that is larger.
     needed: u32,
 }
 
-/// The last order of a kind of engine in a zone.
+/// Latest order of a kind of engine in a zone.
 #[derive(Clone, Copy, Debug)]
 struct LastOrder {
     desired: u32,
@@ -140,48 +143,48 @@
     outcome: OrderOutcome,
 }
 
-/// Work of a pool, as the node that orders its engines knows it.
+/// Load of a pool, as far as the node that orders its engines knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolLoad {
-    /// Calls that are at its engines.
+    /// Number of calls in flight at its engines.
     pub calls: u32,
-    /// Slots of an engine.
+    /// Number of slots of one engine.
     pub slots: u32,
-    /// Prompt tokens that they take in each second.
+    /// Prompt tokens added to the engines' caches per second.
     pub tokens_per_s: f64,
 }
 
-/// What was ordered for a pool.
+/// Orders for a pool's engines and the data behind them.
 #[derive(Clone, Debug, Default)]
 pub struct PoolScaling {
-    /// Engines that the pool had when it was first looked at.
-    first_total: u32,
+    /// Baseline: number of engines of the pool before any were replaced, in firm engines.
+    baseline: u32,
     is_resumed: bool,
     first_at: Option<Duration>,
     grown_at: Option<Duration>,
     peaks: VecDeque<(Duration, u32)>,
     orders: BTreeMap<(Box<str>, EngineKind), LastOrder>,
-    lowered_at: Option<Duration>,
+    shrunk_at: Option<Duration>,
 }
 
-/// Spot engines for each firm one that they take the place of.
+/// Number of spot engines that replace one firm engine.
 fn headroom(spec: &ScalingSpec) -> f64 {
     let affordable = |price: f64| SPOT_HEADROOM.min(1.0 / price.max(f64::MIN_POSITIVE));
     spec.spot_price.map_or(1.0, affordable).max(1.0)
 }
 
 impl PoolScaling {
-    /// What a holder goes on with that follows another: the engines that this one had decided on; 0 if
-    /// that is not known.
+    /// Creates the state of a holder that follows another. `total` is the number of engines that
+    /// the previous holder decided on; 0 if unknown.
     pub fn resume(total: u32) -> Self {
         Self {
-            first_total: total,
+            baseline: total,
             is_resumed: total > 0,
             ..Self::default()
         }
     }
 
-    /// Takes in how busy the pool is.
+    /// Records the current load of the pool.
     pub fn record_load(&mut self, load: PoolLoad, now: Duration) {
         let needed = load.needed();
         while self.peaks.back().is_some_and(|(_, peak)| *peak <= needed) {
@@ -191,13 +194,13 @@
         while self
             .peaks
             .front()
-            .is_some_and(|(at, _)| *at + PEAK_KEPT < now)
+            .is_some_and(|(at, _)| *at + PEAK_RETENTION < now)
         {
             self.peaks.pop_front();
         }
     }
 
-    /// The next order that is due, if any. `zones` are those in which the pool runs.
+    /// Next order that is due, if any. `zones` are those in which the pool runs.
     pub fn next_order(
         &mut self,
         spec: &ScalingSpec,
@@ -208,17 +211,17 @@
         if present > LARGEST_POOL {
             return None;
         }
-        self.note_first(spec, zones, now);
+        self.update_baseline(spec, zones, now);
         self.first_at.get_or_insert(now);
         let count = u32::try_from(zones.len()).ok()?.max(1);
         let share = self.total(spec, now).div_ceil(count);
         let size = PoolSize {
             share: share.clamp(spec.least, spec.most),
-            first_share: self.first_total / count,
+            baseline_share: self.baseline / count,
             present,
-            needed: self.first_total.max(self.needed_now(now)),
+            needed: self.baseline.max(self.needed_now(now)),
         };
-        // Where there are more than may be ordered, an order would end those above the bound.
+        // No order for zones above the maximum, as it would stop the engines beyond it.
         let allowed = zones
             .iter()
             .filter(|(_, engines)| engines.total() <= spec.most);
@@ -239,7 +242,8 @@
         wanted.next().map(|(order, _)| order)
     }
 
-    /// Spot engines of a zone: all but the base, and what other zones cannot have.
+    /// Number of spot engines that a zone should have: all but its firm ones, and replacements for
+    /// those that are unavailable in other zones.
     fn spot_wanted(
         &self,
         spec: &ScalingSpec,
@@ -251,19 +255,19 @@
         if spec.spot_price.is_none() {
             return 0;
         }
-        let made_up = if self.is_dry(zone, now) {
+        let replacements = if self.is_spot_unavailable(zone, now) {
             0
         } else {
             self.spot_shortage(zones, size.share, now)
         };
         let firm = zones.get(zone).map_or(0, |engines| engines.firm);
-        let wanted = size.share.saturating_sub(FIRM_BASE) + made_up;
+        let wanted = size.share.saturating_sub(FIRM_BASE) + replacements;
         wanted.min(spec.most.saturating_sub(firm))
     }
 
-    /// Firm engines of a zone: those that no spot engine has taken the place of yet. More are ordered only
-    /// where there are no spot engines, or none to be had while the pool is smaller than it was at first or
-    /// than its load needs.
+    /// Number of firm engines that a zone should have: those that spot engines have not replaced
+    /// yet. More are ordered only if the pool has no spot engines, or none are available while the
+    /// pool is smaller than its baseline or than its load requires.
     fn firm_wanted(
         &self,
         spec: &ScalingSpec,
@@ -272,7 +276,7 @@
         zone: &str,
         now: Duration,
     ) -> u32 {
-        // While engines turn up that were there before, none is given up for those ordered.
+        // While earlier engines are still being discovered, none is given up for those ordered.
         if self.grown_at.is_some_and(|at| now < at + SETTLE_TIME) {
             return engines.firm;
         }
@@ -281,34 +285,34 @@
         }
         let last = self.orders.get(&(zone.into(), EngineKind::Firm));
         let known = last.map_or(engines.firm, |last| last.desired);
-        let is_short = self.is_dry(zone, now) && size.present < size.needed;
+        let is_short = self.is_spot_unavailable(zone, now) && size.present < size.needed;
         let most = if is_short {
             spec.most.saturating_sub(engines.spot)
         } else {
             known
         };
-        let replaced = size.share.min(size.first_share);
+        let replaced = size.share.min(size.baseline_share);
         let unreplaced = replaced.saturating_sub(engines.spot);
         unreplaced.max(FIRM_BASE).min(most)
     }
 
-    /// Engines that the pool shall have: as many as it had at first, or as its load needed lately. After
-    /// `PEAK_KEPT` it may fall below the first.
+    /// Number of engines that the pool should have: by its baseline or by its recent peak load,
+    /// whichever is larger. After `PEAK_RETENTION` it may fall below the baseline.
     fn total(&self, spec: &ScalingSpec, now: Duration) -> u32 {
         let first = f64::from(self.needed(now)) * headroom(spec);
         let peak = self.peaks.front().map_or(0, |(_, peak)| *peak);
         peak.max(first.ceil() as u32)
     }
 
-    /// Takes in how many engines there are before any are given up for others, unless the holder before
-    /// this one decided on them. Spot engines that are there already stand for fewer firm ones.
-    fn note_first(
+    /// Updates the baseline before any engines are replaced, unless the previous holder decided on
+    /// it. Existing spot engines count as fewer firm ones.
+    fn update_baseline(
         &mut self,
         spec: &ScalingSpec,
         zones: &BTreeMap<Box<str>, ZoneEngines>,
         now: Duration,
     ) {
-        if self.is_resumed || self.has_lowered() {
+        if self.is_resumed || self.has_replaced_firm() {
             return;
         }
         let firm: u32 = zones.values().map(|engines| engines.firm).sum();
@@ -319,58 +323,59 @@
             0.0
         };
         let present = firm + spot.ceil() as u32;
-        if present > self.first_total {
-            self.first_total = present;
+        if present > self.baseline {
+            self.baseline = present;
             self.grown_at = Some(now);
         }
     }
 
-    /// Engines at full price that would carry the load.
+    /// Number of firm engines that the load requires.
     pub fn needed(&self, now: Duration) -> u32 {
         let peak = self.peaks.front().map_or(0, |(_, peak)| *peak);
-        let is_known = self.first_at.is_some_and(|at| now >= at + PEAK_KEPT);
+        let is_known = self.first_at.is_some_and(|at| now >= at + PEAK_RETENTION);
         if !is_known {
-            return self.first_total;
+            return self.baseline;
         }
         let least = (f64::from(peak) * SHRINK_MARGIN).ceil() as u32;
-        self.first_total.min(least)
+        self.baseline.min(least)
     }
 
-    /// Engines that the load of the last moments needs.
+    /// Number of engines that the load of the last seconds required.
     fn needed_now(&self, now: Duration) -> u32 {
         let fresh = self.peaks.iter().filter(|(at, _)| *at + RECENT > now);
         fresh.map(|(_, needed)| *needed).max().unwrap_or(0)
     }
 
-    /// Whether firm engines were given up, so that those present are no longer all that there were.
-    fn has_lowered(&self) -> bool {
+    /// Whether firm engines were given up, so that the present engines no longer show the baseline.
+    fn has_replaced_firm(&self) -> bool {
         let mut kinds = self.orders.keys().map(|(_, kind)| *kind);
         self.first_at.is_some() && kinds.any(|kind| kind == EngineKind::Firm)
     }
 
-    /// Spot engines that each zone has to make up for zones where none are to be had.
+    /// Number of spot engines that each zone has to add to replace those of zones where none are
+    /// available.
     fn spot_shortage(
         &self,
         zones: &BTreeMap<Box<str>, ZoneEngines>,
         share: u32,
         now: Duration,
     ) -> u32 {
-        let (dry, others): (Vec<_>, Vec<_>) = zones
+        let (unavailable, others): (Vec<_>, Vec<_>) = zones
             .iter()
-            .partition(|(zone, _)| self.is_dry(zone.as_ref(), now));
+            .partition(|(zone, _)| self.is_spot_unavailable(zone.as_ref(), now));
         let wanted = share.saturating_sub(FIRM_BASE);
-        let short: u32 = dry
+        let short: u32 = unavailable
             .iter()
             .map(|(_, engines)| wanted.saturating_sub(engines.spot))
             .sum();
         short.div_ceil(u32::try_from(others.len()).unwrap_or(1).max(1))
     }
 
-    /// Whether spot engines were not to be had in a zone a moment ago.
-    fn is_dry(&self, zone: &str, now: Duration) -> bool {
+    /// Whether spot engines were recently unavailable in a zone.
+    fn is_spot_unavailable(&self, zone: &str, now: Duration) -> bool {
         let last = self.orders.get(&(zone.into(), EngineKind::Spot));
         last.is_some_and(|last| {
-            last.outcome == OrderOutcome::Unavailable && now < last.at + REFUSED_PAUSE * 2
+            last.outcome == OrderOutcome::Unavailable && now < last.at + REFUSED_DELAY * 2
         })
     }
 
@@ -379,13 +384,13 @@
         let Some(last) = last else {
             return order.desired != present;
         };
-        let pause = match last.outcome {
+        let delay = match last.outcome {
             OrderOutcome::Accepted if last.desired != order.desired => Duration::ZERO,
             OrderOutcome::Accepted => spec.startup + LATE_START,
-            OrderOutcome::Unavailable => REFUSED_PAUSE,
-            OrderOutcome::Unanswered => UNANSWERED_PAUSE,
+            OrderOutcome::Unavailable => REFUSED_DELAY,
+            OrderOutcome::Unanswered => UNANSWERED_DELAY,
         };
-        if now < last.at + pause {
+        if now < last.at + delay {
             return false;
         }
         let known = if last.outcome == OrderOutcome::Accepted {
@@ -398,24 +403,24 @@
         }
         if order.desired < known {
             let replaced = order.kind == EngineKind::Firm;
-            let rested = self.lowered_at.is_none_or(|at| now >= at + LOWER_PAUSE);
-            return replaced || rested;
+            let may_shrink = self.shrunk_at.is_none_or(|at| now >= at + SHRINK_INTERVAL);
+            return replaced || may_shrink;
         }
         present < order.desired
     }
 
-    /// An order was given.
+    /// Records an order and its result.
     pub fn record_order(&mut self, order: EngineOrder, outcome: OrderOutcome, now: Duration) {
-        let subject = (order.zone, order.kind);
-        let before = self.orders.get(&subject).map(|last| last.desired);
-        if before.is_some_and(|before| order.desired < before) && subject.1 == EngineKind::Spot {
-            self.lowered_at = Some(now);
+        let key = (order.zone, order.kind);
+        let before = self.orders.get(&key).map(|last| last.desired);
+        if before.is_some_and(|before| order.desired < before) && key.1 == EngineKind::Spot {
+            self.shrunk_at = Some(now);
         }
         let last = LastOrder {
             desired: order.desired,
             at: now,
             outcome,
         };
-        self.orders.insert(subject, last);
+        self.orders.insert(key, last);
     }
 }
--- a/kernel/src/gateway/throttle.rs
+++ b/kernel/src/gateway/throttle.rs
@@ -1,42 +1,43 @@
-//! Limits that upstreams in need name: requests a second that they take from all nodes together.
+//! Limits that overloaded upstreams advertise: requests per second that they accept from all nodes
+//! together.
 
 use std::time::Duration;
 
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 
-/// Time by which an answer without a limit has to follow one with it to end it: answers on several
-/// connections overtake each other.
+/// Time by which an answer without a limit must be later than one with a limit to end that limit,
+/// since answers on several connections may be reordered.
 const ANSWER_SLACK: Duration = Duration::from_millis(200);
-/// Time for which other nodes are sent what an upstream said.
-const REPORTED_FOR: Duration = Duration::from_millis(1500);
-/// Time without word of a limit after which all nodes share it, so that one of them learns whether it
-/// still stands.
-const CONFIRMED_FOR: Duration = Duration::from_secs(30);
-/// Part of a token that rounding may cost.
+/// Time for which an advertised limit is sent to other nodes.
+const REPORT_TTL: Duration = Duration::from_millis(1500);
+/// Time without a confirmation of a limit after which all nodes share it, so that one of them
+/// learns whether it is still in force.
+const CONFIRMATION_TTL: Duration = Duration::from_secs(30);
+/// Tolerance for rounding errors, in tokens.
 const ROUNDING: f64 = 1e-6;
 
-/// What an upstream said last of its limit.
+/// Latest limit that an upstream advertised.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdvertisedLimit {
-    /// Requests a second; none if it named no limit any more.
+    /// Requests per second; `None` if it no longer advertises a limit.
     pub per_second: Option<f64>,
-    /// When it said so.
+    /// Time at which the upstream advertised it.
     pub at: Duration,
 }
 
-/// The same, as other nodes are sent it.
+/// An advertised limit, as sent to other nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct LimitReport {
     /// Hash of the upstream's run.
     pub run: u64,
-    /// Requests a second; none if it names no limit any more.
+    /// Requests per second; `None` if the upstream no longer advertises a limit.
     pub per_second: Option<f64>,
-    /// Time since it said so, in ms.
+    /// Time since the upstream advertised it, in ms.
     pub age_ms: u64,
 }
 
 impl LimitReport {
-    /// What the upstream said, by the clock of the node that received this.
+    /// Converts the report to the clock of the node that received it.
     pub fn advertised(&self, now: Duration) -> AdvertisedLimit {
         AdvertisedLimit {
             per_second: self.per_second,
@@ -45,70 +46,74 @@
     }
 }
 
-/// What one node may send of an upstream's limit.
+/// One node's share of an upstream's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitShare {
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: f64,
-    /// Requests at once, after a pause.
+    /// Maximum number of requests that may be sent at once after an idle time.
     pub burst: f64,
 }
 
-/// What a node knows of an upstream's limit, and what it has sent of its share.
+/// An upstream's limit, and a token bucket for this node's share of it.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamThrottle {
-    named: Option<AdvertisedLimit>,
+    advertised: Option<AdvertisedLimit>,
     share: LimitShare,
     tokens: f64,
     filled_at: Duration,
 }
 
 impl UpstreamThrottle {
-    /// Takes in what the upstream said. Gives whether the limit is another one now.
-    pub fn observe(&mut self, said: AdvertisedLimit, now: Duration) -> bool {
-        let known = self.named.unwrap_or(AdvertisedLimit {
+    /// Records a limit that the upstream advertised, unless it is outdated. Returns whether the
+    /// limit in force changed.
+    pub fn observe(&mut self, newest: AdvertisedLimit, now: Duration) -> bool {
+        let known = self.advertised.unwrap_or(AdvertisedLimit {
             per_second: None,
             at: Duration::ZERO,
         });
-        if known.per_second.is_none() && said.per_second.is_none() {
+        if known.per_second.is_none() && newest.per_second.is_none() {
             return false;
         }
-        let ends = said.per_second.is_none();
+        let ends = newest.per_second.is_none();
         let earliest = if ends {
             known.at + ANSWER_SLACK
         } else {
             known.at
         };
-        if said.at < earliest {
+        if newest.at < earliest {
             return false;
         }
-        self.named = Some(said);
+        self.advertised = Some(newest);
         if known.per_second.is_none() {
             self.share = LimitShare::default();
             self.tokens = 0.0;
             self.filled_at = now;
         }
-        known.per_second != said.per_second
+        known.per_second != newest.per_second
     }
 
-    /// The limit in force, in requests a second.
+    /// Limit in force, in requests per second; `None` if there is none.
     pub fn limit(&self) -> Option<f64> {
-        self.named?.per_second
+        self.advertised?.per_second
     }
 
-    /// Whether the upstream said so lately.
+    /// Whether the upstream advertised the limit recently.
     pub fn is_confirmed(&self, now: Duration) -> bool {
-        self.named
-            .is_some_and(|named| named.at + CONFIRMED_FOR > now)
+        self.advertised
+            .is_some_and(|advertised| advertised.at + CONFIRMATION_TTL > now)
     }
 
-    /// The report on the upstream with this run for other nodes, if it is new enough.
+    /// Report of the limit to other nodes, where `run` is the hash of the upstream's run; `None` if
+    /// it is too old to send.
     pub fn report(&self, run: u64, now: Duration) -> Option<LimitReport> {
-        let named = self.named.filter(|named| named.at + REPORTED_FOR > now)?;
-        let age = now.saturating_sub(named.at);
+        let advertised = self
+            .advertised
+            .filter(|advertised| advertised.at + REPORT_TTL > now)?;
+        let age = now.saturating_sub(advertised.at);
         Some(LimitReport {
             run,
-            per_second: named.per_second,
+            per_second: advertised.per_second,
             age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
         })
     }
@@ -120,12 +125,12 @@
         self.share = share;
     }
 
-    /// Whether a request may be sent.
+    /// Whether a request may be sent now.
     pub fn is_open(&self, now: Duration) -> bool {
         self.limit().is_none() || self.filled(now) + ROUNDING >= 1.0
     }
 
-    /// A request is sent.
+    /// Records that a request is sent.
     pub fn consume(&mut self, now: Duration) {
         self.tokens = (self.filled(now) - 1.0).max(0.0);
         self.filled_at = now;
--- a/kernel/src/gateway/usage.rs
+++ b/kernel/src/gateway/usage.rs
@@ -1,34 +1,36 @@
-//! Calls that upstreams began for each workspace, by windows of the fleet's time.
+//! Counts of calls that upstreams began for each workspace, by windows of the fleet's common time.
 //!
-//! Counts only grow, and what a node reports replaces nothing larger: a report that is lost, doubled or
-//! overtaken changes nothing.
+//! Counts only increase, and a report never replaces a larger count: lost, duplicate and reordered
+//! reports do no harm.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 
-/// Calls by workspace.
+/// Number of calls by workspace.
 pub type WorkspaceCounts = BTreeMap<Box<str>, u64>;
 
-/// Time after a window's end at which its counts are final if every node has reported since: nodes report
-/// five times a second, and first events reach them up to some 0.1 s after the call began.
+/// Time after a window's end at which its counts are final if every node has reported since: nodes
+/// report five times a second, and the first event of a call arrives up to some 0.1 s after the
+/// call began.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
-/// Time after which a window is final, whoever has not reported: a node may be gone for good.
-const LONGEST_SETTLE: Duration = Duration::from_secs(4);
-/// Windows that counts are kept for.
-const KEPT_WINDOWS: u64 = 6;
+/// Time after a window's end at which its counts are final even if some nodes have not reported: a
+/// node may have stopped for good.
+const MAX_SETTLE_TIME: Duration = Duration::from_secs(4);
+/// Number of windows for which counts are retained.
+const RETAINED_WINDOWS: u64 = 6;
 
-/// What a node reports of one window.
+/// A node's report of one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct WindowUsage {
-    /// The window's number.
+    /// Number of the window.
     pub window: u64,
-    /// Calls of some or all workspaces.
+    /// Number of calls by workspace, of some or all workspaces.
     pub counts: Vec<(Box<str>, u64)>,
 }
 
-/// What this node and others counted.
+/// Counts of this node and of others.
 #[derive(Clone, Debug)]
 pub struct UsageLedger {
     length: Duration,
@@ -38,7 +40,7 @@
 }
 
 impl UsageLedger {
-    /// An empty one, for windows of this length.
+    /// Creates an empty ledger for windows of this length.
     pub fn new(length: Duration) -> Self {
         Self {
             length: length.max(Duration::from_millis(1)),
@@ -48,18 +50,18 @@
         }
     }
 
-    /// The window that a moment, in time since 1970, falls into.
+    /// Number of the window that contains a time since 1970.
     pub fn window(&self, at: Duration) -> u64 {
         u64::try_from(at.as_nanos() / self.length.as_nanos()).unwrap_or(u64::MAX)
     }
 
-    /// When a window ends, in time since 1970.
+    /// End of a window, in time since 1970.
     pub fn end(&self, window: u64) -> Duration {
         let seconds = self.length.as_secs_f64() * (window as f64 + 1.0);
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
-    /// Counts a call that an upstream began at this time.
+    /// Counts a call that an upstream began at this time since 1970.
     pub fn count(&mut self, workspace: &str, at: Duration) {
         let counts = self.own.entry(self.window(at)).or_default();
         match counts.get_mut(workspace) {
@@ -70,20 +72,20 @@
         }
     }
 
-    /// What this node counted in windows after `window`.
+    /// This node's counts in windows after `window`.
     pub fn own_after(&self, window: u64) -> impl Iterator<Item = (u64, &WorkspaceCounts)> {
         let own = self.own.range(window.saturating_add(1)..);
         own.map(|(window, counts)| (*window, counts))
     }
 
-    /// Merges what the run `source` of another node reports at this time. Windows far from it are left
-    /// out: what a node says cannot make this one hold more.
+    /// Merges a report by the run `source` of another node, received at this time since 1970.
+    /// Windows far from it are ignored, so that a report cannot increase memory use without bound.
     pub fn merge(&mut self, source: u64, usage: Vec<WindowUsage>, at: Duration) {
         self.updated_at.insert(source, at);
         let newest = self.window(at) + 1;
-        let oldest = newest.saturating_sub(KEPT_WINDOWS);
-        let is_kept = |usage: &WindowUsage| (oldest..=newest).contains(&usage.window);
-        for WindowUsage { window, counts } in usage.into_iter().filter(is_kept) {
+        let oldest = newest.saturating_sub(RETAINED_WINDOWS);
+        let is_retained = |usage: &WindowUsage| (oldest..=newest).contains(&usage.window);
+        for WindowUsage { window, counts } in usage.into_iter().filter(is_retained) {
             let sources = self.remote.entry(window).or_default();
             let known = sources.entry(source).or_default();
             for (workspace, count) in counts {
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Calls of all nodes in a window, as far as they have reported.
+    /// Number of calls by workspace that all nodes have reported for a window.
     pub fn total(&self, window: u64) -> WorkspaceCounts {
         let remote = self
             .remote
@@ -120,10 +122,11 @@
             .updated_at
             .values()
             .filter(|updated| **updated >= earliest);
-        at >= end + LONGEST_SETTLE || awaited.all(|updated| *updated >= end)
+        at >= end + MAX_SETTLE_TIME || awaited.all(|updated| *updated >= end)
     }
 
-    /// Age of the oldest report that counts for a window, at a time since 1970.
+    /// Age of the oldest report that counts for a window, at a time since 1970; zero if there is
+    /// none.
     pub fn oldest_input(&self, window: u64, at: Duration) -> Duration {
         let sources = self
             .remote
@@ -134,12 +137,12 @@
         at.saturating_sub(updates.copied().min().unwrap_or(at))
     }
 
-    /// Forgets windows that ended long before a time since 1970.
+    /// Removes windows that ended long before a time since 1970.
     pub fn expire(&mut self, at: Duration) {
-        let first = self.window(at).saturating_sub(KEPT_WINDOWS);
+        let first = self.window(at).saturating_sub(RETAINED_WINDOWS);
         self.own = self.own.split_off(&first);
         self.remote = self.remote.split_off(&first);
-        let oldest = at.saturating_sub(self.length * KEPT_WINDOWS as u32);
+        let oldest = at.saturating_sub(self.length * RETAINED_WINDOWS as u32);
         self.updated_at.retain(|_, updated| *updated >= oldest);
     }
 }
--- a/kernel/src/gateway/waiting.rs
+++ b/kernel/src/gateway/waiting.rs
@@ -1,26 +1,27 @@
-//! Calls that wait for room at an upstream: the most urgent first, and among equals those that can
-//! still be answered in time.
+//! Queue of calls that wait for capacity at an upstream: the most urgent first, and among equals
+//! those that can still meet their target.
 //!
-//! When more calls come than fit, an order by deadline alone makes every call wait until it is late.
+//! With more calls than capacity, an order by deadline alone would make every call wait until it is
+//! late.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A waiting call's place: by tier, then by the end of its chance to be in time, then by deadline,
-/// then by arrival.
+/// Position of a waiting call: by tier, then by the latest time at which sending it can meet its
+/// target, then by deadline, then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WaitRank {
-    /// Rank among classes; 0 is the most urgent.
+    /// Effective tier of the call; 0 is the most urgent.
     pub tier: u8,
-    /// Until when it is likely to be in time if it is sent.
+    /// Latest time at which sending it can still meet its target.
     pub send_by: Duration,
-    /// When the call must have ended.
+    /// Time at which the call must have ended.
     pub deadline: Duration,
-    /// Grows with each call that waits.
+    /// Sequence number; increases with each call that joins the queue.
     pub number: u64,
 }
 
-/// All calls that wait, by pool.
+/// All waiting calls, by pool.
 #[derive(Clone, Debug, Default)]
 pub struct WaitList {
     waiting: BTreeSet<(Box<str>, WaitRank)>,
@@ -28,7 +29,7 @@
 }
 
 impl WaitList {
-    /// Adds a call.
+    /// Adds a call and returns its position.
     pub fn join(
         &mut self,
         pool: &str,
@@ -47,13 +48,13 @@
         rank
     }
 
-    /// Takes a call off.
+    /// Removes a call.
     pub fn leave(&mut self, pool: &str, rank: WaitRank) {
         self.waiting.remove(&(pool.into(), rank));
     }
 
-    /// The call whose turn it is: of the most urgent tier that waits, the first that can still be in
-    /// time, or if none can, the first of all.
+    /// Call that is to be sent next: of the most urgent tier that waits, the first that can still
+    /// meet its target, or the first of all if none can. `None` if no call of the pool waits.
     pub fn first(&self, pool: &str, now: Duration) -> Option<WaitRank> {
         let first = self.first_from(pool, 0, Duration::ZERO)?;
         if first.send_by > now {
@@ -77,12 +78,12 @@
         (&**found == pool).then_some(*rank)
     }
 
-    /// Number of calls that wait.
+    /// Number of waiting calls in all pools.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits.
+    /// Whether no call waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
