--- a/kernel/src/dispatch.rs
+++ b/kernel/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! The plug-in of the owner node: queues work and hands it to the upstreams that the node owns.
+//! The owner node's plug-in: queues work and dispatches it to the upstreams that the node owns.
 
 pub mod admission;
 pub mod arena;
@@ -39,7 +39,7 @@
 use crate::plugin::{Context, GaugeSample, NodeProfile, Plugin, Registration};
 use crate::wire::{Message, WorkMessage};
 
-/// Work that this node holds as an owner.
+/// The owner's side of dispatch: every piece of work accepted by this node, by pool.
 #[derive(Debug, Default)]
 pub struct WorkDispatcher {
     config: Arc<Config>,
@@ -57,7 +57,7 @@
 }
 
 impl WorkDispatcher {
-    /// A dispatcher with other choices than those that ship, to measure them.
+    /// A dispatcher with the given settings instead of the defaults, for benchmarks and tests.
     pub fn new(settings: DispatchSettings) -> Self {
         Self {
             settings,
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Forgets held work, but remembers that its attempt is over.
+    /// Removes a piece of work and records its attempt as finished.
     fn drop_work(&mut self, key: WorkKey, now: Duration) -> Option<HeldWork> {
         let held = self.arena.remove(key)?;
         self.attempts.remove(&held.work.attempt);
@@ -308,7 +308,7 @@
         }
     }
 
-    /// Drops waiting work, or asks a run to stop for good.
+    /// Removes queued work, or requests cancellation of its run.
     fn abandon(&mut self, key: WorkKey, context: &mut Context<'_>) {
         let held = &self.arena[key];
         let attempt = held.work.attempt;
--- a/kernel/src/dispatch/admission.rs
+++ b/kernel/src/dispatch/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: says early what cannot be met, the lowest tier first.
+//! Admission control: rejects early the work that cannot meet its deadline, lowest tier first.
 
 use std::ops::Bound;
 use std::time::Duration;
@@ -8,24 +8,25 @@
 use crate::dispatch::held::{HeldWork, WorkArena, WorkKey};
 use crate::dispatch::pool::{Decision, PoolState, Refusal};
 
-/// Slack beyond which work waits without an estimate of its start.
+/// Slack above which work is queued without estimating its start time.
 const LONG_SLACK: Duration = Duration::from_secs(30);
 
-/// How much later than the deadline the estimated start must be for a refusal at the door: the
-/// estimate is rough, and what is let in wrongly is still refused when its time has come.
+/// Factor by which the estimated wait must exceed the slack before work is rejected on arrival. The
+/// estimate is rough, and work admitted in error is still rejected when its latest start has
+/// passed.
 const DOUBT: f64 = 1.5;
 
-/// Runs that must have ended before estimates count.
+/// Completed runs required before wait estimates are used.
 const LEAST_SAMPLES: u32 = 20;
 
-/// Most calls that wait in one tier of one pool.
+/// Most calls queued in one tier of one pool.
 pub const MOST_WAITING: usize = 131_072;
 
-/// Bounds of the time after which a refused caller should come back.
+/// Shortest and longest `retry_after` given to a rejected caller.
 const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(250), Duration::from_mins(5));
 
 impl PoolState {
-    /// Queues work that was offered, or refuses it, or other work in its place.
+    /// Queues offered work, or rejects either it or other work in its place.
     pub fn offer(
         &mut self,
         now: Duration,
@@ -58,14 +59,14 @@
         late.then(|| self.refusal(now, RefusalReason::Overloaded, tier))
     }
 
-    /// The refusal of work that is late, unless a lower tier holds slots beyond its floor: then the
-    /// lower tier gives way first, and the work runs late.
+    /// The refusal of work that is past its latest start, or `None` if a lower tier uses slots
+    /// above its floor: the lower tier then yields first and the work starts late.
     fn late(&self, now: Duration, tier: Tier) -> Option<Refusal> {
         let refusable = self.slots() == 0 || !self.lower_can_give(tier);
         refusable.then(|| self.refusal(now, RefusalReason::Deadline, tier))
     }
 
-    /// Whether a lower tier holds slots beyond its floor.
+    /// Whether a lower tier uses slots above its floor.
     fn lower_can_give(&self, tier: Tier) -> bool {
         let slots = self.slots();
         let mut lower = self.tiers.range((Bound::Excluded(tier), Bound::Unbounded));
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Estimated wait until a start; none while too little is known.
+    /// Estimated wait until the work starts, or `None` while there are too few samples.
     fn wait(&self, held: &HeldWork) -> Option<Duration> {
         let spec = &held.work.spec;
         let above: u64 = self
@@ -98,7 +99,8 @@
         self.time_for(spec.tier, above + ahead)
     }
 
-    /// Time in which the tier works off a cost; none while too little is known.
+    /// Time in which the tier completes work of this cost, or `None` while there are too few
+    /// samples.
     fn time_for(&self, tier: Tier, cost: u64) -> Option<Duration> {
         if self.pace.slot_rate.samples() < LEAST_SAMPLES {
             return None;
@@ -108,7 +110,8 @@
         Some(Duration::from_secs_f64(seconds.min(1e6)))
     }
 
-    /// Slots that a tier can count on: all, less what runs above it and the floors of those below.
+    /// Slots that a tier can count on: all slots, less those used by higher tiers and those used by
+    /// other lower tiers within their floors.
     fn open_slots(&self, tier: Tier) -> f64 {
         let slots = self.slots();
         let taken: f64 = self
@@ -130,7 +133,7 @@
         (f64::from(slots) - taken).max(floor).max(0.01)
     }
 
-    /// Calls that wait in the tier and those above it.
+    /// Calls queued in this tier and all higher tiers.
     fn waiting_to(&self, tier: Tier) -> usize {
         let tiers = self.tiers.range(..=tier);
         tiers.map(|(_, state)| state.queue.len()).sum()
@@ -141,8 +144,8 @@
         free.sum::<u32>() as usize
     }
 
-    /// Refuses waiting work whose last moment to start has passed, unless it is all that could use
-    /// a free slot: then it runs late, before work of lower tiers.
+    /// Rejects queued work whose latest start has passed, lowest tier first. Work that fits into
+    /// the free slots is kept: it starts late, but ahead of lower tiers.
     pub(super) fn expire(&mut self, now: Duration, arena: &WorkArena, out: &mut Vec<Decision>) {
         let horizon = self.opens_at().map_or(now, |opens_at| opens_at.max(now));
         let mut next = self.tiers.keys().next_back().copied();
@@ -161,7 +164,8 @@
         }
     }
 
-    /// When the first upstream is probed, if all that may get work are out of service.
+    /// When the first ejected upstream is probed; `None` unless every upstream that could be
+    /// assigned work is ejected.
     fn opens_at(&self) -> Option<Duration> {
         let engines = self.engines.values();
         let mut engines = engines.filter(|engine| engine.owned && !engine.leaving);
@@ -176,8 +180,8 @@
         (*latest < now).then_some(*key)
     }
 
-    /// Keeps a tier's queue within its bound: the workspace that was served most gives up its last
-    /// call.
+    /// Keeps a tier's queue within [`MOST_WAITING`] by rejecting the last call of the workspace
+    /// that has been served most.
     fn bound(&mut self, now: Duration, tier: Tier, arena: &WorkArena, out: &mut Vec<Decision>) {
         let Some(state) = self.tiers.get(&tier) else {
             return;
--- a/kernel/src/dispatch/arena.rs
+++ b/kernel/src/dispatch/arena.rs
@@ -1,9 +1,9 @@
-//! An arena with small `Copy` keys.
+//! An arena allocator with small `Copy` keys.
 
 use std::marker::PhantomData;
 use std::ops::{Index, IndexMut};
 
-/// Key of an item in an [`Arena`]. A key is used again after its item was removed.
+/// Key of an item in an [`Arena`]. Keys are reused after their item is removed.
 #[derive(Debug)]
 pub struct ArenaKey<T> {
     index: u32,
@@ -19,7 +19,7 @@
 impl<T> Copy for ArenaKey<T> {}
 
 impl<T> ArenaKey<T> {
-    /// A key behind every key in use, for ranges over ordered keys.
+    /// A key greater than every key in use, as an upper bound for ranges.
     pub const fn last() -> Self {
         Self {
             index: u32::MAX,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Items in one allocation, named by keys.
+/// Items in one allocation, addressed by key.
 #[derive(Debug)]
 pub struct Arena<T> {
     items: Vec<Option<T>>,
@@ -65,7 +65,7 @@
 }
 
 impl<T> Arena<T> {
-    /// Adds an item.
+    /// Adds an item and returns its key.
     pub fn insert(&mut self, item: T) -> ArenaKey<T> {
         let index = self.free.pop().unwrap_or(self.items.len() as u32);
         if index as usize == self.items.len() {
@@ -78,14 +78,14 @@
         }
     }
 
-    /// Takes an item out.
+    /// Removes the item and returns it, or `None` if there is none under this key.
     pub fn remove(&mut self, key: ArenaKey<T>) -> Option<T> {
         let item = self.items.get_mut(key.index as usize)?.take()?;
         self.free.push(key.index);
         Some(item)
     }
 
-    /// The item, if it is still there.
+    /// The item, or `None` if it was removed.
     pub fn get(&self, key: ArenaKey<T>) -> Option<&T> {
         self.items.get(key.index as usize)?.as_ref()
     }
@@ -95,12 +95,12 @@
         self.items.len() - self.free.len()
     }
 
-    /// Whether there are no items.
+    /// Whether the arena holds no items.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// All items in the order of their keys.
+    /// All items, in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (ArenaKey<T>, &T)> {
         self.items.iter().enumerate().filter_map(|(index, item)| {
             let key = ArenaKey {
--- a/kernel/src/dispatch/choice.rs
+++ b/kernel/src/dispatch/choice.rs
@@ -1,4 +1,5 @@
-//! Which upstream a call goes to: the least loaded for its speed, with a bonus for a cached prefix.
+//! Upstream selection: the least loaded upstream, weighted by speed, with a bonus for a cached
+//! prefix.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +7,14 @@
 use crate::dispatch::engine::EngineState;
 use crate::ids::UpstreamId;
 
-/// Share of an upstream's slots that a cached prefix outweighs.
+/// Fraction of an upstream's slots by which a cached prefix lowers its score.
 const CACHE_BONUS: f64 = 0.15;
 
-/// Share of slots added to every load, so that an idle slow upstream still counts as slower.
+/// Fraction of slots added to every load, so that an idle slow upstream still scores worse than an
+/// idle fast one.
 const BASE_LOAD: f64 = 0.25;
 
-/// The pool's middle speed, in seconds for a token; none while no upstream has shown one.
+/// Median speed of the pool's owned upstreams, in seconds per token, or `None` without samples.
 pub fn median_speed(engines: &BTreeMap<UpstreamId, EngineState>) -> Option<f64> {
     let mut speeds: Vec<f64> = engines
         .values()
@@ -23,7 +25,7 @@
     speeds.get(speeds.len().saturating_sub(1) / 2).copied()
 }
 
-/// The best upstream with a free slot for the call.
+/// The best-scoring upstream with a free slot for the call, or `None` if all slots are in use.
 pub fn choose(
     engines: &BTreeMap<UpstreamId, EngineState>,
     median: Option<f64>,
--- a/kernel/src/dispatch/engine.rs
+++ b/kernel/src/dispatch/engine.rs
@@ -1,4 +1,5 @@
-//! One upstream as its owner sees it: exact work in flight, corrected by its late reports.
+//! One upstream from its owner's point of view: exact counts of the owner's own runs, corrected by
+//! the upstream's delayed load reports.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -7,43 +8,43 @@
 use crate::dispatch::estimate::MovingMean;
 use crate::dispatch::health::{EngineHealth, HealthState};
 
-/// Steps of in-flight history that are kept to compare a late report with.
+/// Entries of in-flight history kept for comparison with a delayed report.
 const MAX_HISTORY: usize = 128;
 
-/// Least time between two steps of history.
+/// Shortest time between two history entries.
 const HISTORY_STEP: Duration = Duration::from_millis(100);
 
-/// A report that is older than this no longer counts.
+/// Age at which a load report expires.
 const REPORT_LIFE: Duration = Duration::from_secs(30);
 
-/// Prefixes remembered of an upstream's cache.
+/// Most cached prefixes tracked per upstream.
 const MAX_PREFIXES: usize = 1_024;
 
-/// One upstream as its owner sees it.
+/// The owner's state for one upstream.
 #[derive(Debug, Default)]
 pub struct EngineState {
-    /// Requests that it serves at a time, by the configuration.
+    /// Concurrent requests that the upstream serves, from the configuration.
     pub slots: u32,
     /// Whether this node owns it.
     pub owned: bool,
-    /// Whether it gets nothing new because it is leaving.
+    /// Whether it is leaving and is assigned no new work.
     pub leaving: bool,
-    /// Runs of this node on it.
+    /// This node's runs in flight on it.
     pub in_flight: u32,
-    /// Whether it is fit for work.
+    /// Health, which decides whether it is assigned work.
     pub health: EngineHealth,
-    /// Seconds for a token, or for a whole answer of a plain service.
+    /// Mean seconds per token, or per whole response for a plain service.
     pub speed: MovingMean,
-    /// What its cache is thought to hold.
+    /// Prefixes that its cache probably contains.
     pub prefixes: PrefixHints,
-    /// Slots that others are thought to use.
+    /// Estimated number of slots used by other nodes.
     pub foreign: u32,
     history: VecDeque<(Duration, u32)>,
     reports: [Option<(Duration, u32)>; 2],
 }
 
 impl EngineState {
-    /// Counts a run that starts or ends.
+    /// Sets the number of runs in flight and records it in the history.
     pub fn count(&mut self, now: Duration, in_flight: u32) {
         self.in_flight = in_flight;
         let recent = self
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Takes in a report: what it shows beyond this node's own work at the time it speaks of is the
-    /// work of others, such as a former owner.
+    /// Applies a load report. Load beyond this node's own runs at the time of the report is
+    /// attributed to other nodes, such as a former owner.
     pub fn report(&mut self, now: Duration, report: &LoadReport) {
         let at = now.saturating_sub(report.age);
         let own = self
@@ -78,8 +79,8 @@
         self.weigh_reports(now);
     }
 
-    /// Others use the least that the last two reports show, since one alone may be off by what
-    /// started or ended while it was on its way.
+    /// Updates the slots used by other nodes: the smaller value of the last two reports, since runs
+    /// that started or ended while a report was in transit can distort a single one.
     pub fn weigh_reports(&mut self, now: Duration) {
         self.foreign = self
             .reports
@@ -109,7 +110,7 @@
         self.capacity().saturating_sub(self.in_flight)
     }
 
-    /// Whether it waits for one run that shows whether it is fit again.
+    /// Whether it is due for a probe: a single run that shows whether it has recovered.
     pub fn wants_probe(&self) -> bool {
         self.owned
             && !self.leaving
@@ -118,8 +119,8 @@
     }
 }
 
-/// Prefixes that an upstream's cache is thought to hold: a hint, since its events come late and
-/// with gaps.
+/// Prefixes that an upstream's cache probably contains. This is only a hint, since cache events
+/// arrive late and with gaps.
 #[derive(Debug, Default)]
 pub struct PrefixHints {
     seen: BTreeMap<u64, u64>,
@@ -128,7 +129,8 @@
 }
 
 impl PrefixHints {
-    /// Notes that the prefix is held, or was just used.
+    /// Records that the prefix is cached or was just used; evicts the least recently used one when
+    /// full.
     pub fn add(&mut self, prefix: u64) {
         if prefix == 0 {
             return;
@@ -146,14 +148,14 @@
         }
     }
 
-    /// Notes that the prefix is held no longer.
+    /// Records that the prefix is no longer cached.
     pub fn remove(&mut self, prefix: u64) {
         if let Some(clock) = self.seen.remove(&prefix) {
             self.order.remove(&(clock, prefix));
         }
     }
 
-    /// Whether the prefix is thought to be held.
+    /// Whether the prefix is probably cached.
     pub fn holds(&self, prefix: u64) -> bool {
         self.seen.contains_key(&prefix)
     }
--- a/kernel/src/dispatch/estimate.rs
+++ b/kernel/src/dispatch/estimate.rs
@@ -1,4 +1,4 @@
-//! Online estimates: output length by class and workspace, time to the first token, pace.
+//! Online estimates: output length by class and workspace, time to first token, and throughput.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,20 +6,20 @@
 use crate::call::CallSpec;
 use crate::ids::{ClassId, WorkspaceId};
 
-/// Cost of one generated token. A prompt token costs 1, since engines read a prompt about this
-/// much faster than they write.
+/// Cost of one generated token. A prompt token costs 1, since engines process a prompt about this
+/// many times faster than they generate.
 pub const TOKEN_COST: u64 = 16;
 
-/// Output length assumed of a class that nothing is known of, in tokens.
+/// Assumed output length, in tokens, of a class without samples.
 const FIRST_GUESS: f64 = 128.0;
 
-/// Calls of the whole class that weigh as much as the workspace's own.
+/// Weight of the class mean, in samples of the workspace's own mean.
 const CLASS_WEIGHT: f64 = 8.0;
 
-/// Most pairs of class and workspace that are remembered.
+/// Most pairs of class and workspace that are tracked.
 const MAX_PAIRS: usize = 65_536;
 
-/// An exponentially weighted mean that starts as a plain mean.
+/// An exponentially weighted moving mean that starts as a plain mean.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MovingMean {
     mean: f64,
@@ -27,25 +27,25 @@
 }
 
 impl MovingMean {
-    /// Takes in a sample; the newest `window` samples weigh most.
+    /// Adds a sample; the newest `window` samples weigh most.
     pub fn add(&mut self, sample: f64, window: u32) {
         self.samples = self.samples.saturating_add(1);
         let weight = 1.0 / f64::from(self.samples.min(window));
         self.mean += (sample - self.mean) * weight;
     }
 
-    /// The mean, if there was a sample.
+    /// The mean, or `None` without samples.
     pub fn get(&self) -> Option<f64> {
         (self.samples > 0).then_some(self.mean)
     }
 
-    /// Number of samples.
+    /// Number of samples added.
     pub fn samples(&self) -> u32 {
         self.samples
     }
 }
 
-/// Expected output lengths.
+/// Expected output lengths by class and workspace.
 #[derive(Debug, Default)]
 pub struct OutputEstimate {
     classes: BTreeMap<ClassId, MovingMean>,
@@ -53,8 +53,8 @@
 }
 
 impl OutputEstimate {
-    /// Expected tokens of the call's whole answer: the workspace's mean, drawn towards the mean of
-    /// the class while samples are few, never above what the caller takes.
+    /// Expected tokens in the whole response: the workspace's mean, pulled towards the class mean
+    /// while there are few samples, and never above the caller's `max_tokens`.
     pub fn tokens(&self, spec: &CallSpec) -> u32 {
         let class = self.classes.get(&spec.class).and_then(MovingMean::get);
         let class = class.unwrap_or(FIRST_GUESS);
@@ -72,7 +72,7 @@
         (expected.round() as u32).clamp(1, most)
     }
 
-    /// Takes in the length of a whole answer.
+    /// Adds the length of a complete response, in tokens.
     pub fn observe(&mut self, spec: &CallSpec, tokens: u32) {
         let sample = f64::from(tokens);
         self.classes
@@ -87,13 +87,13 @@
     }
 }
 
-/// Cost of reading `prompt` tokens and writing `output` tokens.
+/// Cost of processing `prompt` tokens and generating `output` tokens.
 pub fn cost_of(prompt: u32, output: u32) -> u64 {
     u64::from(prompt) + u64::from(output) * TOKEN_COST
 }
 
-/// Time from start to first token as a line over prompt length, by least squares in which old
-/// samples fade.
+/// Time to first token as a linear function of prompt length, fitted by least squares with
+/// exponential decay of old samples.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FirstTokenModel {
     weight: f64,
@@ -104,16 +104,16 @@
     error: MovingMean,
 }
 
-/// Mean errors that are added to the expected time where it must not be exceeded.
+/// Mean errors added to the expected time for an upper bound.
 const SAFE_ERRORS: f64 = 4.0;
 
-/// Samples of the error that weigh most.
+/// Samples that weigh most in the mean error.
 const ERROR_WINDOW: u32 = 200;
 
 const FADE: f64 = 0.995;
 
 impl FirstTokenModel {
-    /// Takes in the time that a prompt of `tokens` took to its first token.
+    /// Adds the measured time to first token of a prompt with this many tokens.
     pub fn add(&mut self, tokens: u32, time: Duration) {
         let (x, y) = (f64::from(tokens), time.as_secs_f64());
         if self.weight > 0.0 {
@@ -127,13 +127,13 @@
         self.sum_xy = self.sum_xy * FADE + x * y;
     }
 
-    /// A time that the first token of such a prompt seldom exceeds.
+    /// Upper bound that the time to first token of such a prompt seldom exceeds.
     pub fn expect_at_most(&self, tokens: u32) -> Duration {
         let error = self.error.get().unwrap_or_default() * SAFE_ERRORS;
         self.expect(tokens) + Duration::from_secs_f64(error)
     }
 
-    /// Expected time for a prompt of `tokens`; zero as long as nothing is known.
+    /// Expected time to first token of a prompt with this many tokens; zero without samples.
     pub fn expect(&self, tokens: u32) -> Duration {
         if self.weight == 0.0 {
             return Duration::ZERO;
@@ -151,15 +151,15 @@
     }
 }
 
-/// How fast a pool works off its queue.
+/// How fast a pool works through its queue.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PoolPace {
-    /// Cost that one slot works off in a second.
+    /// Cost that one slot completes per second.
     pub slot_rate: MovingMean,
-    /// Seconds that a run holds its slot.
+    /// Seconds that a run occupies its slot.
     pub hold: MovingMean,
-    /// Seconds from asking a run to stop until its slot is free.
+    /// Seconds from the request to stop a run until its slot is free.
     pub stop: MovingMean,
-    /// Time to the first token.
+    /// Time to first token by prompt length.
     pub first_token: FirstTokenModel,
 }
--- a/kernel/src/dispatch/fair.rs
+++ b/kernel/src/dispatch/fair.rs
@@ -1,12 +1,14 @@
-//! The queue of one tier: workspaces share it fairly, and within its share each workspace's work
-//! goes earliest deadline first.
+//! The queue of one tier: workspaces share it fairly, and each workspace's calls are ordered by
+//! earliest deadline.
 //!
-//! Every workspace has a start tag: the cost that it was served, over its weight (start-time fair
-//! queueing, Goyal et al. 1996). A workspace whose tag is within a lead of the smallest one is
-//! eligible, and of the eligible ones the earliest deadline is served first (as in earliest
-//! eligible virtual deadline first, Stoica and Abdel-Wahab 1995, but with the real deadline). So a
-//! deadline decides among workspaces that are near their share, and the share decides otherwise.
-//! Every operation takes time logarithmic in workspaces and queued calls.
+//!
+//! Every workspace has a start tag: the cost that it has been served, divided by its weight
+//! (start-time fair queueing, Goyal et al. 1996). A workspace whose tag is within `lead` of the
+//! smallest one is eligible, and among eligible workspaces the earliest deadline is served first
+//! (as in earliest eligible virtual deadline first, Stoica and Abdel-Wahab 1995, but with the real
+//! deadline). Deadlines therefore decide among workspaces that are near their fair share, and the
+//! fair share decides otherwise. Every operation takes time logarithmic in the number of workspaces
+//! and queued calls.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,17 +17,17 @@
 use crate::dispatch::held::WorkKey;
 use crate::ids::WorkspaceId;
 
-/// Names a workspace's share.
+/// Key of a workspace's share.
 type ShareKey = ArenaKey<WorkspaceShare>;
 
-/// Virtual cost of a unit of cost at weight 1.
+/// Virtual time per unit of cost at weight 1.
 const TAG_SCALE: u64 = 64;
 
-/// Cost by which a workspace of weight 1 may be ahead of the one that was served least.
+/// Cost by which a workspace of weight 1 may be ahead of the one served least.
 pub const DEFAULT_LEAD: u64 = 8_192;
 
-/// Width of the intervals by which queued cost is counted by deadline, as a power of two of
-/// milliseconds.
+/// Width, as a power of two in milliseconds, of the deadline intervals by which queued cost is
+/// summed.
 const BUCKET_BITS: u32 = 8;
 
 #[derive(Debug)]
@@ -37,20 +39,20 @@
     queue: BTreeSet<(Duration, WorkKey)>,
 }
 
-/// What the queue must know of a call.
+/// A queued call, as the queue needs it.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueItem {
-    /// The work.
+    /// Key of the work.
     pub key: WorkKey,
-    /// The workspace.
+    /// Workspace whose share it is charged to.
     pub workspace: WorkspaceId,
-    /// The deadline.
+    /// Deadline that orders it within its workspace.
     pub deadline: Duration,
-    /// The estimated cost.
+    /// Estimated cost, as returned by [`cost_of`](crate::dispatch::estimate::cost_of).
     pub cost: u64,
 }
 
-/// The queue of one tier.
+/// The fair queue of one tier.
 #[derive(Debug)]
 pub struct FairQueue {
     lead: u64,
@@ -77,7 +79,7 @@
 }
 
 impl FairQueue {
-    /// An empty queue in which a workspace may be `lead` of cost ahead.
+    /// An empty queue in which a workspace may be `lead` ahead, in units of cost.
     pub fn with_lead(lead: u64) -> Self {
         Self {
             lead: lead.saturating_mul(TAG_SCALE),
@@ -94,27 +96,27 @@
         }
     }
 
-    /// Queued calls.
+    /// Number of queued calls.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing is queued.
+    /// Whether no call is queued.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Estimated cost of everything queued.
+    /// Estimated cost of all queued calls.
     pub fn cost(&self) -> u64 {
         self.cost
     }
 
-    /// Workspaces remembered, with work queued or not.
+    /// Number of workspaces tracked, with or without queued calls.
     pub fn shares(&self) -> usize {
         self.shares.len()
     }
 
-    /// Queues a call of a workspace with this weight.
+    /// Queues a call for a workspace with this weight.
     pub fn push(&mut self, item: QueueItem, weight: u32) {
         let key = self.share(item.workspace);
         self.detach(key);
@@ -128,7 +130,7 @@
         self.attach(key);
     }
 
-    /// Takes a call out; whether it was there.
+    /// Removes a call; returns whether it was queued.
     pub fn remove(&mut self, item: QueueItem) -> bool {
         let Some(key) = self.names.get(&item.workspace).copied() else {
             return false;
@@ -143,7 +145,7 @@
         found
     }
 
-    /// Takes out the call that [`Self::first`] names, and charges its cost to the workspace.
+    /// Removes the call that [`Self::first`] returns and charges its cost to its workspace.
     pub fn serve(&mut self, item: QueueItem) {
         let Some((_, key)) = self.eligible.first().copied() else {
             return;
@@ -165,21 +167,20 @@
         self.take_bucket(bucket_of(item.deadline), item.cost);
     }
 
-    /// The call that is to be served next.
+    /// The call to serve next, or `None` if the queue is empty.
     pub fn first(&self) -> Option<WorkKey> {
         let (_, share) = self.eligible.first()?;
         self.shares[*share].queue.first().map(|(_, key)| *key)
     }
 
-    /// The last call of the workspace that was served most, and the workspace: what goes first when
-    /// the queue is full.
+    /// The call to evict when the queue is full: the last one of the workspace that has been served
+    /// most. `None` if the queue is empty.
     pub fn last(&self) -> Option<WorkKey> {
         let (_, share) = self.starts.last()?;
         self.shares[*share].queue.last().map(|(_, key)| *key)
     }
 
-    /// Counts `cost` as served to the workspace; a negative one gives back what an estimate was too
-    /// high by.
+    /// Charges `cost` to the workspace; a negative value refunds an estimate that was too high.
     pub fn charge(&mut self, workspace: WorkspaceId, cost: i64) {
         let key = self.share(workspace);
         let share = &self.shares[key];
@@ -196,7 +197,7 @@
         self.forget_when_idle();
     }
 
-    /// Estimated cost queued with a deadline before this one, or little later.
+    /// Estimated cost queued with a deadline up to this one, rounded up to the end of its interval.
     pub fn cost_before(&self, deadline: Duration) -> u64 {
         self.buckets
             .range(..=bucket_of(deadline))
@@ -204,7 +205,7 @@
             .sum()
     }
 
-    /// Cost that is served, at fair shares, before a call that the workspace would queue now.
+    /// Cost served, at fair shares, before a call that the workspace would queue now.
     pub fn fair_cost_before(&self, workspace: WorkspaceId, weight: u32) -> u64 {
         let share = self.names.get(&workspace).map(|key| &self.shares[*key]);
         let own = share.map_or(0, |share| share.cost);
@@ -290,7 +291,7 @@
         }
     }
 
-    /// An empty queue owes nobody: past use does not count once all of it was served.
+    /// Resets all shares once the queue is empty: past use counts only while calls are queued.
     fn forget_when_idle(&mut self) {
         if self.len == 0 {
             self.floor = self.floor.max(self.ceiling);
--- a/kernel/src/dispatch/health.rs
+++ b/kernel/src/dispatch/health.rs
@@ -1,29 +1,29 @@
-//! Outlier ejection: an upstream that fails, stalls or is much slower than its pool gets nothing
-//! new until one probe shows that it is fit again.
+//! Outlier ejection: an upstream that fails, stalls or is much slower than its pool is assigned no
+//! new work until a probe succeeds.
 
 use std::time::Duration;
 
-/// Time that an upstream without any report is thought to be still taking over from another owner.
+/// Time for which an upstream without a load report counts as unproven after a change of owner.
 const UNPROVEN: Duration = Duration::from_secs(1);
 
-/// Time out of service after the first ejection; it doubles with each that follows.
+/// Duration of the first ejection; each further one doubles it.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
 
-/// Longest time out of service.
+/// Longest ejection.
 const LONGEST_EJECTION: Duration = Duration::from_secs(4);
 
-/// Strikes that eject.
+/// Failure score at which an upstream is ejected.
 const STRIKES: u32 = 3;
 
-/// Time in service after which earlier ejections no longer count.
+/// Time in service after which earlier ejections no longer lengthen the next one.
 const FORGIVEN_AFTER: Duration = Duration::from_mins(1);
 
-/// Whether an upstream is fit for work.
+/// Whether an upstream may be assigned work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HealthState {
-    /// Newly owned: it may still hold a former owner's work that its first report will show.
+    /// Newly owned: it may still run a former owner's work, which its first load report will show.
     Unproven {
-        /// When it was taken over.
+        /// When this node became the owner.
         since: Duration,
     },
     /// In service.
@@ -34,26 +34,26 @@
         /// When to probe it.
         until: Duration,
     },
-    /// Gets one run to show whether it is fit.
+    /// Assigned a single run to test whether it has recovered.
     Probing {
-        /// Whether the run is under way.
+        /// Whether that run is in flight.
         running: bool,
     },
 }
 
-/// What a run, or its lack of progress, says of the upstream.
+/// How much a failure adds to an upstream's failure score.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthSign {
-    /// It refused a run, or let a first token wait.
+    /// Adds 1: the upstream refused a run, or the first token is overdue.
     Slight,
-    /// The connection could not be made, or broke.
+    /// Adds 2: the connection failed or broke.
     Grave,
 }
 
-/// An upstream's health.
+/// An upstream's health and the failures that led to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineHealth {
-    /// The state.
+    /// Current state.
     pub state: HealthState,
     strikes: u32,
     ejections: u32,
@@ -61,7 +61,7 @@
 }
 
 impl EngineHealth {
-    /// Health of an upstream that this node comes to own.
+    /// Health of an upstream that this node has just come to own.
     pub fn unproven(now: Duration) -> Self {
         Self {
             state: HealthState::Unproven { since: now },
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether it gets work beside probes.
+    /// Whether it is assigned work other than probes.
     pub fn in_service(&self) -> bool {
         matches!(
             self.state,
@@ -77,7 +77,7 @@
         )
     }
 
-    /// Lets time pass.
+    /// Applies the transitions that are due by `now`.
     pub fn tick(&mut self, now: Duration) {
         match self.state {
             HealthState::Unproven { since } if now >= since + UNPROVEN => self.admit(now),
@@ -91,19 +91,19 @@
         }
     }
 
-    /// It reported its load.
+    /// Records a load report, which ends the unproven state.
     pub fn reported(&mut self, now: Duration) {
         if let HealthState::Unproven { .. } = self.state {
             self.admit(now);
         }
     }
 
-    /// It produces tokens or answers.
+    /// Records that it produces tokens or responses, which resets the failure score.
     pub fn progressed(&mut self) {
         self.strikes = 0;
     }
 
-    /// Something went wrong; whether it was ejected for it.
+    /// Records a failure; returns whether it took the upstream out of service.
     pub fn strike(&mut self, now: Duration, sign: HealthSign) -> bool {
         self.strikes += match sign {
             HealthSign::Slight => 1,
@@ -115,7 +115,7 @@
         self.eject(now)
     }
 
-    /// Takes it out of service; whether it was in service.
+    /// Ejects the upstream; returns whether it was in service.
     pub fn eject(&mut self, now: Duration) -> bool {
         if let HealthState::Ejected { .. } = self.state {
             return false;
@@ -130,7 +130,7 @@
         was_in_service
     }
 
-    /// Takes it out of service until a time that it named.
+    /// Ejects the upstream until a time that it requested.
     pub fn pause(&mut self, until: Duration) {
         let until = match self.state {
             HealthState::Ejected { until: earlier } => earlier.max(until),
@@ -140,7 +140,7 @@
         self.state = HealthState::Ejected { until };
     }
 
-    /// When it is probed, if it is out of service.
+    /// When it is due for a probe, or `None` unless it is ejected.
     pub fn probed_at(&self) -> Option<Duration> {
         match self.state {
             HealthState::Ejected { until } => Some(until),
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Puts it in service.
+    /// Puts it into service.
     pub fn admit(&mut self, now: Duration) {
         self.state = HealthState::Healthy;
         self.strikes = 0;
--- a/kernel/src/dispatch/held.rs
+++ b/kernel/src/dispatch/held.rs
@@ -1,4 +1,4 @@
-//! A piece of work that an owner holds: queued, or running on an upstream.
+//! A piece of work at its owner, queued or running on an upstream.
 
 use std::time::Duration;
 
@@ -6,51 +6,51 @@
 use crate::dispatch::arena::{Arena, ArenaKey};
 use crate::ids::{NodeId, UpstreamId};
 
-/// Names a piece of held work.
+/// Key of a piece of work in the [`WorkArena`].
 pub type WorkKey = ArenaKey<HeldWork>;
 
-/// All work that a node holds as an owner.
+/// All work that a node has accepted as an owner.
 pub type WorkArena = Arena<HeldWork>;
 
-/// How often one attempt may be put back into the queue here.
+/// How often an owner may requeue one attempt.
 pub const MAX_REQUEUES: u8 = 3;
 
-/// A piece of work that an owner holds.
+/// A piece of work at its owner.
 #[derive(Clone, Copy, Debug)]
 pub struct HeldWork {
-    /// The work; `resume_from` grows when it is put back into the queue.
+    /// The work as offered; `resume_from` grows each time it is requeued.
     pub work: WorkSpec,
-    /// The node that offered it.
+    /// The entry node that offered it.
     pub entry: NodeId,
-    /// When the class's target is missed.
+    /// When its class's latency target is missed.
     pub deadline: Duration,
-    /// The last moment at which a start still meets the deadline, by the estimate when queued.
+    /// Latest start that still meets the deadline, as estimated when it was offered.
     pub latest_start: Duration,
-    /// Estimated cost, as counted in the queue and then charged to the workspace.
+    /// Estimated cost, as counted in the queue and later charged to the workspace.
     pub cost: u64,
-    /// Tokens passed on in earlier runs of this attempt.
+    /// Tokens forwarded in earlier runs of this attempt.
     pub passed: u32,
-    /// How often it was put back into the queue.
+    /// How often it was requeued.
     pub requeues: u8,
-    /// Whether an earlier run of this attempt may have run.
+    /// Whether an earlier run of this attempt may have reached an upstream.
     pub ran: bool,
-    /// The run on an upstream; none while queued.
+    /// The run on an upstream; `None` while queued.
     pub run: Option<WorkRun>,
 }
 
 impl HeldWork {
-    /// Whether the caller has tokens or an upstream may have run it: its target for the first
-    /// token is decided, and it is no longer refused.
+    /// Whether the caller has tokens or an upstream may have run it. Its time to first token is
+    /// then settled, and it is no longer rejected.
     pub fn begun(&self) -> bool {
         self.ran || self.work.resume_from > 0
     }
 
-    /// Whether it may be stopped and go on later.
+    /// Whether it may be stopped and resumed later.
     pub fn can_move(&self) -> bool {
         self.work.spec.repeatable && self.requeues < MAX_REQUEUES
     }
 
-    /// What stopping it throws away, in tokens that the upstream reads again.
+    /// Cost of stopping it: the tokens that an upstream would have to process again.
     pub fn loss(&self) -> u64 {
         let tokens = self.run.map_or(0, |run| run.tokens);
         u64::from(self.work.spec.prompt_tokens)
@@ -59,32 +59,32 @@
     }
 }
 
-/// A run of held work on an upstream.
+/// A run of a piece of work on an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkRun {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// When it was handed to the edge.
+    /// When it was dispatched.
     pub started: Duration,
-    /// Whether bytes may have left the socket.
+    /// Whether bytes of it may have left the socket.
     pub sent: bool,
-    /// Tokens of this run so far.
+    /// Tokens received in this run so far.
     pub tokens: u32,
-    /// When tokens came last.
+    /// When the newest tokens arrived; the start time before the first.
     pub heard: Duration,
-    /// When it counts as stalled unless a token comes first.
+    /// When it counts as stalled unless a token arrives first; `None` if it cannot stall.
     pub due: Option<Duration>,
-    /// Why it was asked to stop, if it was.
+    /// Why it was asked to stop; `None` if it was not.
     pub stop: Option<StopCause>,
 }
 
 /// Why a run was asked to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopCause {
-    /// Nobody wants it any more.
+    /// The entry node cancelled it.
     Unwanted,
-    /// Work of a higher tier needs the slot.
+    /// A higher tier needs its slot.
     Preempted,
-    /// Its upstream is too slow.
+    /// Its upstream is too slow or failing.
     Moved,
 }
--- a/kernel/src/dispatch/news.rs
+++ b/kernel/src/dispatch/news.rs
@@ -1,4 +1,4 @@
-//! Load news for entry nodes that no answer has carried lately.
+//! Load updates to entry nodes that have lately received no reply with the current load.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,13 +6,13 @@
 use crate::call::LoadSummary;
 use crate::ids::{NodeId, PoolId};
 
-/// Least time between two messages of news to one node about one pool.
+/// Shortest time between two updates to one node about one pool.
 const LEAST_GAP: Duration = Duration::from_secs(1);
 
-/// Entry nodes that offered nothing for this long get no news.
+/// Time after its last offer for which an entry node receives updates.
 const INTEREST: Duration = Duration::from_secs(10);
 
-/// Most messages of news at one tick, to stay within the budget of control traffic.
+/// Most updates sent at one tick, to stay within the budget of control traffic.
 const MOST_AT_ONCE: usize = 8;
 
 #[derive(Debug)]
@@ -22,7 +22,7 @@
     heard: Duration,
 }
 
-/// What each entry node was told last.
+/// The load last sent to each entry node, by pool.
 #[derive(Debug, Default)]
 pub struct LoadNews {
     told: BTreeMap<(PoolId, NodeId), ToldLoad>,
@@ -30,7 +30,7 @@
 }
 
 impl LoadNews {
-    /// Notes that a node offered work.
+    /// Records that a node offered work.
     pub fn heard(&mut self, now: Duration, pool: PoolId, node: NodeId) {
         self.told
             .entry((pool, node))
@@ -42,7 +42,7 @@
             .heard = now;
     }
 
-    /// Notes that an answer carried the load to a node.
+    /// Records that a reply carried the load to a node.
     pub fn told(&mut self, now: Duration, pool: PoolId, node: NodeId, load: LoadSummary) {
         if let Some(told) = self.told.get_mut(&(pool, node)) {
             told.load = load;
@@ -50,12 +50,13 @@
         }
     }
 
-    /// Forgets a node.
+    /// Drops all state for a node.
     pub fn forget(&mut self, node: NodeId) {
         self.told.retain(|(_, other), _| *other != node);
     }
 
-    /// The news that is due, taken in turns.
+    /// The updates that are due, up to the bound for one tick; the next call continues after the
+    /// last one.
     pub fn due(
         &mut self,
         now: Duration,
@@ -87,7 +88,7 @@
     }
 }
 
-/// Whether a node that thinks of the one load would choose badly under the other.
+/// Whether a node that routes by the old load would route badly under the new one.
 fn differs_much(old: &LoadSummary, new: &LoadSummary) -> bool {
     let pressure = |load: &LoadSummary| {
         let waiting: u32 = load.waiting.iter().sum();
--- a/kernel/src/dispatch/past.rs
+++ b/kernel/src/dispatch/past.rs
@@ -1,18 +1,18 @@
-//! Attempts that are over, remembered for a while: a message that comes twice or too late must not
-//! start them again.
+//! Attempts that are finished, retained for a while so that a duplicated or delayed message does
+//! not start them again.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
 use crate::ids::AttemptId;
 
-/// How long an attempt is remembered.
+/// How long a finished attempt is retained.
 const REMEMBERED: Duration = Duration::from_mins(1);
 
-/// Most attempts that are remembered.
+/// Most attempts that are retained.
 const MOST_REMEMBERED: usize = 131_072;
 
-/// Attempts that are over, or were cancelled before they were offered.
+/// Attempts that are finished, or were cancelled before they were offered.
 #[derive(Debug, Default)]
 pub struct PastAttempts {
     known: BTreeSet<AttemptId>,
@@ -20,7 +20,7 @@
 }
 
 impl PastAttempts {
-    /// Remembers an attempt.
+    /// Records an attempt as finished.
     pub fn add(&mut self, now: Duration, attempt: AttemptId) {
         self.forget(now);
         if self.known.insert(attempt) {
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Whether the attempt is over.
+    /// Whether the attempt is recorded as finished.
     pub fn contains(&self, attempt: AttemptId) -> bool {
         self.known.contains(&attempt)
     }
 
-    /// Drops what need not be remembered any longer.
+    /// Drops attempts that have expired.
     pub fn forget(&mut self, now: Duration) {
         while let Some((at, attempt)) = self.order.front().copied() {
             if now < at + REMEMBERED && self.order.len() < MOST_REMEMBERED {
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Attempts remembered.
+    /// Number of attempts retained.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no attempt is retained.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
--- a/kernel/src/dispatch/pool.rs
+++ b/kernel/src/dispatch/pool.rs
@@ -1,4 +1,4 @@
-//! One pool at its owner: which waiting work starts next, and on which upstream.
+//! One pool at its owner: which queued work starts next, and on which upstream.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -17,17 +17,16 @@
 use crate::dispatch::tier::TierState;
 use crate::ids::{UpstreamId, WorkspaceId};
 
-/// The choices that were weighed by measurement; the defaults are what ships.
+/// Options of the dispatch algorithm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DispatchSettings {
-    /// Cost by which a workspace may be ahead of its fair share before deadlines stop counting for
-    /// it.
+    /// Cost by which a workspace may be ahead of its fair share before its deadlines stop counting.
     pub lead: u64,
-    /// Whether runs of lower tiers are stopped for urgent work.
+    /// Whether runs of lower tiers are preempted for urgent work.
     pub preemption: bool,
-    /// Whether upstreams that are slow or fail are taken out of service.
+    /// Whether slow or failing upstreams are ejected.
     pub ejection: bool,
-    /// Whether calls that cannot start in time are refused before their time has passed.
+    /// Whether calls that cannot start in time are rejected before their latest start has passed.
     pub early_refusal: bool,
 }
 
@@ -42,27 +41,27 @@
     }
 }
 
-/// What a pool decided about a piece of work.
+/// A decision of a pool about a piece of work, to be carried out by the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Start it on the upstream that its run names.
+    /// Start it on the upstream that its run specifies.
     Start(WorkKey),
     /// Stop its run.
     Stop(WorkKey),
-    /// It left the queue for good without having run.
+    /// Reject it: it has left the queue without having run.
     Refuse(WorkKey, Refusal),
 }
 
-/// An honest refusal.
+/// Why work was rejected, and when the caller should retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason sent to the entry node.
     pub reason: RefusalReason,
-    /// When a retry makes sense.
+    /// Time after which a retry is likely to succeed.
     pub retry_after: Duration,
 }
 
-/// One pool at its owner.
+/// The state of one pool at its owner.
 #[derive(Debug, Default)]
 pub struct PoolState {
     /// Tiers that have, or had, work.
@@ -71,11 +70,11 @@
     pub engines: BTreeMap<UpstreamId, EngineState>,
     /// Expected output lengths.
     pub outputs: OutputEstimate,
-    /// How fast the queue is worked off.
+    /// Throughput and latency of the pool's runs.
     pub pace: PoolPace,
-    /// Whether an answer has no tokens: a plain service's.
+    /// Whether this is a pool of a plain service, whose responses have no tokens.
     pub plain: bool,
-    /// Choices that were weighed by measurement.
+    /// Options of the dispatch algorithm.
     pub settings: DispatchSettings,
     pub(super) config: Arc<Config>,
     pub(super) median: Option<f64>,
@@ -84,7 +83,7 @@
 }
 
 impl PoolState {
-    /// Takes in the configuration and the upstreams that this node owns now.
+    /// Applies a configuration and the set of upstreams that this node owns, with their slots.
     pub fn configure(
         &mut self,
         now: Duration,
@@ -118,7 +117,7 @@
         self.engines.values().any(|engine| engine.owned)
     }
 
-    /// Whether nothing waits, runs or is owned.
+    /// Whether the pool has no queued work, no runs and no upstreams.
     pub fn is_idle(&self) -> bool {
         self.engines.is_empty()
             && self
@@ -127,17 +126,17 @@
                 .all(|tier| tier.running == 0 && tier.queue.is_empty())
     }
 
-    /// Slots of the upstreams that are fit for work.
+    /// Slots that this node may use on all of the pool's upstreams.
     pub fn slots(&self) -> u32 {
         self.engines.values().map(EngineState::capacity).sum()
     }
 
-    /// Work in service.
+    /// Slots in use.
     pub fn running(&self) -> u32 {
         self.tiers.values().map(|tier| tier.running).sum()
     }
 
-    /// The state that entry nodes are told.
+    /// The load summary that is sent to entry nodes.
     pub fn summary(&self) -> LoadSummary {
         let mut load = LoadSummary {
             slots: self.slots(),
@@ -150,13 +149,13 @@
         load
     }
 
-    /// The weight of a workspace.
+    /// The weight of a workspace; 1 if it is not configured.
     pub fn weight(&self, workspace: WorkspaceId) -> u32 {
         let spec = self.config.workspaces.get(&workspace);
         spec.map_or(1, |spec| spec.weight.max(1))
     }
 
-    /// A tier's state, made when it is first needed.
+    /// The state of a tier, created on first use.
     pub fn tier(&mut self, now: Duration, tier: Tier) -> &mut TierState {
         let config = &self.config;
         let lead = self.settings.lead;
@@ -171,21 +170,22 @@
         })
     }
 
-    /// Puts work in its queue.
+    /// Adds work to the queue of its tier.
     pub fn enqueue(&mut self, now: Duration, key: WorkKey, held: &HeldWork) {
         let weight = self.weight(held.work.spec.workspace);
         self.tier(now, held.work.spec.tier)
             .enqueue(key, held, weight);
     }
 
-    /// Takes waiting work out of its queue.
+    /// Removes queued work from the queue of its tier.
     pub fn dequeue(&mut self, key: WorkKey, held: &HeldWork) {
         if let Some(tier) = self.tiers.get_mut(&held.work.spec.tier) {
             tier.dequeue(key, held);
         }
     }
 
-    /// Counts the time that passed towards the floors. Comes before every change of what runs.
+    /// Updates the floor credits for the time that passed. Must be called before any change to the
+    /// slots in use.
     pub fn settle(&mut self, now: Duration) {
         let slots = self.slots();
         for tier in self.tiers.values_mut() {
@@ -194,7 +194,8 @@
         }
     }
 
-    /// Refuses what can no longer be met, starts what can start, and makes room for urgent work.
+    /// Rejects work that can no longer start in time, starts what fits into the free slots, and
+    /// preempts lower tiers for urgent work.
     pub fn fill(&mut self, now: Duration, arena: &mut WorkArena, out: &mut Vec<Decision>) {
         self.settle(now);
         self.check_stalls(now, arena, out);
@@ -209,14 +210,15 @@
         }
     }
 
-    /// The next lower tier that has, or had, work; the highest one after none.
+    /// The next lower tier that has, or had, work; the highest one after `None`.
     pub(super) fn tier_after(&self, tier: Option<Tier>) -> Option<Tier> {
         let after = tier.map_or(Bound::Unbounded, Bound::Excluded);
         let mut tiers = self.tiers.range((after, Bound::Unbounded));
         tiers.next().map(|(tier, _)| *tier)
     }
 
-    /// The tier that the next free slot belongs to: one below its floor, else the highest.
+    /// The tier that gets the next free slot: a lower one that is due its floor, else the highest
+    /// with queued work.
     fn next_tier(&self, slots: u32) -> Option<Tier> {
         let mut waiting = self
             .tiers
@@ -243,8 +245,8 @@
         self.next_probe(arena)
     }
 
-    /// A probe takes the least urgent work that may be repeated; urgent work only when no upstream
-    /// is in service.
+    /// An upstream to probe and the work to probe it with: the least urgent that is repeatable, or
+    /// any work when no upstream is in service.
     fn next_probe(&self, arena: &WorkArena) -> Option<(WorkKey, UpstreamId)> {
         let (upstream, _) = self.engines.iter().find(|(_, e)| e.wants_probe())?;
         let in_service = self
@@ -289,7 +291,8 @@
         tier.watch(key, held);
     }
 
-    /// Asks a run to stop; it goes back to the queue once its slot is free, unless unwanted.
+    /// Asks a run to stop, so that it is requeued once its slot is free, or dropped if it was
+    /// cancelled. Returns whether this is the first request to stop it.
     pub fn stop(&mut self, key: WorkKey, cause: StopCause, arena: &mut WorkArena) -> bool {
         let held = &mut arena[key];
         let Some(tier) = self.tiers.get_mut(&held.work.spec.tier) else {
--- a/kernel/src/dispatch/preemption.rs
+++ b/kernel/src/dispatch/preemption.rs
@@ -1,4 +1,4 @@
-//! Stopping runs: lower tiers make room for urgent work, and work leaves stalled upstreams.
+//! Stopping runs: preemption of lower tiers for urgent work, and moving work off stalled upstreams.
 
 use std::time::Duration;
 
@@ -8,24 +8,25 @@
 use crate::dispatch::pool::{Decision, PoolState};
 use crate::ids::UpstreamId;
 
-/// Waiting calls of a tier that are looked at for the danger of being late.
+/// Most queued calls of a tier that are checked for missing their latest start.
 const MOST_AT_RISK: usize = 16;
 
-/// Margin on the expected time until a slot is free.
+/// Safety factor on the expected time until a slot becomes free.
 const MARGIN: f64 = 1.5;
 
-/// Time from asking a run to stop until its slot is free, while none was seen.
+/// Seconds from the request to stop a run until its slot is free, while there are no samples.
 const STOP_GUESS: f64 = 0.02;
 
-/// Times the expected time to the first token after which a run counts as stalled.
+/// Multiple of the expected time to first token after which a run counts as stalled.
 const STALL_FACTOR: u32 = 4;
 
-/// Least time without a token after which a run counts as stalled.
+/// Shortest time without a token after which a run counts as stalled.
 const STALL_LEAST: Duration = Duration::from_millis(200);
 
 impl PoolState {
-    /// Stops runs of lower tiers, never below their floors and the cheapest loss first, for waiting
-    /// work that would be late if it waited for slots to become free by themselves.
+    /// Stops runs of lower tiers for queued work that would miss its latest start if it waited for
+    /// slots to become free. Tiers are not stopped below their floors, and the runs that are
+    /// cheapest to restart are stopped first.
     pub(super) fn preempt(
         &mut self,
         now: Duration,
@@ -49,7 +50,8 @@
         }
     }
 
-    /// Waiting calls of the tier that are late unless a slot is made free for them.
+    /// Number of queued calls of the tier that miss their latest start unless a slot is freed for
+    /// them.
     fn at_risk(&self, now: Duration, tier: Tier) -> u32 {
         let Some(state) = self
             .tiers
@@ -88,15 +90,16 @@
             .find_map(|(_, state)| state.victims.first().map(|(_, key)| *key))
     }
 
-    /// How long a run may go without its first token before it counts as stalled; none while the
-    /// usual time is not known.
+    /// Time without a first token after which a run counts as stalled; `None` while the usual time
+    /// is unknown, and for plain services.
     pub(super) fn patience(&self, prompt: u32) -> Option<Duration> {
         let expected = self.pace.first_token.expect(prompt);
         (expected > Duration::ZERO && !self.plain)
             .then(|| (expected * STALL_FACTOR).max(STALL_LEAST))
     }
 
-    /// Strikes upstreams that let first tokens wait, and moves the runs that wait on them.
+    /// Records a failure of each upstream with an overdue first token, and moves the affected runs
+    /// to other upstreams.
     pub(super) fn check_stalls(
         &mut self,
         now: Duration,
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Something went wrong on an upstream.
+    /// Records a failure of an upstream, which may eject it.
     pub(super) fn strike(&mut self, now: Duration, upstream: UpstreamId, sign: HealthSign) {
         let Some(engine) = self.engines.get_mut(&upstream) else {
             return;
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Moves runs that have no token yet away from an upstream that was taken out of service.
+    /// Moves runs without a token off an upstream that was ejected.
     fn evacuate(&mut self, upstream: UpstreamId, arena: &mut WorkArena, out: &mut Vec<Decision>) {
         let waiting: Vec<WorkKey> = self
             .quiet
--- a/kernel/src/dispatch/replies.rs
+++ b/kernel/src/dispatch/replies.rs
@@ -1,4 +1,4 @@
-//! What the owner tells entry nodes of their work: given back, over, or still held.
+//! Replies to entry nodes about their work: returned, ended, or still queued or running here.
 
 use crate::call::{AttemptEnd, LoadSummary, ReturnReason, WorkSpec};
 use crate::dispatch::WorkDispatcher;
@@ -37,7 +37,7 @@
         );
     }
 
-    /// Answers an offer that was never taken in.
+    /// Returns an offer that was not accepted.
     pub(super) fn give_back(
         &mut self,
         entry: NodeId,
@@ -62,7 +62,7 @@
         context.send(held.entry, WorkMessage::Ended { attempt, end, load });
     }
 
-    /// Gives all waiting work of a pool back to the nodes that it came from.
+    /// Returns all queued work of a pool to its entry nodes.
     pub(super) fn hand_back(
         &mut self,
         pool: PoolId,
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Answers for work that waited, as not run only if no earlier run of it can have begun.
+    /// Replies for work that left the queue. It is reported as not run only if no earlier run of it
+    /// can have reached an upstream.
     pub(super) fn answer_waiting(
         &mut self,
         held: &HeldWork,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Tells an entry that heard nothing for long which of its attempts are held here.
+    /// Answers an entry node's query which of its attempts are still queued or running here.
     pub(super) fn asked(&self, from: NodeId, attempts: &[AttemptId], context: &mut Context<'_>) {
         let holds = |attempt: &AttemptId| self.attempts.contains_key(attempt);
         let (held, missing) = attempts.iter().copied().partition(holds);
--- a/kernel/src/dispatch/runs.rs
+++ b/kernel/src/dispatch/runs.rs
@@ -1,4 +1,5 @@
-//! The life of a run on an upstream, and what it teaches: speed, health, output lengths.
+//! The life cycle of a run on an upstream, and the statistics taken from it: speed, health and
+//! output lengths.
 
 use std::time::Duration;
 
@@ -10,30 +11,31 @@
 use crate::dispatch::pool::PoolState;
 use crate::ids::UpstreamId;
 
-/// Times the pool's middle speed beyond which an upstream is a straggler.
+/// Multiple of the pool's median seconds per token above which an upstream is ejected as a
+/// straggler.
 const STRAGGLER: f64 = 3.0;
 
-/// Times the pool's middle speed within which a straggler is fit again.
+/// Multiple of the pool's median seconds per token up to which a straggler counts as recovered.
 const RECOVERED: f64 = 2.0;
 
-/// Samples of speed before an upstream is judged by it.
+/// Speed samples required before an upstream can be ejected as a straggler.
 const LEAST_SPEED_SAMPLES: u32 = 8;
 
-/// Samples of speed that weigh most.
+/// Speed samples that weigh most.
 const SPEED_WINDOW: u32 = 24;
 
-/// What becomes of held work when its run is over.
+/// What happens to a piece of work when its run ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// It waits again.
+    /// It goes back into the queue.
     Requeued,
-    /// It is over; tell the entry node this.
+    /// It is finished, and the entry node is sent this end.
     Over(AttemptEnd),
 }
 
 impl PoolState {
-    /// Takes in that the run has this many tokens now; whether [`PoolState::fill`] has to look at
-    /// the pool because of it.
+    /// Records that the run has produced this many tokens; returns whether the health of an
+    /// upstream changed, so that [`PoolState::fill`] is needed.
     pub fn progress(
         &mut self,
         now: Duration,
@@ -82,7 +84,7 @@
         self.judge(now, run.upstream)
     }
 
-    /// Charges the workspace for tokens beyond the estimate as they come.
+    /// Charges the workspace for tokens beyond the estimate as they are generated.
     fn charge_excess(&mut self, held: &mut HeldWork, tokens: u32) {
         let spent = cost_of(held.work.spec.prompt_tokens, tokens);
         let Some(excess) = spent.checked_sub(held.cost).filter(|excess| *excess > 0) else {
@@ -112,8 +114,8 @@
         }
     }
 
-    /// Ejects a straggler, and puts one back in service that has recovered; whether either
-    /// happened.
+    /// Ejects an upstream that is a straggler, or puts a recovered one back into service; returns
+    /// whether either happened.
     fn judge(&mut self, now: Duration, upstream: UpstreamId) -> bool {
         let others = self.in_service_beside(upstream);
         let most_are_fit = others * 2 >= self.engines.len();
@@ -149,7 +151,7 @@
             .count()
     }
 
-    /// Takes in that a run is over, and says what becomes of its work.
+    /// Ends a run, frees its slot and decides whether its work is requeued.
     pub fn ended(
         &mut self,
         now: Duration,
@@ -173,7 +175,7 @@
             held.work.resume_from += tokens;
             held.requeues += 1;
             if held.begun() {
-                // Its caller waits for the next token now.
+                // The caller waits for the next token, so the work is due now.
                 held.deadline = now;
             }
             held.cost = self.remaining_cost(held);
@@ -280,7 +282,7 @@
             .any(|engine| engine.owned && !engine.leaving && engine.health.in_service())
     }
 
-    /// Estimated cost of what is left after a part was passed on.
+    /// Estimated cost of the rest of a call, after part of it was forwarded.
     fn remaining_cost(&self, held: &HeldWork) -> u64 {
         let spec = &held.work.spec;
         let expected = self.outputs.tokens(spec);
@@ -289,7 +291,7 @@
         cost_of(spec.prompt_tokens, left).max(TOKEN_COST)
     }
 
-    /// Takes in an upstream's report of its load.
+    /// Applies an upstream's load report.
     pub fn reported(&mut self, now: Duration, upstream: UpstreamId, report: &LoadReport) {
         if let Some(engine) = self.engines.get_mut(&upstream) {
             engine.report(now, report);
@@ -297,7 +299,7 @@
         }
     }
 
-    /// Takes in a cache event.
+    /// Applies a cache event: whether the upstream's cache now contains the prefix.
     pub fn cache_changed(&mut self, upstream: UpstreamId, prefix: u64, held: bool) {
         let Some(engine) = self.engines.get_mut(&upstream) else {
             return;
@@ -309,28 +311,28 @@
         }
     }
 
-    /// An upstream gets nothing new from now on.
+    /// Marks an upstream as leaving, so that it is assigned no new work.
     pub fn upstream_leaves(&mut self, upstream: UpstreamId) {
         if let Some(engine) = self.engines.get_mut(&upstream) {
             engine.leaving = true;
         }
     }
 
-    /// An upstream that was leaving may get work again.
+    /// Clears the leaving mark, so that the upstream may be assigned work again.
     pub fn upstream_returns(&mut self, upstream: UpstreamId) {
         if let Some(engine) = self.engines.get_mut(&upstream) {
             engine.leaving = false;
         }
     }
 
-    /// An upstream wants nothing for a while.
+    /// Ejects an upstream that asked for a pause of this length.
     pub fn pause(&mut self, now: Duration, upstream: UpstreamId, pause: Duration) {
         if let Some(engine) = self.engines.get_mut(&upstream) {
             engine.health.pause(now.saturating_add(pause));
         }
     }
 
-    /// Lets time pass for the upstreams' health.
+    /// Applies the health transitions that are due by `now`, and expires old load reports.
     pub fn tick(&mut self, now: Duration) {
         for engine in self.engines.values_mut() {
             let before = engine.health.state;
@@ -353,8 +355,9 @@
     }
 }
 
-/// The end as the entry node must see it: with the tokens of earlier runs of the same attempt, and
-/// as "not run" only if no run of it can have reached an upstream.
+/// The end that is sent to the entry node. It includes the tokens of earlier runs of the same
+/// attempt, and says that the attempt did not run only if no run of it can have reached an
+/// upstream.
 fn whole_end(held: &HeldWork, ran_before: bool, end: AttemptEnd) -> AttemptEnd {
     let passed = held.passed;
     match end {
--- a/kernel/src/dispatch/state.rs
+++ b/kernel/src/dispatch/state.rs
@@ -8,18 +8,18 @@
 use crate::dispatch::pool::PoolState;
 use crate::plugin::GaugeSample;
 
-/// Decisions since the process started.
+/// Number of decisions since the process started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DispatchCounts {
     /// Runs started.
     pub started: u64,
     /// Runs stopped for work of a higher tier.
     pub preempted: u64,
-    /// Runs stopped to move them off a bad upstream.
+    /// Runs stopped to move them off a slow or failing upstream.
     pub moved: u64,
-    /// Calls refused because their time had passed.
+    /// Calls rejected because they could not start before their deadline.
     pub refused_deadline: u64,
-    /// Calls refused because their queue was too long.
+    /// Calls rejected because the queue was too long.
     pub refused_overloaded: u64,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl WorkDispatcher {
-    /// Calls waiting and calls running.
+    /// Number of queued calls and number of running calls.
     pub fn held(&self) -> (usize, usize) {
         let running = self.arena.iter().filter(|(_, held)| held.run.is_some());
         let running = running.count();
--- a/kernel/src/dispatch/tier.rs
+++ b/kernel/src/dispatch/tier.rs
@@ -1,4 +1,4 @@
-//! One tier of one pool: its queue, its floor, and its runs that may be stopped.
+//! One tier of one pool: its queue, its floor, and its runs that may be preempted.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,24 +7,24 @@
 use crate::dispatch::floors::TierFloor;
 use crate::dispatch::held::{HeldWork, WorkKey};
 
-/// One tier of one pool.
+/// The state of one tier of one pool.
 #[derive(Debug, Default)]
 pub struct TierState {
-    /// Waiting work.
+    /// Queued work.
     pub queue: FairQueue,
-    /// The floor.
+    /// The tier's guaranteed fraction of slots.
     pub floor: TierFloor,
-    /// Slots in use, those being freed included.
+    /// Slots in use, including those of runs that were asked to stop.
     pub running: u32,
-    /// Runs that were asked to stop.
+    /// Runs that were asked to stop and have not ended.
     pub stopping: u32,
-    /// Waiting work that has not begun, by the last moment to start it.
+    /// Queued work that may still be rejected, by its latest start.
     pub expiry: BTreeSet<(Duration, WorkKey)>,
-    /// Runs that may be stopped, by what that throws away.
+    /// Runs that may be preempted, by the cost of restarting them.
     pub victims: BTreeSet<(u64, WorkKey)>,
 }
 
-/// What the queue must know of held work.
+/// The queue's entry for a piece of work.
 pub fn queue_item(key: WorkKey, held: &HeldWork) -> QueueItem {
     QueueItem {
         key,
@@ -35,7 +35,7 @@
 }
 
 impl TierState {
-    /// Queues work.
+    /// Queues work for a workspace with this weight.
     pub fn enqueue(&mut self, key: WorkKey, held: &HeldWork, weight: u32) {
         self.queue.push(queue_item(key, held), weight);
         if !held.begun() {
@@ -43,31 +43,31 @@
         }
     }
 
-    /// Takes waiting work out.
+    /// Removes queued work.
     pub fn dequeue(&mut self, key: WorkKey, held: &HeldWork) {
         self.queue.remove(queue_item(key, held));
         self.expiry.remove(&(held.latest_start, key));
     }
 
-    /// Takes out the work that is first in the queue to start it, and charges its cost to the workspace.
+    /// Removes the first work in the queue to start it, and charges its cost to the workspace.
     pub fn serve(&mut self, key: WorkKey, held: &HeldWork) {
         self.queue.serve(queue_item(key, held));
         self.expiry.remove(&(held.latest_start, key));
     }
 
-    /// Notes that the run may be stopped, if it may.
+    /// Adds a run to the preemption candidates, unless it may not be stopped.
     pub fn watch(&mut self, key: WorkKey, held: &HeldWork) {
         if held.can_move() {
             self.victims.insert((held.loss(), key));
         }
     }
 
-    /// Notes that the run may no longer be stopped.
+    /// Removes a run from the preemption candidates.
     pub fn unwatch(&mut self, key: WorkKey, held: &HeldWork) {
         self.victims.remove(&(held.loss(), key));
     }
 
-    /// Slots that the tier holds beyond its floor, of `slots` in all.
+    /// Slots that the tier uses above its floor, out of `slots` in the pool.
     pub fn above_floor(&self, slots: u32) -> u32 {
         let kept = f64::from(self.running.saturating_sub(self.stopping)) - self.floor.slots(slots);
         kept.max(0.0).floor() as u32
