--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -5,7 +5,7 @@
 
 use monsoonbank_kernel::event::Event;
 use monsoonbank_kernel::leases::OrderRequest;
-use monsoonbank_kernel::leases::lease::ORDER_FLIGHT;
+use monsoonbank_kernel::leases::lease::ORDER_TIMEOUT;
 use serde_json::json;
 
 use crate::shared::NodeShared;
@@ -43,7 +43,7 @@
         .single_use_client
         .post(url)
         .json(&body)
-        .timeout(ORDER_FLIGHT);
+        .timeout(ORDER_TIMEOUT);
     if shared.now() >= not_after {
         return false;
     }
--- a/kernel/benches/decision.rs
+++ b/kernel/benches/decision.rs
@@ -13,8 +13,8 @@
 use monsoonbank_kernel::call::{AttemptEnd, CallSpec, LoadReport, Tier, WorkSpec};
 use monsoonbank_kernel::config::{Config, ConfigFile, PoolKind, PoolSpec, TierSpec, UpstreamSpec};
 use monsoonbank_kernel::dispatch::estimate::cost_of;
-use monsoonbank_kernel::dispatch::held::{HeldWork, WorkArena, WorkKey};
 use monsoonbank_kernel::dispatch::pool::{Decision, PoolState};
+use monsoonbank_kernel::dispatch::work::{WorkArena, WorkItem, WorkKey};
 use monsoonbank_kernel::event::{Action, Event};
 use monsoonbank_kernel::ids::{
     AttemptId, CallId, ClassId, Incarnation, NodeId, PoolId, WorkspaceId, ZoneId,
@@ -225,13 +225,13 @@
         self.sequence += 1;
         let work = work(self.sequence);
         let deadline = self.now + work.spec.time_left;
-        let key = self.arena.insert(HeldWork {
+        let key = self.arena.insert(WorkItem {
             work,
             entry: NodeId(2),
             deadline,
             latest_start: deadline,
             cost: cost_of(work.spec.prompt_tokens, 100),
-            passed: 0,
+            forwarded: 0,
             requeues: 0,
             ran: false,
             run: None,
--- a/kernel/examples/owner_choice.rs
+++ b/kernel/examples/owner_choice.rs
@@ -18,7 +18,7 @@
 use monsoonbank_kernel::ids::{CallId, ClassId, Incarnation, NodeId, PoolId, WorkspaceId, ZoneId};
 use monsoonbank_kernel::membership::{Member, MemberView, NodeState};
 use monsoonbank_kernel::ownership::assign;
-use monsoonbank_kernel::routing::owners::{OwnerBoard, OwnerPolicy};
+use monsoonbank_kernel::routing::owners::{OwnerPolicy, OwnerTable};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -94,7 +94,7 @@
     reported: Vec<u32>,
     open: BTreeMap<(usize, usize), u32>,
     queues: Vec<VecDeque<usize>>,
-    boards: Vec<OwnerBoard>,
+    boards: Vec<OwnerTable>,
     owned: Vec<Vec<usize>>,
     waits: Vec<Duration>,
 }
@@ -167,7 +167,7 @@
             owned[holder.expect("every engine has an owner")].push(engine);
         }
         let board = |node: usize| {
-            let mut board = OwnerBoard::new(policy);
+            let mut board = OwnerTable::new(policy);
             let zone = ZoneId::named(&format!("z{}", node % ZONES));
             board.rebuild(&config, &owners, &view, zone);
             board
@@ -233,7 +233,7 @@
                 let spec = spec();
                 let owner = self.boards[entry].choose(&spec, &[], now, &mut self.random);
                 let owner = owner.expect("every node lives");
-                self.boards[entry].offered(spec.pool, owner);
+                self.boards[entry].record_offer(spec.pool, owner);
                 let owner = (0..self.site.nodes).find(|node| node_id(*node) == owner);
                 self.plan(now + HOP, Step::Reach(call, owner.expect("a node")));
             }
@@ -331,8 +331,8 @@
                 };
                 // The hop back is left out: news 1 ms old changes nothing at these rates.
                 let board = &mut self.boards[self.calls[call].entry];
-                board.closed(spec().pool, node_id(at));
-                board.learn(spec().pool, node_id(at), load, now);
+                board.record_close(spec().pool, node_id(at));
+                board.update(spec().pool, node_id(at), load, now);
             }
         }
     }
@@ -348,7 +348,7 @@
     };
     let (config, view) = (config(site), members(site));
     let owners = assign(&config, &view);
-    let mut board = OwnerBoard::new(OwnerPolicy::Mixed);
+    let mut board = OwnerTable::new(OwnerPolicy::Mixed);
     board.rebuild(&config, &owners, &view, ZoneId::named("z0"));
     let mut random = Pcg64Mcg::seed_from_u64(1);
     for prefix in [0, 7] {
@@ -356,7 +356,7 @@
         let start = Instant::now();
         for _ in 0..CHOICES {
             let owner = board.choose(&spec, &[], Duration::ZERO, &mut random);
-            board.offered(spec.pool, owner.expect("every node lives"));
+            board.record_offer(spec.pool, owner.expect("every node lives"));
         }
         let each = start.elapsed() / CHOICES;
         println!("980 nodes, prefix {prefix}: {each:?} a choice");
--- a/kernel/src/dispatch.rs
+++ b/kernel/src/dispatch.rs
@@ -6,17 +6,17 @@
 pub mod engine;
 pub mod estimate;
 pub mod fair;
+pub mod finished;
 pub mod floors;
 pub mod health;
-pub mod held;
-pub mod news;
-pub mod past;
+pub mod notifier;
 pub mod pool;
 pub mod preemption;
 pub mod replies;
 pub mod runs;
 pub mod state;
 pub mod tier;
+pub mod work;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -27,12 +27,12 @@
 use crate::call::{AttemptEnd, AttemptStart, LoadSummary, RefusalReason, ReturnReason, WorkSpec};
 use crate::config::{Config, PoolKind};
 use crate::dispatch::estimate::cost_of;
-use crate::dispatch::health::HealthSign;
-use crate::dispatch::held::{HeldWork, StopCause, WorkArena, WorkKey};
-use crate::dispatch::news::LoadNews;
-use crate::dispatch::past::PastAttempts;
+use crate::dispatch::finished::FinishedAttempts;
+use crate::dispatch::health::FailureSeverity;
+use crate::dispatch::notifier::LoadNotifier;
 use crate::dispatch::pool::{Decision, DispatchSettings, PoolState};
 use crate::dispatch::runs::RunEnd;
+use crate::dispatch::work::{StopCause, WorkArena, WorkItem, WorkKey};
 use crate::event::{Action, Event};
 use crate::ids::{AttemptId, NodeId, PoolId, UpstreamId};
 use crate::ownership::OwnerMap;
@@ -46,9 +46,9 @@
     owners: Arc<OwnerMap>,
     arena: WorkArena,
     attempts: BTreeMap<AttemptId, WorkKey>,
-    past: PastAttempts,
+    finished: FinishedAttempts,
     pools: BTreeMap<PoolId, PoolState>,
-    news: LoadNews,
+    notifier: LoadNotifier,
     leaving: bool,
     leaving_upstreams: BTreeSet<UpstreamId>,
     decisions: Vec<Decision>,
@@ -95,7 +95,7 @@
                 .iter()
                 .filter(|id| owned.contains_key(id))
             {
-                state.upstream_leaves(*upstream);
+                state.mark_leaving(*upstream);
             }
         }
         let gone: Vec<PoolId> = self
@@ -124,7 +124,7 @@
 
     fn offer(&mut self, entry: NodeId, work: WorkSpec, context: &mut Context<'_>) {
         let attempt = work.attempt;
-        if self.attempts.contains_key(&attempt) || self.past.contains(attempt) {
+        if self.attempts.contains_key(&attempt) || self.finished.contains(attempt) {
             return;
         }
         let pool = work.spec.pool;
@@ -136,18 +136,18 @@
             self.give_back(entry, work, ReturnReason::Leaving, context);
             return;
         }
-        self.news.heard(context.now, pool, entry);
+        self.notifier.record_offer(context.now, pool, entry);
         let deadline = context.now + work.spec.time_left;
         let prompt = work.spec.prompt_tokens + work.resume_from;
         let expected = state.outputs.tokens(&work.spec);
-        let first_token = state.pace.first_token.expect_at_most(prompt);
-        let held = HeldWork {
+        let first_token = state.timing.first_token.estimate_high(prompt);
+        let held = WorkItem {
             work,
             entry,
             deadline,
             latest_start: deadline.saturating_sub(first_token),
             cost: cost_of(work.spec.prompt_tokens, expected),
-            passed: 0,
+            forwarded: 0,
             requeues: 0,
             ran: false,
             run: None,
@@ -217,10 +217,10 @@
     }
 
     /// Removes a piece of work and records its attempt as finished.
-    fn drop_work(&mut self, key: WorkKey, now: Duration) -> Option<HeldWork> {
+    fn drop_work(&mut self, key: WorkKey, now: Duration) -> Option<WorkItem> {
         let held = self.arena.remove(key)?;
         self.attempts.remove(&held.work.attempt);
-        self.past.add(now, held.work.attempt);
+        self.finished.add(now, held.work.attempt);
         Some(held)
     }
 
@@ -278,11 +278,11 @@
             }
             RunEnd::Requeued => {
                 if let Some(held) = self.drop_work(key, context.now) {
-                    let tokens = held.passed;
+                    let tokens = held.forwarded;
                     self.answer_ended(&held, AttemptEnd::Cancelled { tokens }, context);
                 }
             }
-            RunEnd::Over(end) => {
+            RunEnd::Ended(end) => {
                 if let Some(held) = self.drop_work(key, context.now) {
                     self.answer_ended(&held, end, context);
                 }
@@ -294,7 +294,7 @@
 
     fn cancel(&mut self, attempt: AttemptId, context: &mut Context<'_>) {
         let Some(key) = self.attempts.get(&attempt).copied() else {
-            self.past.add(context.now, attempt);
+            self.finished.add(context.now, attempt);
             return;
         };
         let held = self.arena[key];
@@ -318,14 +318,14 @@
             return;
         }
         if let Some(state) = self.pools.get_mut(&held.work.spec.pool)
-            && state.stop(key, StopCause::Unwanted, &mut self.arena)
+            && state.stop(key, StopCause::Cancelled, &mut self.arena)
         {
             context.act(Action::CancelAttempt(attempt));
         }
     }
 
     fn link_down(&mut self, node: NodeId, context: &mut Context<'_>) {
-        self.news.forget(node);
+        self.notifier.remove_node(node);
         let orphans: Vec<WorkKey> = self
             .arena
             .iter()
@@ -347,7 +347,7 @@
     }
 
     fn tick(&mut self, context: &mut Context<'_>) {
-        self.past.forget(context.now);
+        self.finished.expire(context.now);
         for state in self.pools.values_mut() {
             state.tick(context.now);
         }
@@ -357,7 +357,7 @@
             .iter()
             .map(|(pool, state)| (*pool, state.summary()))
             .collect();
-        for (pool, node, load) in self.news.due(context.now, &loads) {
+        for (pool, node, load) in self.notifier.due(context.now, &loads) {
             context.send(node, WorkMessage::Load { pool, load });
         }
     }
@@ -368,7 +368,7 @@
             return;
         };
         if let Some(state) = self.pools.get_mut(&pool) {
-            state.upstream_returns(upstream);
+            state.clear_leaving(upstream);
             self.fill(pool, context);
         }
     }
@@ -392,13 +392,13 @@
                 state.reported(context.now, upstream, report);
             }
             Event::UpstreamUnreachable(_) => {
-                state.strike(context.now, upstream, HealthSign::Grave);
+                state.record_failure(context.now, upstream, FailureSeverity::Major);
             }
             Event::CacheChanged { prefix, held, .. } => {
                 state.cache_changed(upstream, *prefix, *held);
                 return;
             }
-            Event::UpstreamLeaving(_) => state.upstream_leaves(upstream),
+            Event::UpstreamLeaving(_) => state.mark_leaving(upstream),
             Event::UpstreamPaused { pause, .. } => state.pause(context.now, upstream, *pause),
             _ => {}
         }
--- a/kernel/src/dispatch/admission.rs
+++ b/kernel/src/dispatch/admission.rs
@@ -5,8 +5,8 @@
 
 use crate::call::{RefusalReason, Tier};
 use crate::dispatch::engine::EngineState;
-use crate::dispatch::held::{HeldWork, WorkArena, WorkKey};
 use crate::dispatch::pool::{Decision, PoolState, Refusal};
+use crate::dispatch::work::{WorkArena, WorkItem, WorkKey};
 
 /// Slack above which work is queued without estimating its start time.
 const LONG_SLACK: Duration = Duration::from_secs(30);
@@ -43,9 +43,9 @@
         self.bound(now, held.work.spec.tier, arena, out);
     }
 
-    fn objection(&self, now: Duration, held: &HeldWork) -> Option<Refusal> {
+    fn objection(&self, now: Duration, held: &WorkItem) -> Option<Refusal> {
         let tier = held.work.spec.tier;
-        if held.begun() {
+        if held.may_have_run() {
             return None;
         }
         let slack = held.latest_start.checked_sub(now);
@@ -84,7 +84,7 @@
     }
 
     /// Estimated wait until the work starts, or `None` while there are too few samples.
-    fn wait(&self, held: &HeldWork) -> Option<Duration> {
+    fn wait(&self, held: &WorkItem) -> Option<Duration> {
         let spec = &held.work.spec;
         let above: u64 = self
             .tiers
@@ -102,10 +102,10 @@
     /// Time in which the tier completes work of this cost, or `None` while there are too few
     /// samples.
     fn time_for(&self, tier: Tier, cost: u64) -> Option<Duration> {
-        if self.pace.slot_rate.samples() < LEAST_SAMPLES {
+        if self.timing.slot_rate.samples() < LEAST_SAMPLES {
             return None;
         }
-        let rate = self.pace.slot_rate.get()? * self.open_slots(tier);
+        let rate = self.timing.slot_rate.get()? * self.open_slots(tier);
         let seconds = cost as f64 / rate.max(f64::MIN_POSITIVE);
         Some(Duration::from_secs_f64(seconds.min(1e6)))
     }
@@ -169,9 +169,9 @@
     fn opens_at(&self) -> Option<Duration> {
         let engines = self.engines.values();
         let mut engines = engines.filter(|engine| engine.owned && !engine.leaving);
-        let first = engines.next()?.health.probed_at()?;
+        let first = engines.next()?.health.probe_due()?;
         engines.try_fold(first, |opens_at, engine| {
-            Some(opens_at.min(engine.health.probed_at()?))
+            Some(opens_at.min(engine.health.probe_due()?))
         })
     }
 
@@ -189,7 +189,11 @@
         if state.queue.len() <= MOST_WAITING {
             return;
         }
-        let Some(key) = state.queue.last().filter(|key| !arena[*key].begun()) else {
+        let Some(key) = state
+            .queue
+            .eviction_candidate()
+            .filter(|key| !arena[*key].may_have_run())
+        else {
             return;
         };
         let refusal = self.refusal(now, RefusalReason::Overloaded, tier);
--- a/kernel/src/dispatch/choice.rs
+++ b/kernel/src/dispatch/choice.rs
@@ -51,7 +51,7 @@
         (Some(speed), Some(median)) if median > 0.0 => speed / median,
         _ => 1.0,
     };
-    let cached = spec.prefix != 0 && engine.prefixes.holds(spec.prefix);
+    let cached = spec.prefix != 0 && engine.prefixes.contains(spec.prefix);
     let bonus = if cached { CACHE_BONUS } else { 0.0 };
     (load + BASE_LOAD) * slowness - bonus
 }
--- a/kernel/src/dispatch/engine.rs
+++ b/kernel/src/dispatch/engine.rs
@@ -45,7 +45,7 @@
 
 impl EngineState {
     /// Sets the number of runs in flight and records it in the history.
-    pub fn count(&mut self, now: Duration, in_flight: u32) {
+    pub fn set_in_flight(&mut self, now: Duration, in_flight: u32) {
         self.in_flight = in_flight;
         let recent = self
             .history
@@ -65,7 +65,7 @@
 
     /// Applies a load report. Load beyond this node's own runs at the time of the report is
     /// attributed to other nodes, such as a former owner.
-    pub fn report(&mut self, now: Duration, report: &LoadReport) {
+    pub fn apply_report(&mut self, now: Duration, report: &LoadReport) {
         let at = now.saturating_sub(report.age);
         let own = self
             .history
@@ -76,12 +76,12 @@
         let others = (report.running + report.waiting).saturating_sub(own);
         self.reports = [Some((now, others)), self.reports[0]];
         self.leaving |= report.leaving;
-        self.weigh_reports(now);
+        self.update_foreign(now);
     }
 
     /// Updates the slots used by other nodes: the smaller value of the last two reports, since runs
     /// that started or ended while a report was in transit can distort a single one.
-    pub fn weigh_reports(&mut self, now: Duration) {
+    pub fn update_foreign(&mut self, now: Duration) {
         self.foreign = self
             .reports
             .iter()
@@ -111,7 +111,7 @@
     }
 
     /// Whether it is due for a probe: a single run that shows whether it has recovered.
-    pub fn wants_probe(&self) -> bool {
+    pub fn needs_probe(&self) -> bool {
         self.owned
             && !self.leaving
             && self.in_flight + self.foreign < self.slots
@@ -156,7 +156,7 @@
     }
 
     /// Whether the prefix is probably cached.
-    pub fn holds(&self, prefix: u64) -> bool {
+    pub fn contains(&self, prefix: u64) -> bool {
         self.seen.contains_key(&prefix)
     }
 }
--- a/kernel/src/dispatch/estimate.rs
+++ b/kernel/src/dispatch/estimate.rs
@@ -117,7 +117,7 @@
     pub fn add(&mut self, tokens: u32, time: Duration) {
         let (x, y) = (f64::from(tokens), time.as_secs_f64());
         if self.weight > 0.0 {
-            let error = (y - self.expect(tokens).as_secs_f64()).abs();
+            let error = (y - self.estimate(tokens).as_secs_f64()).abs();
             self.error.add(error, ERROR_WINDOW);
         }
         self.weight = self.weight * FADE + 1.0;
@@ -128,13 +128,13 @@
     }
 
     /// Upper bound that the time to first token of such a prompt seldom exceeds.
-    pub fn expect_at_most(&self, tokens: u32) -> Duration {
+    pub fn estimate_high(&self, tokens: u32) -> Duration {
         let error = self.error.get().unwrap_or_default() * SAFE_ERRORS;
-        self.expect(tokens) + Duration::from_secs_f64(error)
+        self.estimate(tokens) + Duration::from_secs_f64(error)
     }
 
     /// Expected time to first token of a prompt with this many tokens; zero without samples.
-    pub fn expect(&self, tokens: u32) -> Duration {
+    pub fn estimate(&self, tokens: u32) -> Duration {
         if self.weight == 0.0 {
             return Duration::ZERO;
         }
@@ -153,13 +153,13 @@
 
 /// How fast a pool works through its queue.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PoolPace {
+pub struct PoolTiming {
     /// Cost that one slot completes per second.
     pub slot_rate: MovingMean,
     /// Seconds that a run occupies its slot.
-    pub hold: MovingMean,
+    pub run_time: MovingMean,
     /// Seconds from the request to stop a run until its slot is free.
-    pub stop: MovingMean,
+    pub stop_time: MovingMean,
     /// Time to first token by prompt length.
     pub first_token: FirstTokenModel,
 }
--- a/kernel/src/dispatch/fair.rs
+++ b/kernel/src/dispatch/fair.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use crate::dispatch::arena::{Arena, ArenaKey};
-use crate::dispatch::held::WorkKey;
+use crate::dispatch::work::WorkKey;
 use crate::ids::WorkspaceId;
 
 /// Key of a workspace's share.
@@ -145,7 +145,7 @@
         found
     }
 
-    /// Removes the call that [`Self::first`] returns and charges its cost to its workspace.
+    /// Removes the call that [`Self::peek`] returns and charges its cost to its workspace.
     pub fn serve(&mut self, item: QueueItem) {
         let Some((_, key)) = self.eligible.first().copied() else {
             return;
@@ -168,14 +168,14 @@
     }
 
     /// The call to serve next, or `None` if the queue is empty.
-    pub fn first(&self) -> Option<WorkKey> {
+    pub fn peek(&self) -> Option<WorkKey> {
         let (_, share) = self.eligible.first()?;
         self.shares[*share].queue.first().map(|(_, key)| *key)
     }
 
     /// The call to evict when the queue is full: the last one of the workspace that has been served
     /// most. `None` if the queue is empty.
-    pub fn last(&self) -> Option<WorkKey> {
+    pub fn eviction_candidate(&self) -> Option<WorkKey> {
         let (_, share) = self.starts.last()?;
         self.shares[*share].queue.last().map(|(_, key)| *key)
     }
--- a/kernel/src/dispatch/past.rs
+++ b/kernel/src/dispatch/finished.rs
@@ -14,15 +14,15 @@
 
 /// Attempts that are finished, or were cancelled before they were offered.
 #[derive(Debug, Default)]
-pub struct PastAttempts {
+pub struct FinishedAttempts {
     known: BTreeSet<AttemptId>,
     order: VecDeque<(Duration, AttemptId)>,
 }
 
-impl PastAttempts {
+impl FinishedAttempts {
     /// Records an attempt as finished.
     pub fn add(&mut self, now: Duration, attempt: AttemptId) {
-        self.forget(now);
+        self.expire(now);
         if self.known.insert(attempt) {
             self.order.push_back((now, attempt));
         }
@@ -34,7 +34,7 @@
     }
 
     /// Drops attempts that have expired.
-    pub fn forget(&mut self, now: Duration) {
+    pub fn expire(&mut self, now: Duration) {
         while let Some((at, attempt)) = self.order.front().copied() {
             if now < at + REMEMBERED && self.order.len() < MOST_REMEMBERED {
                 return;
--- a/kernel/src/dispatch/floors.rs
+++ b/kernel/src/dispatch/floors.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether the next free slot goes to this tier regardless of queued work in higher tiers.
-    pub fn is_owed(&self, slots: u32, running: u32) -> bool {
+    pub fn is_due(&self, slots: u32, running: u32) -> bool {
         let floor = self.slots(slots);
         let may_catch_up = f64::from(running) < (floor * MOST_TO_CATCH_UP).ceil();
         f64::from(running + 1) <= floor || (self.credit > 0.0 && may_catch_up)
--- a/kernel/src/dispatch/health.rs
+++ b/kernel/src/dispatch/health.rs
@@ -43,11 +43,11 @@
 
 /// How much a failure adds to an upstream's failure score.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HealthSign {
+pub enum FailureSeverity {
     /// Adds 1: the upstream refused a run, or the first token is overdue.
-    Slight,
+    Minor,
     /// Adds 2: the connection failed or broke.
-    Grave,
+    Major,
 }
 
 /// An upstream's health and the failures that led to it.
@@ -92,22 +92,22 @@
     }
 
     /// Records a load report, which ends the unproven state.
-    pub fn reported(&mut self, now: Duration) {
+    pub fn record_report(&mut self, now: Duration) {
         if let HealthState::Unproven { .. } = self.state {
             self.admit(now);
         }
     }
 
     /// Records that it produces tokens or responses, which resets the failure score.
-    pub fn progressed(&mut self) {
+    pub fn record_progress(&mut self) {
         self.strikes = 0;
     }
 
     /// Records a failure; returns whether it took the upstream out of service.
-    pub fn strike(&mut self, now: Duration, sign: HealthSign) -> bool {
+    pub fn record_failure(&mut self, now: Duration, sign: FailureSeverity) -> bool {
         self.strikes += match sign {
-            HealthSign::Slight => 1,
-            HealthSign::Grave => 2,
+            FailureSeverity::Minor => 1,
+            FailureSeverity::Major => 2,
         };
         if self.strikes < STRIKES && self.in_service() {
             return false;
@@ -141,7 +141,7 @@
     }
 
     /// When it is due for a probe, or `None` unless it is ejected.
-    pub fn probed_at(&self) -> Option<Duration> {
+    pub fn probe_due(&self) -> Option<Duration> {
         match self.state {
             HealthState::Ejected { until } => Some(until),
             _ => None,
--- a/kernel/src/dispatch/news.rs
+++ b/kernel/src/dispatch/notifier.rs
@@ -24,14 +24,14 @@
 
 /// The load last sent to each entry node, by pool.
 #[derive(Debug, Default)]
-pub struct LoadNews {
+pub struct LoadNotifier {
     told: BTreeMap<(PoolId, NodeId), ToldLoad>,
     next: Option<(PoolId, NodeId)>,
 }
 
-impl LoadNews {
+impl LoadNotifier {
     /// Records that a node offered work.
-    pub fn heard(&mut self, now: Duration, pool: PoolId, node: NodeId) {
+    pub fn record_offer(&mut self, now: Duration, pool: PoolId, node: NodeId) {
         self.told
             .entry((pool, node))
             .or_insert_with(|| ToldLoad {
@@ -43,7 +43,7 @@
     }
 
     /// Records that a reply carried the load to a node.
-    pub fn told(&mut self, now: Duration, pool: PoolId, node: NodeId, load: LoadSummary) {
+    pub fn record_sent(&mut self, now: Duration, pool: PoolId, node: NodeId, load: LoadSummary) {
         if let Some(told) = self.told.get_mut(&(pool, node)) {
             told.load = load;
             told.told = now;
@@ -51,7 +51,7 @@
     }
 
     /// Drops all state for a node.
-    pub fn forget(&mut self, node: NodeId) {
+    pub fn remove_node(&mut self, node: NodeId) {
         self.told.retain(|(_, other), _| *other != node);
     }
 
--- a/kernel/src/dispatch/pool.rs
+++ b/kernel/src/dispatch/pool.rs
@@ -9,12 +9,12 @@
 use crate::config::Config;
 use crate::dispatch::choice;
 use crate::dispatch::engine::EngineState;
-use crate::dispatch::estimate::{OutputEstimate, PoolPace};
+use crate::dispatch::estimate::{OutputEstimate, PoolTiming};
 use crate::dispatch::fair::{DEFAULT_LEAD, FairQueue};
 use crate::dispatch::floors::floor_share;
 use crate::dispatch::health::{EngineHealth, HealthState};
-use crate::dispatch::held::{HeldWork, StopCause, WorkArena, WorkKey, WorkRun};
 use crate::dispatch::tier::TierState;
+use crate::dispatch::work::{StopCause, WorkArena, WorkItem, WorkKey, WorkRun};
 use crate::ids::{UpstreamId, WorkspaceId};
 
 /// Options of the dispatch algorithm.
@@ -71,14 +71,14 @@
     /// Expected output lengths.
     pub outputs: OutputEstimate,
     /// Throughput and latency of the pool's runs.
-    pub pace: PoolPace,
+    pub timing: PoolTiming,
     /// Whether this is a pool of a plain service, whose responses have no tokens.
     pub plain: bool,
     /// Options of the dispatch algorithm.
     pub settings: DispatchSettings,
     pub(super) config: Arc<Config>,
     pub(super) median: Option<f64>,
-    pub(super) quiet: BTreeSet<(Duration, WorkKey)>,
+    pub(super) stall_deadlines: BTreeSet<(Duration, WorkKey)>,
     pub(super) ejected: Vec<UpstreamId>,
 }
 
@@ -171,14 +171,14 @@
     }
 
     /// Adds work to the queue of its tier.
-    pub fn enqueue(&mut self, now: Duration, key: WorkKey, held: &HeldWork) {
+    pub fn enqueue(&mut self, now: Duration, key: WorkKey, held: &WorkItem) {
         let weight = self.weight(held.work.spec.workspace);
         self.tier(now, held.work.spec.tier)
             .enqueue(key, held, weight);
     }
 
     /// Removes queued work from the queue of its tier.
-    pub fn dequeue(&mut self, key: WorkKey, held: &HeldWork) {
+    pub fn dequeue(&mut self, key: WorkKey, held: &WorkItem) {
         if let Some(tier) = self.tiers.get_mut(&held.work.spec.tier) {
             tier.dequeue(key, held);
         }
@@ -226,7 +226,7 @@
             .filter(|(_, state)| !state.queue.is_empty());
         let (highest, _) = waiting.next()?;
         let owed = waiting
-            .filter(|(_, state)| state.floor.is_owed(slots, state.running))
+            .filter(|(_, state)| state.floor.is_due(slots, state.running))
             .max_by(|(_, a), (_, b)| {
                 let a = a.floor.shortfall(slots, a.running);
                 let b = b.floor.shortfall(slots, b.running);
@@ -237,7 +237,7 @@
 
     fn next(&self, slots: u32, arena: &WorkArena) -> Option<(WorkKey, UpstreamId)> {
         let tier = self.next_tier(slots)?;
-        let key = self.tiers[&tier].queue.first()?;
+        let key = self.tiers[&tier].queue.peek()?;
         let spec = &arena[key].work.spec;
         if let Some(upstream) = choice::choose(&self.engines, self.median, spec) {
             return Some((key, upstream));
@@ -248,7 +248,7 @@
     /// An upstream to probe and the work to probe it with: the least urgent that is repeatable, or
     /// any work when no upstream is in service.
     fn next_probe(&self, arena: &WorkArena) -> Option<(WorkKey, UpstreamId)> {
-        let (upstream, _) = self.engines.iter().find(|(_, e)| e.wants_probe())?;
+        let (upstream, _) = self.engines.iter().find(|(_, e)| e.needs_probe())?;
         let in_service = self
             .engines
             .values()
@@ -257,7 +257,7 @@
             !in_service || (tier.0 > 0 && arena[key].work.spec.repeatable)
         };
         self.tiers.iter().rev().find_map(|(tier, state)| {
-            let key = state.queue.first()?;
+            let key = state.queue.peek()?;
             fits(tier, key).then_some((key, *upstream))
         })
     }
@@ -265,30 +265,30 @@
     fn start(&mut self, now: Duration, key: WorkKey, upstream: UpstreamId, arena: &mut WorkArena) {
         let held = &mut arena[key];
         let prompt = held.work.spec.prompt_tokens + held.work.resume_from;
-        let due = self.patience(prompt).map(|patience| now + patience);
+        let stall_due = self.stall_timeout(prompt).map(|patience| now + patience);
         held.run = Some(WorkRun {
             upstream,
             started: now,
             sent: false,
             tokens: 0,
-            heard: now,
-            due,
+            last_token: now,
+            stall_due,
             stop: None,
         });
         let spec = held.work.spec;
         if let Some(engine) = self.engines.get_mut(&upstream) {
-            engine.count(now, engine.in_flight + 1);
+            engine.set_in_flight(now, engine.in_flight + 1);
             if let HealthState::Probing { running } = &mut engine.health.state {
                 *running = true;
             }
         }
-        if let Some(due) = due {
-            self.quiet.insert((due, key));
+        if let Some(due) = stall_due {
+            self.stall_deadlines.insert((due, key));
         }
         let tier = self.tier(now, spec.tier);
         tier.running += 1;
         tier.serve(key, held);
-        tier.watch(key, held);
+        tier.add_victim(key, held);
     }
 
     /// Asks a run to stop, so that it is requeued once its slot is free, or dropped if it was
@@ -298,12 +298,12 @@
         let Some(tier) = self.tiers.get_mut(&held.work.spec.tier) else {
             return false;
         };
-        tier.unwatch(key, held);
+        tier.remove_victim(key, held);
         let Some(run) = &mut held.run else {
             return false;
         };
         let before = run.stop;
-        if before != Some(StopCause::Unwanted) {
+        if before != Some(StopCause::Cancelled) {
             run.stop = Some(cause);
         }
         if before.is_none() {
--- a/kernel/src/dispatch/preemption.rs
+++ b/kernel/src/dispatch/preemption.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use crate::call::Tier;
-use crate::dispatch::health::HealthSign;
-use crate::dispatch::held::{StopCause, WorkArena, WorkKey};
+use crate::dispatch::health::FailureSeverity;
 use crate::dispatch::pool::{Decision, PoolState};
+use crate::dispatch::work::{StopCause, WorkArena, WorkKey};
 use crate::ids::UpstreamId;
 
 /// Most queued calls of a tier that are checked for missing their latest start.
@@ -60,9 +60,9 @@
         else {
             return 0;
         };
-        let hold = self.pace.hold.get().unwrap_or(1.0);
+        let hold = self.timing.run_time.get().unwrap_or(1.0);
         let gap = hold / f64::from(self.running().max(1));
-        let stop = self.pace.stop.get().unwrap_or(STOP_GUESS);
+        let stop = self.timing.stop_time.get().unwrap_or(STOP_GUESS);
         let wait = |rank: usize| {
             let seconds = rank as f64 * gap * MARGIN + stop;
             now + Duration::from_secs_f64(seconds.min(3_600.0))
@@ -92,8 +92,8 @@
 
     /// Time without a first token after which a run counts as stalled; `None` while the usual time
     /// is unknown, and for plain services.
-    pub(super) fn patience(&self, prompt: u32) -> Option<Duration> {
-        let expected = self.pace.first_token.expect(prompt);
+    pub(super) fn stall_timeout(&self, prompt: u32) -> Option<Duration> {
+        let expected = self.timing.first_token.estimate(prompt);
         (expected > Duration::ZERO && !self.plain)
             .then(|| (expected * STALL_FACTOR).max(STALL_LEAST))
     }
@@ -106,39 +106,49 @@
         arena: &mut WorkArena,
         out: &mut Vec<Decision>,
     ) {
-        while let Some((due, key)) = self.quiet.first().copied() {
+        while let Some((due, key)) = self.stall_deadlines.first().copied() {
             if due > now {
                 break;
             }
-            self.quiet.pop_first();
+            self.stall_deadlines.pop_first();
             let Some(run) = arena.get(key).and_then(|held| held.run) else {
                 continue;
             };
-            self.strike(now, run.upstream, HealthSign::Slight);
+            self.record_failure(now, run.upstream, FailureSeverity::Minor);
             self.move_run(key, arena, out);
         }
         while let Some(upstream) = self.ejected.pop() {
-            self.evacuate(upstream, arena, out);
+            self.move_runs_off(upstream, arena, out);
         }
     }
 
     /// Records a failure of an upstream, which may eject it.
-    pub(super) fn strike(&mut self, now: Duration, upstream: UpstreamId, sign: HealthSign) {
+    pub(super) fn record_failure(
+        &mut self,
+        now: Duration,
+        upstream: UpstreamId,
+        sign: FailureSeverity,
+    ) {
         let Some(engine) = self.engines.get_mut(&upstream) else {
             return;
         };
         if !self.settings.ejection {
             return;
         }
-        if engine.health.strike(now, sign) {
+        if engine.health.record_failure(now, sign) {
             self.ejected.push(upstream);
         }
     }
 
     /// Moves runs without a token off an upstream that was ejected.
-    fn evacuate(&mut self, upstream: UpstreamId, arena: &mut WorkArena, out: &mut Vec<Decision>) {
+    fn move_runs_off(
+        &mut self,
+        upstream: UpstreamId,
+        arena: &mut WorkArena,
+        out: &mut Vec<Decision>,
+    ) {
         let waiting: Vec<WorkKey> = self
-            .quiet
+            .stall_deadlines
             .iter()
             .map(|(_, key)| *key)
             .filter(|key| {
--- a/kernel/src/dispatch/replies.rs
+++ b/kernel/src/dispatch/replies.rs
@@ -2,8 +2,8 @@
 
 use crate::call::{AttemptEnd, LoadSummary, ReturnReason, WorkSpec};
 use crate::dispatch::WorkDispatcher;
-use crate::dispatch::held::{HeldWork, WorkKey};
 use crate::dispatch::pool::PoolState;
+use crate::dispatch::work::{WorkItem, WorkKey};
 use crate::ids::{AttemptId, NodeId, PoolId};
 use crate::plugin::Context;
 use crate::wire::WorkMessage;
@@ -25,7 +25,7 @@
     ) {
         let pool = work.spec.pool;
         let load = self.load(pool);
-        self.news.told(context.now, pool, entry, load);
+        self.notifier.record_sent(context.now, pool, entry, load);
         let attempt = work.attempt;
         context.send(
             entry,
@@ -45,19 +45,20 @@
         reason: ReturnReason,
         context: &mut Context<'_>,
     ) {
-        self.past.add(context.now, work.attempt);
+        self.finished.add(context.now, work.attempt);
         self.answer_returned(entry, &work, reason, context);
     }
 
     pub(super) fn answer_ended(
         &mut self,
-        held: &HeldWork,
+        held: &WorkItem,
         end: AttemptEnd,
         context: &mut Context<'_>,
     ) {
         let pool = held.work.spec.pool;
         let load = self.load(pool);
-        self.news.told(context.now, pool, held.entry, load);
+        self.notifier
+            .record_sent(context.now, pool, held.entry, load);
         let attempt = held.work.attempt;
         context.send(held.entry, WorkMessage::Ended { attempt, end, load });
     }
@@ -88,12 +89,12 @@
     /// can have reached an upstream.
     pub(super) fn answer_waiting(
         &mut self,
-        held: &HeldWork,
+        held: &WorkItem,
         reason: ReturnReason,
         context: &mut Context<'_>,
     ) {
-        if held.ran || held.passed > 0 {
-            let tokens = held.passed;
+        if held.ran || held.forwarded > 0 {
+            let tokens = held.forwarded;
             self.answer_ended(held, AttemptEnd::Cancelled { tokens }, context);
         } else {
             self.answer_returned(held.entry, &held.work, reason, context);
--- a/kernel/src/dispatch/runs.rs
+++ b/kernel/src/dispatch/runs.rs
@@ -6,9 +6,9 @@
 use crate::call::{AttemptEnd, LoadReport};
 use crate::dispatch::choice::median_speed;
 use crate::dispatch::estimate::{MovingMean, TOKEN_COST, cost_of};
-use crate::dispatch::health::{HealthSign, HealthState};
-use crate::dispatch::held::{HeldWork, MAX_REQUEUES, StopCause, WorkArena, WorkKey, WorkRun};
+use crate::dispatch::health::{FailureSeverity, HealthState};
 use crate::dispatch::pool::PoolState;
+use crate::dispatch::work::{MAX_REQUEUES, StopCause, WorkArena, WorkItem, WorkKey, WorkRun};
 use crate::ids::UpstreamId;
 
 /// Multiple of the pool's median seconds per token above which an upstream is ejected as a
@@ -30,7 +30,7 @@
     /// It goes back into the queue.
     Requeued,
     /// It is finished, and the entry node is sent this end.
-    Over(AttemptEnd),
+    Ended(AttemptEnd),
 }
 
 impl PoolState {
@@ -52,40 +52,40 @@
             return false;
         }
         if let Some(tier) = self.tiers.get_mut(&held.work.spec.tier) {
-            tier.unwatch(key, held);
+            tier.remove_victim(key, held);
         }
         let prompt = held.work.spec.prompt_tokens + held.work.resume_from;
         if run.tokens == 0 {
-            self.unquiet(key, &run);
-            self.pace
+            self.clear_stall_deadline(key, &run);
+            self.timing
                 .first_token
                 .add(prompt, now.saturating_sub(run.started));
         } else {
-            let time = now.saturating_sub(run.heard).as_secs_f64();
+            let time = now.saturating_sub(run.last_token).as_secs_f64();
             self.speed_sample(run.upstream, time / f64::from(fresh));
         }
         if let Some(engine) = self.engines.get_mut(&run.upstream) {
-            engine.health.progressed();
+            engine.health.record_progress();
             if run.tokens == 0 {
                 engine.prefixes.add(held.work.spec.prefix);
             }
         }
         held.run = Some(WorkRun {
             tokens,
-            heard: now,
+            last_token: now,
             ..run
         });
         self.charge_excess(held, tokens);
         if run.stop.is_none()
             && let Some(tier) = self.tiers.get_mut(&held.work.spec.tier)
         {
-            tier.watch(key, held);
+            tier.add_victim(key, held);
         }
         self.judge(now, run.upstream)
     }
 
     /// Charges the workspace for tokens beyond the estimate as they are generated.
-    fn charge_excess(&mut self, held: &mut HeldWork, tokens: u32) {
+    fn charge_excess(&mut self, held: &mut WorkItem, tokens: u32) {
         let spent = cost_of(held.work.spec.prompt_tokens, tokens);
         let Some(excess) = spent.checked_sub(held.cost).filter(|excess| *excess > 0) else {
             return;
@@ -97,9 +97,9 @@
         }
     }
 
-    fn unquiet(&mut self, key: WorkKey, run: &WorkRun) {
-        if let Some(due) = run.due {
-            self.quiet.remove(&(due, key));
+    fn clear_stall_deadline(&mut self, key: WorkKey, run: &WorkRun) {
+        if let Some(due) = run.stall_due {
+            self.stall_deadlines.remove(&(due, key));
         }
     }
 
@@ -162,53 +162,53 @@
         self.settle(now);
         let held = &mut arena[key];
         let Some(run) = held.run.take() else {
-            return RunEnd::Over(end);
+            return RunEnd::Ended(end);
         };
         self.release(now, key, held, &run);
-        self.unquiet(key, &run);
+        self.clear_stall_deadline(key, &run);
         self.learn(now, held, &run, end);
         let ran_before = held.ran;
         held.ran |= run.sent;
         let tokens = tokens_of(end);
         if self.goes_on(held, &run, end) {
-            held.passed += tokens;
+            held.forwarded += tokens;
             held.work.resume_from += tokens;
             held.requeues += 1;
-            if held.begun() {
+            if held.may_have_run() {
                 // The caller waits for the next token, so the work is due now.
                 held.deadline = now;
             }
             held.cost = self.remaining_cost(held);
             return RunEnd::Requeued;
         }
-        RunEnd::Over(whole_end(held, ran_before, end))
+        RunEnd::Ended(whole_end(held, ran_before, end))
     }
 
-    fn release(&mut self, now: Duration, key: WorkKey, held: &HeldWork, run: &WorkRun) {
+    fn release(&mut self, now: Duration, key: WorkKey, held: &WorkItem, run: &WorkRun) {
         if let Some(tier) = self.tiers.get_mut(&held.work.spec.tier) {
             tier.running -= 1;
             tier.stopping -= u32::from(run.stop.is_some());
-            let with_run = HeldWork {
+            let with_run = WorkItem {
                 run: Some(*run),
                 ..*held
             };
-            tier.unwatch(key, &with_run);
+            tier.remove_victim(key, &with_run);
         }
         if let Some(engine) = self.engines.get_mut(&run.upstream) {
-            engine.count(now, engine.in_flight.saturating_sub(1));
+            engine.set_in_flight(now, engine.in_flight.saturating_sub(1));
         }
         self.engines
             .retain(|_, engine| engine.owned || engine.in_flight > 0);
     }
 
-    fn learn(&mut self, now: Duration, held: &mut HeldWork, run: &WorkRun, end: AttemptEnd) {
+    fn learn(&mut self, now: Duration, held: &mut WorkItem, run: &WorkRun, end: AttemptEnd) {
         let spec = held.work.spec;
         let time = now.saturating_sub(run.started).as_secs_f64();
         let tokens = tokens_of(end);
         if let AttemptEnd::Complete { .. } = end {
-            self.outputs.observe(&spec, held.passed + tokens);
+            self.outputs.observe(&spec, held.forwarded + tokens);
             if self.plain {
-                self.pace
+                self.timing
                     .first_token
                     .add(0, now.saturating_sub(run.started));
                 self.speed_sample(run.upstream, time);
@@ -217,8 +217,8 @@
         }
         let spent = cost_of(spec.prompt_tokens, tokens.max(run.tokens));
         if time > 0.0 && run.sent {
-            self.pace.hold.add(time, 500);
-            self.pace.slot_rate.add(spent as f64 / time, 500);
+            self.timing.run_time.add(time, 500);
+            self.timing.slot_rate.add(spent as f64 / time, 500);
         }
         let charged = held.cost;
         held.cost = spent;
@@ -232,9 +232,9 @@
     fn judge_end(&mut self, now: Duration, run: &WorkRun, end: AttemptEnd) {
         match end {
             AttemptEnd::Complete { .. } => self.judge_complete(now, run.upstream),
-            AttemptEnd::Refused => self.strike(now, run.upstream, HealthSign::Slight),
+            AttemptEnd::Refused => self.record_failure(now, run.upstream, FailureSeverity::Minor),
             AttemptEnd::Unsent | AttemptEnd::Broken { .. } => {
-                self.strike(now, run.upstream, HealthSign::Grave);
+                self.record_failure(now, run.upstream, FailureSeverity::Major);
             }
             AttemptEnd::Cancelled { .. } => {
                 if let Some(engine) = self.engines.get_mut(&run.upstream)
@@ -250,7 +250,7 @@
         let Some(engine) = self.engines.get_mut(&upstream) else {
             return;
         };
-        engine.health.progressed();
+        engine.health.record_progress();
         let HealthState::Probing { .. } = engine.health.state else {
             return;
         };
@@ -265,8 +265,8 @@
         }
     }
 
-    fn goes_on(&self, held: &HeldWork, run: &WorkRun, end: AttemptEnd) -> bool {
-        if run.stop == Some(StopCause::Unwanted) || !self.is_owned() {
+    fn goes_on(&self, held: &WorkItem, run: &WorkRun, end: AttemptEnd) -> bool {
+        if run.stop == Some(StopCause::Cancelled) || !self.is_owned() {
             return false;
         }
         match end {
@@ -283,7 +283,7 @@
     }
 
     /// Estimated cost of the rest of a call, after part of it was forwarded.
-    fn remaining_cost(&self, held: &HeldWork) -> u64 {
+    fn remaining_cost(&self, held: &WorkItem) -> u64 {
         let spec = &held.work.spec;
         let expected = self.outputs.tokens(spec);
         let left = expected.saturating_sub(held.work.resume_from);
@@ -294,8 +294,8 @@
     /// Applies an upstream's load report.
     pub fn reported(&mut self, now: Duration, upstream: UpstreamId, report: &LoadReport) {
         if let Some(engine) = self.engines.get_mut(&upstream) {
-            engine.report(now, report);
-            engine.health.reported(now);
+            engine.apply_report(now, report);
+            engine.health.record_report(now);
         }
     }
 
@@ -312,14 +312,14 @@
     }
 
     /// Marks an upstream as leaving, so that it is assigned no new work.
-    pub fn upstream_leaves(&mut self, upstream: UpstreamId) {
+    pub fn mark_leaving(&mut self, upstream: UpstreamId) {
         if let Some(engine) = self.engines.get_mut(&upstream) {
             engine.leaving = true;
         }
     }
 
     /// Clears the leaving mark, so that the upstream may be assigned work again.
-    pub fn upstream_returns(&mut self, upstream: UpstreamId) {
+    pub fn clear_leaving(&mut self, upstream: UpstreamId) {
         if let Some(engine) = self.engines.get_mut(&upstream) {
             engine.leaving = false;
         }
@@ -337,7 +337,7 @@
         for engine in self.engines.values_mut() {
             let before = engine.health.state;
             engine.health.tick(now);
-            engine.weigh_reports(now);
+            engine.update_foreign(now);
             let probing = engine.health.state == HealthState::Probing { running: false };
             if probing && before != engine.health.state {
                 engine.speed = MovingMean::default();
@@ -358,20 +358,20 @@
 /// The end that is sent to the entry node. It includes the tokens of earlier runs of the same
 /// attempt, and says that the attempt did not run only if no run of it can have reached an
 /// upstream.
-fn whole_end(held: &HeldWork, ran_before: bool, end: AttemptEnd) -> AttemptEnd {
-    let passed = held.passed;
+fn whole_end(held: &WorkItem, ran_before: bool, end: AttemptEnd) -> AttemptEnd {
+    let forwarded = held.forwarded;
     match end {
         AttemptEnd::Complete { tokens } => AttemptEnd::Complete {
-            tokens: passed + tokens,
+            tokens: forwarded + tokens,
         },
         AttemptEnd::Broken { tokens } => AttemptEnd::Broken {
-            tokens: passed + tokens,
+            tokens: forwarded + tokens,
         },
         AttemptEnd::Cancelled { tokens } => AttemptEnd::Cancelled {
-            tokens: passed + tokens,
+            tokens: forwarded + tokens,
         },
-        AttemptEnd::Unsent if held.ran => AttemptEnd::Broken { tokens: passed },
-        AttemptEnd::Refused if ran_before => AttemptEnd::Broken { tokens: passed },
+        AttemptEnd::Unsent if held.ran => AttemptEnd::Broken { tokens: forwarded },
+        AttemptEnd::Refused if ran_before => AttemptEnd::Broken { tokens: forwarded },
         AttemptEnd::Refused | AttemptEnd::Unsent => end,
     }
 }
--- a/kernel/src/dispatch/state.rs
+++ b/kernel/src/dispatch/state.rs
@@ -66,7 +66,7 @@
     json!({
         "tiers": tiers,
         "upstreams": upstreams,
-        "slot_hold_seconds": pool.pace.hold.get(),
+        "slot_hold_seconds": pool.timing.run_time.get(),
     })
 }
 
@@ -98,7 +98,7 @@
         json!({
             "queued": queued,
             "running": running,
-            "attempts_remembered": self.past.len(),
+            "attempts_remembered": self.finished.len(),
             "leaving": self.leaving,
             "started": self.counts.started,
             "preempted": self.counts.preempted,
--- a/kernel/src/dispatch/tier.rs
+++ b/kernel/src/dispatch/tier.rs
@@ -5,7 +5,7 @@
 
 use crate::dispatch::fair::{FairQueue, QueueItem};
 use crate::dispatch::floors::TierFloor;
-use crate::dispatch::held::{HeldWork, WorkKey};
+use crate::dispatch::work::{WorkItem, WorkKey};
 
 /// The state of one tier of one pool.
 #[derive(Debug, Default)]
@@ -25,7 +25,7 @@
 }
 
 /// The queue's entry for a piece of work.
-pub fn queue_item(key: WorkKey, held: &HeldWork) -> QueueItem {
+pub fn queue_item(key: WorkKey, held: &WorkItem) -> QueueItem {
     QueueItem {
         key,
         workspace: held.work.spec.workspace,
@@ -36,35 +36,35 @@
 
 impl TierState {
     /// Queues work for a workspace with this weight.
-    pub fn enqueue(&mut self, key: WorkKey, held: &HeldWork, weight: u32) {
+    pub fn enqueue(&mut self, key: WorkKey, held: &WorkItem, weight: u32) {
         self.queue.push(queue_item(key, held), weight);
-        if !held.begun() {
+        if !held.may_have_run() {
             self.expiry.insert((held.latest_start, key));
         }
     }
 
     /// Removes queued work.
-    pub fn dequeue(&mut self, key: WorkKey, held: &HeldWork) {
+    pub fn dequeue(&mut self, key: WorkKey, held: &WorkItem) {
         self.queue.remove(queue_item(key, held));
         self.expiry.remove(&(held.latest_start, key));
     }
 
     /// Removes the first work in the queue to start it, and charges its cost to the workspace.
-    pub fn serve(&mut self, key: WorkKey, held: &HeldWork) {
+    pub fn serve(&mut self, key: WorkKey, held: &WorkItem) {
         self.queue.serve(queue_item(key, held));
         self.expiry.remove(&(held.latest_start, key));
     }
 
     /// Adds a run to the preemption candidates, unless it may not be stopped.
-    pub fn watch(&mut self, key: WorkKey, held: &HeldWork) {
+    pub fn add_victim(&mut self, key: WorkKey, held: &WorkItem) {
         if held.can_move() {
-            self.victims.insert((held.loss(), key));
+            self.victims.insert((held.restart_cost(), key));
         }
     }
 
     /// Removes a run from the preemption candidates.
-    pub fn unwatch(&mut self, key: WorkKey, held: &HeldWork) {
-        self.victims.remove(&(held.loss(), key));
+    pub fn remove_victim(&mut self, key: WorkKey, held: &WorkItem) {
+        self.victims.remove(&(held.restart_cost(), key));
     }
 
     /// Slots that the tier uses above its floor, out of `slots` in the pool.
--- a/kernel/src/dispatch/held.rs
+++ b/kernel/src/dispatch/work.rs
@@ -7,17 +7,17 @@
 use crate::ids::{NodeId, UpstreamId};
 
 /// Key of a piece of work in the [`WorkArena`].
-pub type WorkKey = ArenaKey<HeldWork>;
+pub type WorkKey = ArenaKey<WorkItem>;
 
 /// All work that a node has accepted as an owner.
-pub type WorkArena = Arena<HeldWork>;
+pub type WorkArena = Arena<WorkItem>;
 
 /// How often an owner may requeue one attempt.
 pub const MAX_REQUEUES: u8 = 3;
 
 /// A piece of work at its owner.
 #[derive(Clone, Copy, Debug)]
-pub struct HeldWork {
+pub struct WorkItem {
     /// The work as offered; `resume_from` grows each time it is requeued.
     pub work: WorkSpec,
     /// The entry node that offered it.
@@ -29,7 +29,7 @@
     /// Estimated cost, as counted in the queue and later charged to the workspace.
     pub cost: u64,
     /// Tokens forwarded in earlier runs of this attempt.
-    pub passed: u32,
+    pub forwarded: u32,
     /// How often it was requeued.
     pub requeues: u8,
     /// Whether an earlier run of this attempt may have reached an upstream.
@@ -38,10 +38,10 @@
     pub run: Option<WorkRun>,
 }
 
-impl HeldWork {
+impl WorkItem {
     /// Whether the caller has tokens or an upstream may have run it. Its time to first token is
     /// then settled, and it is no longer rejected.
-    pub fn begun(&self) -> bool {
+    pub fn may_have_run(&self) -> bool {
         self.ran || self.work.resume_from > 0
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// Cost of stopping it: the tokens that an upstream would have to process again.
-    pub fn loss(&self) -> u64 {
+    pub fn restart_cost(&self) -> u64 {
         let tokens = self.run.map_or(0, |run| run.tokens);
         u64::from(self.work.spec.prompt_tokens)
             + u64::from(self.work.resume_from)
@@ -71,9 +71,9 @@
     /// Tokens received in this run so far.
     pub tokens: u32,
     /// When the newest tokens arrived; the start time before the first.
-    pub heard: Duration,
+    pub last_token: Duration,
     /// When it counts as stalled unless a token arrives first; `None` if it cannot stall.
-    pub due: Option<Duration>,
+    pub stall_due: Option<Duration>,
     /// Why it was asked to stop; `None` if it was not.
     pub stop: Option<StopCause>,
 }
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopCause {
     /// The entry node cancelled it.
-    Unwanted,
+    Cancelled,
     /// A higher tier needs its slot.
     Preempted,
     /// Its upstream is too slow or failing.
--- a/kernel/src/gateway/duty.rs
+++ b/kernel/src/gateway/duty.rs
@@ -68,7 +68,7 @@
 
 /// The fencing token under a lease; 0 is none's.
 fn token_of(held: HeldLease) -> u64 {
-    held.claimed + 1
+    held.claim_offset + 1
 }
 
 /// What this node knows of the lease on duties. Its times are those of a clock that goes on while the
@@ -91,7 +91,7 @@
     pub fn new(node: NodeId, incarnation: Incarnation, length: Duration) -> Self {
         let terms = LeaseTerms {
             length,
-            margin: DRIFT_MARGIN,
+            drift_margin: DRIFT_MARGIN,
             flight: CALL_FLIGHT,
             claim_wait: CLAIM_WAIT,
         };
@@ -117,7 +117,7 @@
         self.end = None;
         self.first_window = window;
         self.read_back = None;
-        self.state.start_over(now);
+        self.state.reset(now);
         true
     }
 
@@ -152,12 +152,12 @@
             record: record.lease.clone(),
         };
         let (node, incarnation) = (self.node, self.incarnation);
-        self.state.see(&head, node, incarnation, now, random);
+        self.state.apply(&head, node, incarnation, now, random);
     }
 
     /// Whether the topic has to be read before anything can be appended, or done under a claim.
     pub fn needs_read(&self, now: Duration) -> bool {
-        let unread = |held: HeldLease| self.read_back.is_none_or(|at| at < held.claimed);
+        let unread = |held: HeldLease| self.read_back.is_none_or(|at| at < held.claim_offset);
         self.end.is_none() || self.state.held(now).is_some_and(unread)
     }
 
@@ -204,7 +204,7 @@
     /// The topic ended elsewhere, so the claim does not stand.
     pub fn refused(&mut self) {
         self.end = None;
-        self.state.refused();
+        self.state.claim_rejected();
     }
 
     /// Has the log read again before anything more is done: a claim without an answer may stand, or may
@@ -217,7 +217,7 @@
     pub fn fenced(&mut self, now: Duration) {
         self.end = None;
         self.read_back = None;
-        self.state.start_over(now);
+        self.state.reset(now);
     }
 
     /// The fencing token of this node's claim, if it holds the lease; it may not act yet.
@@ -245,7 +245,7 @@
 
     /// The lease's newest record, as a position in the log; none if none is known.
     pub fn newest(&self) -> Option<u64> {
-        self.state.newest()
+        self.state.newest_offset()
     }
 
     /// Takes in the lease's newest record as another node's heartbeat names it. It counts as if it was read
@@ -265,7 +265,7 @@
             },
         };
         let (node, incarnation) = (self.node, self.incarnation);
-        self.state.see(&head, node, incarnation, now, random);
+        self.state.apply(&head, node, incarnation, now, random);
     }
 
     /// The first window whose usage no earlier era can have reported.
--- a/kernel/src/keys.rs
+++ b/kernel/src/keys.rs
@@ -5,7 +5,7 @@
 //! authentication code over all of it and the workspace (HMAC-SHA-256 of RFC 2104 and FIPS 180-4,
 //! truncated to 128 bits). Only the minter ever checks a key, so the secret never leaves its memory.
 
-pub mod memory;
+pub mod outcomes;
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 use crate::plugin::NodeProfile;
 
 /// Time from minting during which a key may run its call.
-pub const KEY_LIFE: Duration = Duration::from_mins(15);
+pub const KEY_LIFETIME: Duration = Duration::from_mins(15);
 
 const VERSION: &str = "mb1";
 const MAC_BYTES: usize = 16;
--- a/kernel/src/keys/memory.rs
+++ b/kernel/src/keys/outcomes.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use super::{KEY_LIFE, KeyParts};
+use super::{KEY_LIFETIME, KeyParts};
 use crate::call::CallOutcome;
 use crate::ids::{CallId, NodeId, WorkspaceId};
 
@@ -34,7 +34,7 @@
 
 /// What is to be done with a call that carries a valid key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyVerdict {
+pub enum KeyDecision {
     /// Nothing ran under this key: run the call.
     Run,
     /// The call runs now as `original`; its answer is this call's too.
@@ -50,7 +50,7 @@
         outcome: CallOutcome,
     },
     /// The same message came twice.
-    Doubled,
+    Duplicate,
     /// The key was used for another request.
     Conflict,
     /// Too old, or forgotten: it may have run.
@@ -89,7 +89,7 @@
 
 /// Outcomes by key, bounded in number and time.
 #[derive(Debug, Default)]
-pub struct KeyMemory {
+pub struct KeyOutcomes {
     entries: BTreeMap<u64, KeyEntry>,
     /// Entries whose call does not run, by the second until which they are kept.
     expiry: BTreeSet<(u64, u64)>,
@@ -99,7 +99,7 @@
     gone: Vec<CallId>,
 }
 
-impl KeyMemory {
+impl KeyOutcomes {
     /// Decides on a call with a key that is valid for the workspace, and remembers it.
     pub fn admit(
         &mut self,
@@ -109,35 +109,35 @@
         call: CallId,
         origin: CallOrigin,
         now: Duration,
-    ) -> KeyVerdict {
+    ) -> KeyDecision {
         let sequence = key.sequence;
         let keys = self.workspaces.entry(workspace).or_default();
         if let Some(entry) = self.entries.get_mut(&sequence) {
             let verdict = entry.admit(fingerprint, call, origin);
-            if verdict == KeyVerdict::Run {
+            if verdict == KeyDecision::Run {
                 self.expiry.remove(&(entry.until, sequence));
                 keys.expiry.remove(&(entry.until, sequence));
             }
             return verdict;
         }
-        if sequence < keys.floor || key.age(now) > KEY_LIFE {
-            return KeyVerdict::Expired;
+        if sequence < keys.floor || key.age(now) > KEY_LIFETIME {
+            return KeyDecision::Expired;
         }
         keys.remembered += 1;
         let entry = KeyEntry {
             workspace,
             state: KeyState::Running(call),
             fingerprint,
-            until: key.second + KEY_LIFE.as_secs() + 1,
+            until: key.second + KEY_LIFETIME.as_secs() + 1,
             seen: vec![call],
             joined: Vec::new(),
         };
         self.entries.insert(sequence, entry);
-        KeyVerdict::Run
+        KeyDecision::Run
     }
 
     /// Notes how the call of a key ended; gives the calls that wait for the same outcome.
-    pub fn end(
+    pub fn record_outcome(
         &mut self,
         sequence: u64,
         outcome: CallOutcome,
@@ -191,7 +191,7 @@
     }
 
     /// Forgets what is too old or too much; gives the calls whose kept answers may go.
-    pub fn forget(&mut self, now: Duration) -> Vec<CallId> {
+    pub fn expire(&mut self, now: Duration) -> Vec<CallId> {
         while self.answers.len() > MAX_ANSWERS {
             if let Some(sequence) = self.answers.pop_front() {
                 self.drop_answer(sequence);
@@ -247,25 +247,25 @@
 }
 
 impl KeyEntry {
-    fn admit(&mut self, fingerprint: u64, call: CallId, origin: CallOrigin) -> KeyVerdict {
+    fn admit(&mut self, fingerprint: u64, call: CallId, origin: CallOrigin) -> KeyDecision {
         if self.seen.contains(&call) {
-            return KeyVerdict::Doubled;
+            return KeyDecision::Duplicate;
         }
         if self.fingerprint != fingerprint {
-            return KeyVerdict::Conflict;
+            return KeyDecision::Conflict;
         }
         if let KeyState::Ended(original, outcome) = self.state {
-            return KeyVerdict::Repeat { original, outcome };
+            return KeyDecision::Repeat { original, outcome };
         }
         if self.seen.len() >= MAX_CALLS {
-            return KeyVerdict::Expired;
+            return KeyDecision::Expired;
         }
         self.seen.push(call);
         if let KeyState::Running(original) = self.state {
             self.joined.push((call, origin));
-            return KeyVerdict::Join { original };
+            return KeyDecision::Join { original };
         }
         self.state = KeyState::Running(call);
-        KeyVerdict::Run
+        KeyDecision::Run
     }
 }
--- a/kernel/src/leases.rs
+++ b/kernel/src/leases.rs
@@ -94,7 +94,7 @@
 
 /// Claims the lease when there are orders to give, and gives them.
 #[derive(Debug, Default)]
-pub struct LeaseKeeper {
+pub struct LeaseManager {
     config: Arc<Config>,
     view: Arc<MemberView>,
     lease: LeaseState,
@@ -106,7 +106,7 @@
     leaving: bool,
 }
 
-impl LeaseKeeper {
+impl LeaseManager {
     /// The node to hand an order to: the holder, or else the claimant of the given rank.
     fn giver(&self, tries: u32, now: Duration) -> Option<NodeId> {
         let live = |node: &NodeId| {
@@ -176,7 +176,7 @@
             return;
         }
         if result == AppendResult::Refused {
-            self.lease.refused();
+            self.lease.claim_rejected();
         }
         self.failures += 1;
         self.not_before = context.now + backoff(self.failures, context.random);
@@ -246,7 +246,7 @@
     }
 }
 
-impl Plugin for LeaseKeeper {
+impl Plugin for LeaseManager {
     fn handle(&mut self, event: &Event, context: &mut Context<'_>) {
         match event {
             Event::ConfigApplied(config) => self.config = Arc::clone(config),
@@ -255,7 +255,7 @@
                 let profile = context.profile;
                 let (node, incarnation) = (profile.node, profile.incarnation);
                 self.lease
-                    .see(head, node, incarnation, context.now, context.random);
+                    .apply(head, node, incarnation, context.now, context.random);
                 self.give(context);
             }
             Event::AppendDone { ticket, result } if ticket.is_of(AppendOwner::Lease) => {
@@ -316,7 +316,7 @@
 }
 
 fn build(_profile: &NodeProfile) -> Box<dyn Plugin> {
-    Box::<LeaseKeeper>::default()
+    Box::<LeaseManager>::default()
 }
 
 inventory::submit! {
--- a/kernel/src/leases/lease.rs
+++ b/kernel/src/leases/lease.rs
@@ -20,7 +20,7 @@
 
 /// The longest time that an order may go on taking effect after it was sent: its edge gives up the
 /// request after this.
-pub const ORDER_FLIGHT: Duration = Duration::from_secs(10);
+pub const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How long a claim may take to be read back before it is sent again.
 const CLAIM_WAIT: Duration = Duration::from_secs(3);
@@ -31,7 +31,7 @@
     /// How long it holds.
     pub length: Duration,
     /// Part that its holder leaves unused, for clocks that run at different rates.
-    pub margin: Duration,
+    pub drift_margin: Duration,
     /// Longest time that an order may go on taking effect after it was sent.
     pub flight: Duration,
     /// How long a claim may take to be read back before it is sent again.
@@ -42,8 +42,8 @@
     fn default() -> Self {
         Self {
             length: LEASE_LENGTH,
-            margin: DRIFT_MARGIN,
-            flight: ORDER_FLIGHT,
+            drift_margin: DRIFT_MARGIN,
+            flight: ORDER_TIMEOUT,
             claim_wait: CLAIM_WAIT,
         }
     }
@@ -55,7 +55,7 @@
     /// The offset of its newest record.
     pub fencing: u64,
     /// The offset of the claim since which no other node has held it.
-    pub claimed: u64,
+    pub claim_offset: u64,
     /// The time from which no order may be given under it.
     pub until: Duration,
 }
@@ -79,7 +79,7 @@
     lapses: Duration,
     quiet_until: Duration,
     held: Option<HeldLease>,
-    claimed: u64,
+    claim_offset: u64,
     claim: Option<PendingClaim>,
     renew_at: Duration,
 }
@@ -99,13 +99,13 @@
     }
 
     /// The offset of the newest record that is known.
-    pub fn newest(&self) -> Option<u64> {
+    pub fn newest_offset(&self) -> Option<u64> {
         self.head.as_ref().map(|head| head.offset)
     }
 
     /// Forgets all records, as those that were read may not stand any more, and waits as if another
     /// node had just renewed the lease.
-    pub fn start_over(&mut self, now: Duration) {
+    pub fn reset(&mut self, now: Duration) {
         *self = Self {
             terms: self.terms,
             lapses: now + self.terms.length,
@@ -115,7 +115,7 @@
     }
 
     /// A valid lease record was folded at `now`.
-    pub fn see(
+    pub fn apply(
         &mut self,
         head: &LeaseHead,
         node: NodeId,
@@ -133,7 +133,7 @@
         let own = is_of(head, node, incarnation);
         let follows_own = |known: &LeaseHead| is_of(known, node, incarnation);
         if own && !self.head.as_ref().is_some_and(follows_own) {
-            self.claimed = head.offset;
+            self.claim_offset = head.offset;
         }
         if own {
             self.take(head, random);
@@ -161,8 +161,8 @@
         };
         self.held = Some(HeldLease {
             fencing: head.offset,
-            claimed: self.claimed,
-            until: sent + head.record.length.saturating_sub(self.terms.margin),
+            claim_offset: self.claim_offset,
+            until: sent + head.record.length.saturating_sub(self.terms.drift_margin),
         });
         self.renew_at = sent + head.record.length.mul_f64(random.random_range(0.4..0.6));
     }
@@ -187,7 +187,7 @@
     }
 
     /// A claim stands nowhere on the log: the next one is a new one.
-    pub fn refused(&mut self) {
+    pub fn claim_rejected(&mut self) {
         self.claim = None;
     }
 
--- a/kernel/src/leases/orders.rs
+++ b/kernel/src/leases/orders.rs
@@ -7,7 +7,7 @@
 
 use crate::config::Config;
 use crate::ids::{NodeId, UpstreamId};
-use crate::leases::lease::{HeldLease, ORDER_FLIGHT};
+use crate::leases::lease::{HeldLease, ORDER_TIMEOUT};
 use crate::leases::{EngineOrder, OrderRequest};
 
 /// Orders held at a time; more are refused.
@@ -147,7 +147,7 @@
             }
             state.tries += 1;
             state.sent = Some(lease.fencing);
-            state.next_try = now + ORDER_FLIGHT + RETRY_DELAY * state.tries;
+            state.next_try = now + ORDER_TIMEOUT + RETRY_DELAY * state.tries;
             if load {
                 loads += 1;
                 self.next_load = now + LOAD_EVERY;
--- a/kernel/src/limits.rs
+++ b/kernel/src/limits.rs
@@ -22,7 +22,7 @@
 use crate::event::{Action, Event};
 use crate::ids::{CallId, NodeId, WorkspaceId};
 use crate::keys::RequestKey;
-use crate::limits::allowance::{LimitVerdict, LocalAllowance, WaitingCall};
+use crate::limits::allowance::{LimitDecision, LocalAllowance, WaitingCall};
 use crate::limits::ledger::{ShareDemand, ShareLedger, ShareTerms};
 use crate::membership::{MemberView, NodeState};
 use crate::plugin::{Context, GaugeSample, NodeProfile, Plugin, Registration};
@@ -135,10 +135,10 @@
     }
 
     /// Whether a call of the workspace may go on now; takes up its place if it may.
-    pub fn admit(&mut self, now: Duration, call: &WaitingCall, node: NodeId) -> LimitVerdict {
+    pub fn admit(&mut self, now: Duration, call: &WaitingCall, node: NodeId) -> LimitDecision {
         let workspace = call.spec.workspace;
         let Some(limits) = self.limits(workspace) else {
-            return LimitVerdict::Unlimited;
+            return LimitDecision::Unlimited;
         };
         let even = self.even_share(workspace, limits, node);
         let allowance = self.local.entry(workspace).or_default();
@@ -165,13 +165,13 @@
     fn decide(&mut self, call: WaitingCall, context: &mut Context<'_>) {
         let workspace = call.spec.workspace;
         match self.admit(context.now, &call, context.profile.node) {
-            LimitVerdict::Unlimited => pass(call, context),
-            LimitVerdict::Admitted => {
+            LimitDecision::Unlimited => pass(call, context),
+            LimitDecision::Admitted => {
                 self.admitted.insert(call.spec.call, workspace);
                 pass(call, context);
             }
-            LimitVerdict::Wait => self.wait(call, context),
-            LimitVerdict::Limited { retry_after } => self.refuse(&call, retry_after, context),
+            LimitDecision::Wait => self.wait(call, context),
+            LimitDecision::Limited { retry_after } => self.refuse(&call, retry_after, context),
         }
     }
 
--- a/kernel/src/limits/allowance.rs
+++ b/kernel/src/limits/allowance.rs
@@ -51,7 +51,7 @@
 
 /// What the limits say of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LimitVerdict {
+pub enum LimitDecision {
     /// The workspace has no limits.
     Unlimited,
     /// It is within them, and counts from now on.
@@ -122,35 +122,35 @@
         call: &WaitingCall,
         even: LimitShare,
         limits: LimitShare,
-    ) -> LimitVerdict {
+    ) -> LimitDecision {
         let answer_due = self.first_ask.map_or(now, |asked| asked + FIRST_WAIT);
         let share = match self.share(now) {
             Some(share) => share,
-            None if now < answer_due => return LimitVerdict::Wait,
+            None if now < answer_due => return LimitDecision::Wait,
             None => even,
         };
         self.refill(now, share.rate);
         if self.running < share.concurrent && self.tokens >= 1.0 {
             self.tokens -= 1.0;
             self.running += 1;
-            return LimitVerdict::Admitted;
+            return LimitDecision::Admitted;
         }
         if now < answer_due || self.may_grow(now, call.since, share, limits) {
-            return LimitVerdict::Wait;
+            return LimitDecision::Wait;
         }
         if self.running < share.concurrent && self.can_pace(now, call, share.rate) {
-            return LimitVerdict::Wait;
+            return LimitDecision::Wait;
         }
         self.limited += 1;
         self.denied = now + LEAST_GAP;
         if self.running >= share.concurrent {
-            return LimitVerdict::Limited {
+            return LimitDecision::Limited {
                 retry_after: LEAST_GAP,
             };
         }
         let missing = (1.0 - self.tokens) / share.rate.max(0.001);
         let retry_after = Duration::from_secs_f64(missing.clamp(0.05, 60.0));
-        LimitVerdict::Limited { retry_after }
+        LimitDecision::Limited { retry_after }
     }
 
     /// Whether a greater share may come in time for a call that is above the one held.
--- a/kernel/src/routing.rs
+++ b/kernel/src/routing.rs
@@ -25,12 +25,12 @@
 use crate::event::{Action, Event};
 use crate::ids::{CallId, NodeId};
 use crate::keys::KeyChecker;
-use crate::keys::memory::{CallOrigin, KeyMemory};
+use crate::keys::outcomes::{CallOrigin, KeyOutcomes};
 use crate::membership::{MemberView, NodeState};
 use crate::ownership::OwnerMap;
 use crate::plugin::{Context, GaugeSample, NodeProfile, Plugin, Registration};
 use crate::routing::open::{OpenCall, RelayedCall};
-use crate::routing::owners::OwnerBoard;
+use crate::routing::owners::OwnerTable;
 use crate::routing::retry::RetryBudget;
 use crate::wire::{Message, RelayMessage};
 
@@ -61,14 +61,14 @@
     config: Arc<Config>,
     owners: Arc<OwnerMap>,
     view: Arc<MemberView>,
-    board: OwnerBoard,
+    board: OwnerTable,
     budget: RetryBudget,
     calls: BTreeMap<CallId, OpenCall>,
     relayed: BTreeMap<CallId, RelayedCall>,
     joined: BTreeSet<CallId>,
     wakes: BTreeSet<(Duration, CallId)>,
     checker: KeyChecker,
-    memory: KeyMemory,
+    memory: KeyOutcomes,
     leaving: bool,
     totals: RouterTotals,
 }
@@ -81,14 +81,14 @@
             config: Arc::default(),
             owners: Arc::default(),
             view: Arc::default(),
-            board: OwnerBoard::default(),
+            board: OwnerTable::default(),
             budget: RetryBudget::default(),
             calls: BTreeMap::new(),
             relayed: BTreeMap::new(),
             joined: BTreeSet::new(),
             wakes: BTreeSet::new(),
             checker: KeyChecker::new(profile),
-            memory: KeyMemory::default(),
+            memory: KeyOutcomes::default(),
             leaving: false,
             totals: RouterTotals::default(),
         }
@@ -105,15 +105,15 @@
         let Some(open) = self.calls.remove(&call) else {
             return;
         };
-        self.wakes.remove(&(open.wake, call));
+        self.wakes.remove(&(open.next_check, call));
         for attempt in open.attempts() {
-            self.board.closed(open.spec.pool, attempt.owner);
+            self.board.record_close(open.spec.pool, attempt.owner);
         }
         self.settle(call, open.origin, outcome, context);
         let Some(sequence) = open.key else {
             return;
         };
-        for (repeat, origin) in self.memory.end(sequence, outcome, context.now) {
+        for (repeat, origin) in self.memory.record_outcome(sequence, outcome, context.now) {
             self.joined.remove(&repeat);
             self.settle(repeat, origin, outcome, context);
         }
--- a/kernel/src/routing/answers.rs
+++ b/kernel/src/routing/answers.rs
@@ -5,7 +5,7 @@
 use crate::ids::{AttemptId, CallId, NodeId};
 use crate::plugin::Context;
 use crate::routing::CallRouter;
-use crate::routing::attempt::{AttemptNews, AttemptVerdict, OpenAttempt};
+use crate::routing::attempt::{AttemptStatus, AttemptUpdate, OpenAttempt};
 use crate::wire::WorkMessage;
 
 impl CallRouter {
@@ -18,7 +18,7 @@
     ) {
         match message {
             WorkMessage::Started(attempt) => {
-                self.hear(*attempt, AttemptNews::Started, context);
+                self.hear(*attempt, AttemptUpdate::Started, context);
             }
             WorkMessage::Returned {
                 attempt,
@@ -26,13 +26,13 @@
                 load,
             } => {
                 self.learn(from, attempt.call, *load, context);
-                self.hear(*attempt, AttemptNews::Returned(*reason), context);
+                self.hear(*attempt, AttemptUpdate::Returned(*reason), context);
             }
             WorkMessage::Ended { attempt, end, load } => {
                 self.learn(from, attempt.call, *load, context);
-                self.hear(*attempt, AttemptNews::Ended(*end), context);
+                self.hear(*attempt, AttemptUpdate::Ended(*end), context);
             }
-            WorkMessage::Load { pool, load } => self.board.learn(*pool, from, *load, context.now),
+            WorkMessage::Load { pool, load } => self.board.update(*pool, from, *load, context.now),
             WorkMessage::Held { held, missing } => self.told_held(held, missing, context),
             WorkMessage::Offer(_) | WorkMessage::Cancel(_) | WorkMessage::Ask(_) => {}
         }
@@ -40,7 +40,7 @@
 
     fn learn(&mut self, from: NodeId, call: CallId, load: LoadSummary, context: &Context<'_>) {
         if let Some(open) = self.calls.get(&call) {
-            self.board.learn(open.spec.pool, from, load, context.now);
+            self.board.update(open.spec.pool, from, load, context.now);
         }
     }
 
@@ -52,10 +52,10 @@
         sent: bool,
         context: &mut Context<'_>,
     ) {
-        self.hear(attempt, AttemptNews::Lost { tokens, sent }, context);
+        self.hear(attempt, AttemptUpdate::Lost { tokens, sent }, context);
     }
 
-    fn hear(&mut self, attempt: AttemptId, news: AttemptNews, context: &mut Context<'_>) {
+    fn hear(&mut self, attempt: AttemptId, news: AttemptUpdate, context: &mut Context<'_>) {
         let call = attempt.call;
         let Some(open) = self.calls.get_mut(&call) else {
             return;
@@ -69,48 +69,52 @@
             self.hear_old(attempt, news);
             return;
         };
-        let verdict = found.hear(news);
+        let verdict = found.apply(news);
         let found = *found;
-        if verdict != AttemptVerdict::Open {
+        if verdict != AttemptStatus::Open {
             open.attempt = None;
-            self.board.closed(open.spec.pool, found.owner);
+            self.board.record_close(open.spec.pool, found.owner);
             self.conclude(call, &found, verdict, context);
-        } else if news == AttemptNews::Started {
+        } else if news == AttemptUpdate::Started {
             self.drop_hedge(call, context);
             self.watch(call, context.now);
         }
     }
 
     /// News of a try that was given up here: only whether it ran still matters.
-    fn hear_old(&mut self, attempt: AttemptId, news: AttemptNews) {
+    fn hear_old(&mut self, attempt: AttemptId, news: AttemptUpdate) {
         let Some(open) = self.calls.get_mut(&attempt.call) else {
             return;
         };
-        let Some(place) = open.unsettled.iter().position(|old| *old == attempt.number) else {
+        let Some(place) = open
+            .unconfirmed
+            .iter()
+            .position(|old| *old == attempt.number)
+        else {
             return;
         };
         match news {
-            AttemptNews::Returned(_) => {}
-            AttemptNews::Started | AttemptNews::Ended(_) => open.tainted = true,
-            AttemptNews::Lost { .. } => return,
+            AttemptUpdate::Returned(_) => {}
+            AttemptUpdate::Started | AttemptUpdate::Ended(_) => open.possibly_run = true,
+            AttemptUpdate::Lost { .. } => return,
         }
-        open.unsettled.swap_remove(place);
+        open.unconfirmed.swap_remove(place);
     }
 
     /// News of a call's second try. If it starts first, the first try is given up; the second
     /// answers only once the edge has said that no token of the first went on.
-    fn hear_hedge(&mut self, attempt: AttemptId, news: AttemptNews, context: &mut Context<'_>) {
+    fn hear_hedge(&mut self, attempt: AttemptId, news: AttemptUpdate, context: &mut Context<'_>) {
         let Some(open) = self.calls.get_mut(&attempt.call) else {
             return;
         };
         let Some(mut hedge) = open.hedge else {
             return;
         };
-        let verdict = hedge.hear(news);
+        let verdict = hedge.apply(news);
         open.hedge = Some(hedge);
-        if verdict == AttemptVerdict::Open {
+        if verdict == AttemptStatus::Open {
             if let Some(first) = open.attempt
-                && news == AttemptNews::Started
+                && news == AttemptUpdate::Started
             {
                 let first = open.attempt_id(first.number);
                 self.withdraw(first, context);
@@ -118,28 +122,28 @@
             return;
         }
         open.hedge = None;
-        open.tainted |= !matches!(verdict, AttemptVerdict::NotRun(_));
-        self.board.closed(open.spec.pool, hedge.owner);
+        open.possibly_run |= !matches!(verdict, AttemptStatus::NotRun(_));
+        self.board.record_close(open.spec.pool, hedge.owner);
     }
 
     fn conclude(
         &mut self,
         call: CallId,
         attempt: &OpenAttempt,
-        verdict: AttemptVerdict,
+        verdict: AttemptStatus,
         context: &mut Context<'_>,
     ) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
         };
         match verdict {
-            AttemptVerdict::Open => {}
-            AttemptVerdict::Whole { tokens } => {
+            AttemptStatus::Open => {}
+            AttemptStatus::Whole { tokens } => {
                 let tokens = open.tokens + tokens;
                 self.drop_hedge(call, context);
                 self.finish(call, CallOutcome::Whole { tokens }, context);
             }
-            AttemptVerdict::NotRun(cause) => {
+            AttemptStatus::NotRun(cause) => {
                 if open.cancelled {
                     self.drop_hedge(call, context);
                     self.give_up(call, RefusalReason::Cancelled, None, context);
@@ -147,11 +151,11 @@
                     self.not_run(call, attempt.owner, cause, context);
                 }
             }
-            AttemptVerdict::MayHaveRun { tokens } => {
+            AttemptStatus::MayHaveRun { tokens } => {
                 if tokens == 0 && attempt.may_be_confirmed() {
-                    open.unsettled.push(attempt.number);
+                    open.unconfirmed.push(attempt.number);
                 } else {
-                    open.tainted = true;
+                    open.possibly_run = true;
                 }
                 open.tokens += tokens;
                 self.go_on(call, attempt, tokens, context);
@@ -209,9 +213,9 @@
         let Some(hedge) = open.hedge.take() else {
             return;
         };
-        open.unsettled.push(hedge.number);
+        open.unconfirmed.push(hedge.number);
         let cancel = WorkMessage::Cancel(open.attempt_id(hedge.number));
-        self.board.closed(open.spec.pool, hedge.owner);
+        self.board.record_close(open.spec.pool, hedge.owner);
         context.send(hedge.owner, cancel);
     }
 
--- a/kernel/src/routing/attempt.rs
+++ b/kernel/src/routing/attempt.rs
@@ -37,12 +37,12 @@
     /// Questions to the owner that have found no answer.
     pub unanswered: u32,
     /// Time to the next question.
-    pub patience: Duration,
+    pub query_interval: Duration,
 }
 
 /// What the entry node hears of a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptNews {
+pub enum AttemptUpdate {
     /// The owner is about to send it.
     Started,
     /// The owner gives it back, not started.
@@ -60,7 +60,7 @@
 
 /// What the news means for the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptVerdict {
+pub enum AttemptStatus {
     /// The try goes on.
     Open,
     /// The caller has the whole answer; this many tokens came from this try.
@@ -106,38 +106,38 @@
     }
 
     /// Takes in the news of this try.
-    pub fn hear(&mut self, news: AttemptNews) -> AttemptVerdict {
+    pub fn apply(&mut self, news: AttemptUpdate) -> AttemptStatus {
         self.unanswered = 0;
         match (self.phase, news) {
-            (AttemptPhase::Offered, AttemptNews::Started) => {
+            (AttemptPhase::Offered, AttemptUpdate::Started) => {
                 self.phase = AttemptPhase::Started;
-                AttemptVerdict::Open
+                AttemptStatus::Open
             }
             // The edge no longer passes its tokens on, so only its count can end it.
-            (AttemptPhase::Withdrawn { .. }, AttemptNews::Started | AttemptNews::Ended(_)) => {
+            (AttemptPhase::Withdrawn { .. }, AttemptUpdate::Started | AttemptUpdate::Ended(_)) => {
                 self.phase = AttemptPhase::Withdrawn { started: true };
-                AttemptVerdict::Open
+                AttemptStatus::Open
             }
-            (AttemptPhase::Started, AttemptNews::Started) => AttemptVerdict::Open,
-            (_, AttemptNews::Returned(reason)) => {
-                AttemptVerdict::NotRun(NotRunCause::Returned(reason))
+            (AttemptPhase::Started, AttemptUpdate::Started) => AttemptStatus::Open,
+            (_, AttemptUpdate::Returned(reason)) => {
+                AttemptStatus::NotRun(NotRunCause::Returned(reason))
             }
-            (_, AttemptNews::Ended(end)) => judge_end(end),
-            (_, AttemptNews::Lost { sent: false, .. }) => {
-                AttemptVerdict::NotRun(NotRunCause::Unsent)
+            (_, AttemptUpdate::Ended(end)) => judge_end(end),
+            (_, AttemptUpdate::Lost { sent: false, .. }) => {
+                AttemptStatus::NotRun(NotRunCause::Unsent)
             }
-            (_, AttemptNews::Lost { tokens, .. }) => AttemptVerdict::MayHaveRun { tokens },
+            (_, AttemptUpdate::Lost { tokens, .. }) => AttemptStatus::MayHaveRun { tokens },
         }
     }
 }
 
-fn judge_end(end: AttemptEnd) -> AttemptVerdict {
+fn judge_end(end: AttemptEnd) -> AttemptStatus {
     match end {
-        AttemptEnd::Complete { tokens } => AttemptVerdict::Whole { tokens },
-        AttemptEnd::Refused => AttemptVerdict::NotRun(NotRunCause::UpstreamRefused),
-        AttemptEnd::Unsent => AttemptVerdict::NotRun(NotRunCause::Unsent),
+        AttemptEnd::Complete { tokens } => AttemptStatus::Whole { tokens },
+        AttemptEnd::Refused => AttemptStatus::NotRun(NotRunCause::UpstreamRefused),
+        AttemptEnd::Unsent => AttemptStatus::NotRun(NotRunCause::Unsent),
         AttemptEnd::Broken { tokens } | AttemptEnd::Cancelled { tokens } => {
-            AttemptVerdict::MayHaveRun { tokens }
+            AttemptStatus::MayHaveRun { tokens }
         }
     }
 }
--- a/kernel/src/routing/keyed.rs
+++ b/kernel/src/routing/keyed.rs
@@ -5,7 +5,7 @@
 use crate::call::{CallOutcome, CallSpec, RefusalReason};
 use crate::event::Action;
 use crate::ids::{CallId, NodeId};
-use crate::keys::memory::{CallOrigin, KeyVerdict};
+use crate::keys::outcomes::{CallOrigin, KeyDecision};
 use crate::keys::{KeyError, KeyParts, RequestKey};
 use crate::membership::NodeState;
 use crate::plugin::Context;
@@ -69,20 +69,20 @@
             .memory
             .admit(parts, workspace, fingerprint, call, origin, now);
         match verdict {
-            KeyVerdict::Run => self.open(spec, origin, Some(parts.sequence), context),
-            KeyVerdict::Join { original } => {
+            KeyDecision::Run => self.open(spec, origin, Some(parts.sequence), context),
+            KeyDecision::Join { original } => {
                 self.joined.insert(call);
                 context.act(Action::AttachCall { call, original });
             }
-            KeyVerdict::Repeat { original, outcome } => {
+            KeyDecision::Repeat { original, outcome } => {
                 if matches!(outcome, CallOutcome::Whole { .. }) {
                     context.act(Action::AttachCall { call, original });
                 }
                 self.settle(call, origin, outcome, context);
             }
-            KeyVerdict::Doubled => {}
-            KeyVerdict::Conflict => self.refuse_key(call, origin, context),
-            KeyVerdict::Expired => self.settle(call, origin, CallOutcome::Unknown, context),
+            KeyDecision::Duplicate => {}
+            KeyDecision::Conflict => self.refuse_key(call, origin, context),
+            KeyDecision::Expired => self.settle(call, origin, CallOutcome::Unknown, context),
         }
     }
 
@@ -107,10 +107,10 @@
         let relayed = RelayedCall {
             minter: parts.node,
             unanswered: 0,
-            patience: RELAY_PATIENCE,
-            wake: context.now + RELAY_PATIENCE,
+            query_interval: RELAY_PATIENCE,
+            next_check: context.now + RELAY_PATIENCE,
         };
-        self.wakes.insert((relayed.wake, call));
+        self.wakes.insert((relayed.next_check, call));
         self.relayed.insert(call, relayed);
     }
 
@@ -153,7 +153,7 @@
             return;
         }
         if let Some(relayed) = self.relayed.remove(&call) {
-            self.wakes.remove(&(relayed.wake, call));
+            self.wakes.remove(&(relayed.next_check, call));
             self.settle(call, CallOrigin::Caller, outcome, context);
         }
     }
@@ -193,18 +193,18 @@
         }
         relayed.unanswered += 1;
         context.send(relayed.minter, RelayMessage::Ask(call));
-        relayed.wake = context.now + ASK_AGAIN;
-        self.wakes.insert((relayed.wake, call));
+        relayed.next_check = context.now + ASK_AGAIN;
+        self.wakes.insert((relayed.next_check, call));
     }
 
     fn relayed_held(&mut self, call: CallId, now: Duration) {
         let Some(relayed) = self.relayed.get_mut(&call) else {
             return;
         };
-        self.wakes.remove(&(relayed.wake, call));
+        self.wakes.remove(&(relayed.next_check, call));
         relayed.unanswered = 0;
-        relayed.patience = (relayed.patience * 2).min(MAX_RELAY_PATIENCE);
-        relayed.wake = now + relayed.patience;
-        self.wakes.insert((relayed.wake, call));
+        relayed.query_interval = (relayed.query_interval * 2).min(MAX_RELAY_PATIENCE);
+        relayed.next_check = now + relayed.query_interval;
+        self.wakes.insert((relayed.next_check, call));
     }
 }
--- a/kernel/src/routing/load.rs
+++ b/kernel/src/routing/load.rs
@@ -14,18 +14,18 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OwnerLoad {
     /// The newest summary, and when it came.
-    pub told: Option<(Duration, LoadSummary)>,
+    pub summary: Option<(Duration, LoadSummary)>,
     /// Offers made since the summary.
-    pub since: u32,
+    pub offers_since: u32,
     /// Offers that are not over.
-    pub open: u32,
+    pub open_offers: u32,
 }
 
 impl OwnerLoad {
     /// Work a slot ahead of the call, if the owner has `configured` slots by its settings.
     pub fn ahead(&self, spec: &CallSpec, configured: u32, now: Duration) -> f64 {
-        let open = f64::from(self.open);
-        let Some((at, told)) = self.told else {
+        let open = f64::from(self.open_offers);
+        let Some((at, told)) = self.summary else {
             return open / f64::from(configured.max(1));
         };
         let age = now.saturating_sub(at);
@@ -40,7 +40,7 @@
         };
         let tier = usize::from(spec.tier.0).min(told.waiting.len() - 1);
         let waiting: u32 = told.waiting[..=tier].iter().sum();
-        let counted = f64::from(told.running + waiting) * weight + f64::from(self.since);
+        let counted = f64::from(told.running + waiting) * weight + f64::from(self.offers_since);
         counted.max(open) / f64::from(slots.max(1))
     }
 }
--- a/kernel/src/routing/offers.rs
+++ b/kernel/src/routing/offers.rs
@@ -6,7 +6,7 @@
 use crate::event::Action;
 use crate::ids::{CallId, NodeId};
 use crate::keys::RequestKey;
-use crate::keys::memory::CallOrigin;
+use crate::keys::outcomes::CallOrigin;
 use crate::plugin::Context;
 use crate::routing::CallRouter;
 use crate::routing::attempt::{AttemptPhase, NotRunCause, OpenAttempt};
@@ -98,7 +98,7 @@
         open.searching = None;
         let attempt = send_offer(open, owner, context);
         open.attempt = Some(attempt);
-        self.board.offered(offered.pool, owner);
+        self.board.record_offer(offered.pool, owner);
         self.watch(call, context.now);
     }
 
@@ -108,7 +108,7 @@
             return;
         };
         let since = *open.searching.get_or_insert(context.now);
-        let hopeless = !self.board.knows(open.spec.pool);
+        let hopeless = !self.board.has_pool(open.spec.pool);
         if hopeless || context.now.saturating_sub(since) >= SEARCH_TIME {
             let reason = if self.config.version == 0 {
                 RefusalReason::NoConfiguration
@@ -191,10 +191,10 @@
             | RefusalReason::Deadline
             | RefusalReason::NoUpstream
             | RefusalReason::UpstreamRefused => {
-                open.tainted
+                open.possibly_run
                     || self
                         .board
-                        .has_room(&open.spec, &open.tried, context.now, context.random)
+                        .has_capacity(&open.spec, &open.tried, context.now, context.random)
             }
             RefusalReason::Limit
             | RefusalReason::Key
@@ -315,7 +315,7 @@
         phase: AttemptPhase::Offered,
         offered: context.now,
         unanswered: 0,
-        patience: spec.time_left.clamp(least, most),
+        query_interval: spec.time_left.clamp(least, most),
     }
 }
 
--- a/kernel/src/routing/open.rs
+++ b/kernel/src/routing/open.rs
@@ -4,7 +4,7 @@
 
 use crate::call::{CallSpec, RefusalReason};
 use crate::ids::{AttemptId, NodeId};
-use crate::keys::memory::CallOrigin;
+use crate::keys::outcomes::CallOrigin;
 use crate::routing::attempt::OpenAttempt;
 
 /// A call that this node answers for.
@@ -27,9 +27,9 @@
     /// Tokens that the caller has from tries that are over.
     pub tokens: u32,
     /// Whether a try that is over may have run.
-    pub tainted: bool,
+    pub possibly_run: bool,
     /// Tries given up before they were known to have started, whose owners have not confirmed it.
-    pub unsettled: Vec<u32>,
+    pub unconfirmed: Vec<u32>,
     /// Owners that gave it back or failed it.
     pub tried: Vec<NodeId>,
     /// Why the newest try did not run; the reason given if the call is given up.
@@ -41,7 +41,7 @@
     /// Whether the caller left.
     pub cancelled: bool,
     /// The next time at which the call is looked at.
-    pub wake: Duration,
+    pub next_check: Duration,
 }
 
 impl OpenCall {
@@ -56,20 +56,20 @@
             attempt: None,
             hedge: None,
             tokens: 0,
-            tainted: false,
-            unsettled: Vec::new(),
+            possibly_run: false,
+            unconfirmed: Vec::new(),
             tried: Vec::new(),
             refusal: RefusalReason::Overloaded,
             retries: 0,
             searching: None,
             cancelled: false,
-            wake: now,
+            next_check: now,
         }
     }
 
     /// Whether anything of the call may have run, the open tries left aside.
     pub fn may_have_run(&self) -> bool {
-        self.tainted || !self.unsettled.is_empty()
+        self.possibly_run || !self.unconfirmed.is_empty()
     }
 
     /// The open try with this number.
@@ -117,7 +117,7 @@
     /// Questions to the minter that have found no answer.
     pub unanswered: u32,
     /// Time to the next question.
-    pub patience: Duration,
+    pub query_interval: Duration,
     /// The next time at which the call is looked at.
-    pub wake: Duration,
+    pub next_check: Duration,
 }
--- a/kernel/src/routing/owners.rs
+++ b/kernel/src/routing/owners.rs
@@ -65,14 +65,14 @@
 
 /// The owners of each pool, and what is known of their load.
 #[derive(Debug, Default)]
-pub struct OwnerBoard {
+pub struct OwnerTable {
     policy: OwnerPolicy,
     pools: BTreeMap<PoolId, PoolOwners>,
     loads: BTreeMap<(PoolId, NodeId), OwnerLoad>,
     resting: BTreeMap<NodeId, Duration>,
 }
 
-impl OwnerBoard {
+impl OwnerTable {
     /// An empty board with a policy.
     pub fn new(policy: OwnerPolicy) -> Self {
         Self {
@@ -120,33 +120,33 @@
                     .get(pool)
                     .is_some_and(|owners| owners.all.contains_key(node))
             };
-            load.open > 0 || owns()
+            load.open_offers > 0 || owns()
         });
     }
 
     /// Whether the pool has upstreams at all.
-    pub fn knows(&self, pool: PoolId) -> bool {
+    pub fn has_pool(&self, pool: PoolId) -> bool {
         self.pools.contains_key(&pool)
     }
 
     /// Takes in an owner's queue summary.
-    pub fn learn(&mut self, pool: PoolId, node: NodeId, load: LoadSummary, now: Duration) {
+    pub fn update(&mut self, pool: PoolId, node: NodeId, load: LoadSummary, now: Duration) {
         let known = self.loads.entry((pool, node)).or_default();
-        known.told = Some((now, load));
-        known.since = 0;
+        known.summary = Some((now, load));
+        known.offers_since = 0;
     }
 
     /// Counts an offer.
-    pub fn offered(&mut self, pool: PoolId, node: NodeId) {
+    pub fn record_offer(&mut self, pool: PoolId, node: NodeId) {
         let load = self.loads.entry((pool, node)).or_default();
-        load.since += 1;
-        load.open += 1;
+        load.offers_since += 1;
+        load.open_offers += 1;
     }
 
     /// Counts the end of an offer.
-    pub fn closed(&mut self, pool: PoolId, node: NodeId) {
+    pub fn record_close(&mut self, pool: PoolId, node: NodeId) {
         if let Some(load) = self.loads.get_mut(&(pool, node)) {
-            load.open = load.open.saturating_sub(1);
+            load.open_offers = load.open_offers.saturating_sub(1);
         }
     }
 
@@ -163,7 +163,7 @@
 
     /// Offers that are not over, at all owners.
     pub fn open(&self) -> u32 {
-        self.loads.values().map(|load| load.open).sum()
+        self.loads.values().map(|load| load.open_offers).sum()
     }
 
     /// The owner to offer a call to, none of `tried`.
@@ -199,7 +199,7 @@
     }
 
     /// Whether an owner that is none of `tried` seems to have a free slot.
-    pub fn has_room(
+    pub fn has_capacity(
         &self,
         spec: &CallSpec,
         tried: &[NodeId],
@@ -227,7 +227,7 @@
 
 /// One choice among the owners of a pool.
 struct OwnerSearch<'a> {
-    board: &'a OwnerBoard,
+    board: &'a OwnerTable,
     spec: &'a CallSpec,
     tried: &'a [NodeId],
     now: Duration,
--- a/kernel/src/routing/watch.rs
+++ b/kernel/src/routing/watch.rs
@@ -46,7 +46,7 @@
         for (owner, attempts) in questions {
             context.send(owner, WorkMessage::Ask(attempts));
         }
-        for call in self.memory.forget(context.now) {
+        for call in self.memory.expire(context.now) {
             context.act(Action::ForgetAnswer(call));
         }
     }
@@ -56,8 +56,8 @@
         let Some(open) = self.calls.get_mut(&call) else {
             return;
         };
-        self.wakes.remove(&(open.wake, call));
-        open.wake = due;
+        self.wakes.remove(&(open.next_check, call));
+        open.next_check = due;
         self.wakes.insert((due, call));
     }
 
@@ -138,7 +138,7 @@
             };
             if let Some(found) = open.find(attempt.number) {
                 found.unanswered = 0;
-                found.patience = (found.patience * 2).min(MAX_PATIENCE);
+                found.query_interval = (found.query_interval * 2).min(MAX_PATIENCE);
                 self.watch(attempt.call, context.now);
             }
         }
@@ -157,7 +157,7 @@
         let (spec, tried) = (open.spec, open.tried.clone());
         let room = self
             .board
-            .has_room(&spec, &tried, context.now, context.random);
+            .has_capacity(&spec, &tried, context.now, context.random);
         if !room || !self.budget.spend(spec.workspace, spec.class) {
             self.watch(call, context.now);
         } else if self.waiting == WaitPolicy::Hedge {
@@ -182,7 +182,7 @@
         if let Some(owner) = owner {
             let attempt = send_offer(open, owner, context);
             open.hedge = Some(attempt);
-            self.board.offered(spec.pool, owner);
+            self.board.record_offer(spec.pool, owner);
             self.totals.hedges += 1;
         }
         self.watch(call, context.now);
@@ -206,7 +206,7 @@
         let question = if attempt.unanswered > 0 || withdrawn {
             ASK_AGAIN
         } else {
-            attempt.patience
+            attempt.query_interval
         };
         if !self.movable(open, attempt) {
             return question;
--- a/kernel/tests/calls/attempts.rs
+++ b/kernel/tests/calls/attempts.rs
@@ -6,7 +6,7 @@
 use monsoonbank_kernel::event::Event;
 use monsoonbank_kernel::ids::{AttemptId, ClassId, WorkspaceId};
 use monsoonbank_kernel::routing::attempt::{
-    AttemptNews, AttemptPhase, AttemptVerdict, NotRunCause, OpenAttempt,
+    AttemptPhase, AttemptStatus, AttemptUpdate, NotRunCause, OpenAttempt,
 };
 use monsoonbank_kernel::routing::retry::{RETRY_BURST, RetryBudget, backoff};
 use monsoonbank_kernel::wire::WorkMessage;
@@ -16,15 +16,15 @@
 use crate::fleet::{Fleet, node_id};
 
 const WITHDRAWN: AttemptPhase = AttemptPhase::Withdrawn { started: false };
-const NOT_OWNER: AttemptNews = AttemptNews::Returned(ReturnReason::NotOwner);
-const RETURNED: AttemptVerdict =
-    AttemptVerdict::NotRun(NotRunCause::Returned(ReturnReason::NotOwner));
-const UNSENT: AttemptVerdict = AttemptVerdict::NotRun(NotRunCause::Unsent);
-const LOST: AttemptNews = AttemptNews::Lost {
+const NOT_OWNER: AttemptUpdate = AttemptUpdate::Returned(ReturnReason::NotOwner);
+const RETURNED: AttemptStatus =
+    AttemptStatus::NotRun(NotRunCause::Returned(ReturnReason::NotOwner));
+const UNSENT: AttemptStatus = AttemptStatus::NotRun(NotRunCause::Unsent);
+const LOST: AttemptUpdate = AttemptUpdate::Lost {
     tokens: 2,
     sent: true,
 };
-const MAY_HAVE_RUN: AttemptVerdict = AttemptVerdict::MayHaveRun { tokens: 2 };
+const MAY_HAVE_RUN: AttemptStatus = AttemptStatus::MayHaveRun { tokens: 2 };
 
 macro_rules! verdicts {
     ($($name:ident: $phase:expr, $news:expr => $verdict:expr;)*) => {
@@ -37,31 +37,31 @@
                     phase: $phase,
                     offered: Duration::ZERO,
                     unanswered: 0,
-                    patience: Duration::ZERO,
+                    query_interval: Duration::ZERO,
                 };
-                assert_eq!(attempt.hear($news), $verdict);
+                assert_eq!(attempt.apply($news), $verdict);
             }
         )*
     };
 }
 
 verdicts! {
-    offered_starts: AttemptPhase::Offered, AttemptNews::Started => AttemptVerdict::Open;
+    offered_starts: AttemptPhase::Offered, AttemptUpdate::Started => AttemptStatus::Open;
     offered_is_returned: AttemptPhase::Offered, NOT_OWNER => RETURNED;
     offered_is_lost: AttemptPhase::Offered, LOST => MAY_HAVE_RUN;
-    offered_never_left: AttemptPhase::Offered, AttemptNews::Lost { tokens: 0, sent: false } => UNSENT;
+    offered_never_left: AttemptPhase::Offered, AttemptUpdate::Lost { tokens: 0, sent: false } => UNSENT;
     started_is_lost: AttemptPhase::Started, LOST => MAY_HAVE_RUN;
     started_completes: AttemptPhase::Started,
-        AttemptNews::Ended(AttemptEnd::Complete { tokens: 3 }) => AttemptVerdict::Whole { tokens: 3 };
+        AttemptUpdate::Ended(AttemptEnd::Complete { tokens: 3 }) => AttemptStatus::Whole { tokens: 3 };
     started_breaks: AttemptPhase::Started,
-        AttemptNews::Ended(AttemptEnd::Broken { tokens: 2 }) => MAY_HAVE_RUN;
+        AttemptUpdate::Ended(AttemptEnd::Broken { tokens: 2 }) => MAY_HAVE_RUN;
     started_is_cancelled: AttemptPhase::Started,
-        AttemptNews::Ended(AttemptEnd::Cancelled { tokens: 2 }) => MAY_HAVE_RUN;
-    upstream_refuses: AttemptPhase::Started, AttemptNews::Ended(AttemptEnd::Refused)
-        => AttemptVerdict::NotRun(NotRunCause::UpstreamRefused);
-    nothing_is_sent: AttemptPhase::Offered, AttemptNews::Ended(AttemptEnd::Unsent) => UNSENT;
+        AttemptUpdate::Ended(AttemptEnd::Cancelled { tokens: 2 }) => MAY_HAVE_RUN;
+    upstream_refuses: AttemptPhase::Started, AttemptUpdate::Ended(AttemptEnd::Refused)
+        => AttemptStatus::NotRun(NotRunCause::UpstreamRefused);
+    nothing_is_sent: AttemptPhase::Offered, AttemptUpdate::Ended(AttemptEnd::Unsent) => UNSENT;
     withdrawn_completes: WITHDRAWN,
-        AttemptNews::Ended(AttemptEnd::Complete { tokens: 3 }) => AttemptVerdict::Open;
+        AttemptUpdate::Ended(AttemptEnd::Complete { tokens: 3 }) => AttemptStatus::Open;
     withdrawn_is_counted: WITHDRAWN, LOST => MAY_HAVE_RUN;
     withdrawn_is_returned: WITHDRAWN, NOT_OWNER => RETURNED;
 }
--- a/kernel/tests/calls/keys.rs
+++ b/kernel/tests/calls/keys.rs
@@ -5,10 +5,10 @@
 use monsoonbank_kernel::call::{CallOutcome, RefusalReason};
 use monsoonbank_kernel::event::Event;
 use monsoonbank_kernel::ids::{CallId, WorkspaceId};
-use monsoonbank_kernel::keys::memory::{
-    CallOrigin, KeyMemory, KeyVerdict, MAX_WORKSPACE_ANSWERS, MAX_WORKSPACE_KEYS,
+use monsoonbank_kernel::keys::outcomes::{
+    CallOrigin, KeyDecision, KeyOutcomes, MAX_WORKSPACE_ANSWERS, MAX_WORKSPACE_KEYS,
 };
-use monsoonbank_kernel::keys::{KEY_LIFE, KeyChecker, KeyError, KeyMint, KeyParts, RequestKey};
+use monsoonbank_kernel::keys::{KEY_LIFETIME, KeyChecker, KeyError, KeyMint, KeyParts, RequestKey};
 use monsoonbank_kernel::plugin::NodeProfile;
 use proptest::prelude::*;
 
@@ -123,13 +123,13 @@
         case.fleet.kill(1);
     } => [CallOutcome::Unknown], 0;
     key_expires: |case| {
-        case.fleet.pass(KEY_LIFE + Duration::from_secs(2));
+        case.fleet.pass(KEY_LIFETIME + Duration::from_secs(2));
         case.arrive(1);
     } => [CallOutcome::Unknown], 0;
     outcome_expires: |case| {
         case.arrive(1);
         case.complete();
-        case.fleet.pass(KEY_LIFE + Duration::from_secs(2));
+        case.fleet.pass(KEY_LIFETIME + Duration::from_secs(2));
         case.arrive(1);
     } => [WHOLE, CallOutcome::Unknown], 1;
     relay_doubled: |case| {
@@ -231,7 +231,7 @@
 
 /// A memory, and a mint for one of its workspaces.
 struct KeyBook {
-    memory: KeyMemory,
+    memory: KeyOutcomes,
     mint: KeyMint,
     workspace: WorkspaceId,
 }
@@ -239,7 +239,7 @@
 impl KeyBook {
     fn new() -> Self {
         Self {
-            memory: KeyMemory::default(),
+            memory: KeyOutcomes::default(),
             mint: KeyMint::new(&profile()),
             workspace: WorkspaceId(7),
         }
@@ -249,7 +249,7 @@
         KeyParts::parse(&self.mint.mint(self.workspace, Duration::ZERO)).unwrap()
     }
 
-    fn admit(&mut self, key: &KeyParts, sequence: u64) -> KeyVerdict {
+    fn admit(&mut self, key: &KeyParts, sequence: u64) -> KeyDecision {
         let (origin, now) = (CallOrigin::Caller, Duration::ZERO);
         self.memory
             .admit(key, self.workspace, 0, call(sequence), origin, now)
@@ -258,8 +258,9 @@
     /// A key whose call has run.
     fn used(&mut self, sequence: u64) -> KeyParts {
         let key = self.mint();
-        assert_eq!(self.admit(&key, sequence), KeyVerdict::Run);
-        self.memory.end(key.sequence, WHOLE, Duration::ZERO);
+        assert_eq!(self.admit(&key, sequence), KeyDecision::Run);
+        self.memory
+            .record_outcome(key.sequence, WHOLE, Duration::ZERO);
         key
     }
 }
@@ -283,9 +284,9 @@
     for sequence in 1..=MAX_WORKSPACE_ANSWERS as u64 {
         book.used(sequence);
     }
-    assert_eq!(book.memory.forget(Duration::ZERO), [call(0)]);
+    assert_eq!(book.memory.expire(Duration::ZERO), [call(0)]);
     let (original, outcome) = (call(0), CallOutcome::Unknown);
-    let repeat = KeyVerdict::Repeat { original, outcome };
+    let repeat = KeyDecision::Repeat { original, outcome };
     assert_eq!(book.admit(&first, u64::MAX), repeat);
 }
 
@@ -302,11 +303,11 @@
         book.used(sequence);
     }
     assert_eq!(book.memory.len(), MAX_WORKSPACE_KEYS + 1);
-    assert_eq!(book.admit(&first, 0), KeyVerdict::Expired);
-    assert_eq!(book.admit(&unused, 0), KeyVerdict::Expired);
+    assert_eq!(book.admit(&first, 0), KeyDecision::Expired);
+    assert_eq!(book.admit(&unused, 0), KeyDecision::Expired);
     let (original, outcome) = (call(0), WHOLE);
     book.workspace = WorkspaceId(7);
-    let repeat = KeyVerdict::Repeat { original, outcome };
+    let repeat = KeyDecision::Repeat { original, outcome };
     assert_eq!(book.admit(&other, 9), repeat);
 }
 
--- a/kernel/tests/calls/owners.rs
+++ b/kernel/tests/calls/owners.rs
@@ -8,7 +8,7 @@
 use monsoonbank_kernel::ids::{NodeId, PoolId, ZoneId};
 use monsoonbank_kernel::membership::{MemberView, NodeState};
 use monsoonbank_kernel::ownership::{OwnerMap, assign};
-use monsoonbank_kernel::routing::owners::OwnerBoard;
+use monsoonbank_kernel::routing::owners::OwnerTable;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -16,7 +16,7 @@
 
 /// Four nodes, each with one upstream of ten slots; nodes 0 and 1 share the chooser's zone.
 struct Choice {
-    board: OwnerBoard,
+    board: OwnerTable,
     config: Config,
     owners: OwnerMap,
     view: MemberView,
@@ -41,7 +41,7 @@
             *owner = node_id(node);
         }
         let spec = call_spec(0);
-        let board = OwnerBoard::default();
+        let board = OwnerTable::default();
         let tried = Vec::new();
         let mut choice = Self {
             board,
@@ -73,7 +73,7 @@
             waiting,
         };
         let pool = PoolId::named("m");
-        self.board.learn(pool, node_id(node), load, Duration::ZERO);
+        self.board.update(pool, node_id(node), load, Duration::ZERO);
     }
 
     /// The nodes that are chosen in a hundred choices.
--- a/kernel/tests/configuration/fuzz.rs
+++ b/kernel/tests/configuration/fuzz.rs
@@ -7,7 +7,7 @@
 use monsoonbank_kernel::configuration::publish::RequestTicket;
 use monsoonbank_kernel::event::Event;
 use monsoonbank_kernel::ids::UpstreamId;
-use monsoonbank_kernel::leases::lease::ORDER_FLIGHT;
+use monsoonbank_kernel::leases::lease::ORDER_TIMEOUT;
 use monsoonbank_kernel::leases::{EngineOrder, OrderRequest};
 use monsoonbank_kernel::record::{LogRecord, PublishResult};
 use proptest::prelude::*;
@@ -238,7 +238,7 @@
                 } else {
                     assert!(other.fencing < order.fencing, "{other:?} before {order:?}");
                     assert!(
-                        order.at >= other.not_after + ORDER_FLIGHT,
+                        order.at >= other.not_after + ORDER_TIMEOUT,
                         "{other:?} {order:?}"
                     );
                 }
--- a/kernel/tests/configuration/orders.rs
+++ b/kernel/tests/configuration/orders.rs
@@ -4,13 +4,13 @@
 
 use monsoonbank_kernel::event::Event;
 use monsoonbank_kernel::ids::UpstreamId;
-use monsoonbank_kernel::leases::lease::{LEASE_LENGTH, ORDER_FLIGHT};
+use monsoonbank_kernel::leases::lease::{LEASE_LENGTH, ORDER_TIMEOUT};
 use monsoonbank_kernel::leases::{EngineOrder, OrderRequest};
 use monsoonbank_kernel::record::Record;
 
 use crate::support::{Fleet, GivenOrder, base_change};
 
-const QUIET: Duration = LEASE_LENGTH.saturating_add(ORDER_FLIGHT);
+const QUIET: Duration = LEASE_LENGTH.saturating_add(ORDER_TIMEOUT);
 
 fn order(adapter: &str) -> OrderRequest {
     OrderRequest {
@@ -119,7 +119,7 @@
     let next = fleet.orders.iter().find(|next| next.node != given.node);
     let next = next.expect("another node holds the lease");
     assert!(next.fencing > given.fencing);
-    assert!(next.at >= given.not_after + ORDER_FLIGHT);
+    assert!(next.at >= given.not_after + ORDER_TIMEOUT);
 }
 
 #[test]
@@ -133,7 +133,7 @@
         .iter()
         .find(|next| next.incarnation != given.incarnation);
     let next = next.expect("the new run holds the lease");
-    assert!(next.at >= given.not_after + ORDER_FLIGHT);
+    assert!(next.at >= given.not_after + ORDER_TIMEOUT);
 }
 
 #[test]
