--- a/kernel/src/keys.rs
+++ b/kernel/src/keys.rs
@@ -1,9 +1,12 @@
-//! Idempotency keys: minted by one run of one node, which alone may run their calls, once.
+//! Idempotency keys: each is minted by one run of one node, and only that run may run its call,
+//! once.
 //!
-//! A key's text is `mb1.NODE.INCARNATION.SEQUENCE.SECOND.MAC`: the minter, a number that the
-//! minter never uses twice, the second of the minter's clock at which it was minted, and a message
-//! authentication code over all of it and the workspace (HMAC-SHA-256 of RFC 2104 and FIPS 180-4,
-//! truncated to 128 bits). Only the minter ever checks a key, so the secret never leaves its memory.
+//!
+//! The text of a key is `mb1.NODE.INCARNATION.SEQUENCE.SECOND.MAC`: the minter, a number that the
+//! minter never uses twice, the second of the minter's clock at which the key was minted, and a
+//! message authentication code over these fields and the workspace (HMAC-SHA-256 of RFC 2104 and
+//! FIPS 180-4, truncated to 128 bits). Only the minter checks a key, so the secret never leaves its
+//! memory.
 
 pub mod outcomes;
 
@@ -20,18 +23,18 @@
 use crate::ids::{Incarnation, NodeId, WorkspaceId};
 use crate::plugin::NodeProfile;
 
-/// Time from minting during which a key may run its call.
+/// Time after minting within which a key may run its call.
 pub const KEY_LIFETIME: Duration = Duration::from_mins(15);
 
 const VERSION: &str = "mb1";
 const MAC_BYTES: usize = 16;
 
-/// A key as it came with a request.
+/// An idempotency key as it came with a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestKey {
     /// The key's text.
     pub text: Box<str>,
-    /// Hash of the request's method, path and body; a key answers for one request only.
+    /// Hash of the request's method, path and body; a key is valid for one request only.
     pub fingerprint: u64,
 }
 
@@ -44,10 +47,10 @@
     }
 }
 
-/// The readable part of a key; says who minted it, proves nothing.
+/// The parsed fields of a key. They identify the minter but are not authenticated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyParts {
-    /// The minter.
+    /// The node that minted the key.
     pub node: NodeId,
     /// The minter's run.
     pub incarnation: Incarnation,
@@ -58,22 +61,22 @@
     mac: [u8; MAC_BYTES],
 }
 
-/// Why a text is no key.
+/// Why a key is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum KeyError {
-    /// Not the form of a key.
+    /// The text does not have the form of a key.
     #[error("malformed idempotency key")]
     Malformed,
-    /// Minted by another node, or by another run of this node.
+    /// The key was minted by another node, or by another run of this node.
     #[error("idempotency key of another minter")]
     OtherMinter,
-    /// The authentication code is not this minter's for this workspace.
+    /// The authentication code does not match this minter and workspace.
     #[error("idempotency key not minted for this workspace")]
     Forged,
 }
 
 impl KeyParts {
-    /// Reads a key's text. Every key has exactly one accepted spelling.
+    /// Parses a key's text. Every key has exactly one accepted spelling.
     pub fn parse(text: &str) -> Result<Self, KeyError> {
         let fields: Vec<&str> = text.splitn(7, '.').collect();
         let [version, node, incarnation, sequence, second, mac] = fields[..] else {
@@ -124,7 +127,7 @@
     byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte)
 }
 
-/// Checks keys of this run; knows the secret and nothing else.
+/// Verifies keys of this run. It contains only the secret and the run's identity.
 #[derive(Clone)]
 pub struct KeyChecker {
     node: NodeId,
@@ -142,7 +145,7 @@
         }
     }
 
-    /// Whether this run minted the key for the workspace. Compares in constant time.
+    /// Checks that this run minted the key for the workspace. Compares in constant time.
     pub fn check(&self, parts: &KeyParts, workspace: WorkspaceId) -> Result<(), KeyError> {
         if (parts.node, parts.incarnation) != (self.node, self.incarnation) {
             return Err(KeyError::OtherMinter);
@@ -173,7 +176,7 @@
     }
 }
 
-/// Mints keys for the edge that gives them to callers; clones share one sequence.
+/// Mints keys for the edge, which passes them to callers. Clones share one sequence.
 #[derive(Clone)]
 pub struct KeyMint {
     checker: KeyChecker,
@@ -181,7 +184,7 @@
 }
 
 impl KeyMint {
-    /// The mint of a node's run. Make one a process: two would mint the same keys.
+    /// The mint of a node's run. There must be one per process: two would mint the same keys.
     pub fn new(profile: &NodeProfile) -> Self {
         Self {
             checker: KeyChecker::new(profile),
@@ -200,11 +203,11 @@
         );
         let mac = checker
             .mac(sequence, second, workspace)
-            .expect("HMAC takes a secret of any length")
+            .expect("HMAC accepts a secret of any length")
             .finalize()
             .into_bytes();
         for byte in &mac[..MAC_BYTES] {
-            write!(text, "{byte:02x}").expect("a string takes all text");
+            write!(text, "{byte:02x}").expect("writing to a string does not fail");
         }
         text.into()
     }
--- a/kernel/src/keys/outcomes.rs
+++ b/kernel/src/keys/outcomes.rs
@@ -1,4 +1,4 @@
-//! What a minter remembers of its keys: which ran, and which answers are kept.
+//! A minter's records of its keys: which ones ran, and whose responses are retained.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -7,53 +7,53 @@
 use crate::call::CallOutcome;
 use crate::ids::{CallId, NodeId, WorkspaceId};
 
-/// Keys remembered at most; beyond it the lowest numbers are forgotten and never run again.
+/// Most keys retained. Beyond it the ones with the earliest expiry are evicted and never run again.
 pub const MAX_KEYS: usize = 100_000;
-/// Keys remembered of one workspace at most, so that one that floods takes from itself first.
+/// Most keys retained per workspace, so that a workspace that sends too many evicts its own first.
 pub const MAX_WORKSPACE_KEYS: usize = 20_000;
-/// Answers kept at most, the newest. The edge keeps no answer above [`MAX_ANSWER_BYTES`].
+/// Most responses retained, the newest. The edge retains no response above [`MAX_ANSWER_BYTES`].
 pub const MAX_ANSWERS: usize = 1_024;
-/// Answers kept of one workspace at most.
+/// Most responses retained per workspace.
 pub const MAX_WORKSPACE_ANSWERS: usize = 256;
-/// Largest answer that an edge keeps for repeats, in bytes; with [`MAX_ANSWERS`] it bounds the
-/// memory for kept answers to 64 MiB. A repeat of a larger answer gets `unknown`.
+/// Largest response that an edge retains for repeats, in bytes; with [`MAX_ANSWERS`] it bounds the
+/// memory for retained responses to 64 MiB. A repeat of a larger response gets `unknown`.
 pub const MAX_ANSWER_BYTES: usize = 64 * 1_024;
-/// Time for which an outcome is kept after its call ended, at least.
+/// Shortest time for which an outcome is retained after its call ended.
 const KEEP: Duration = Duration::from_mins(5);
-/// Calls that one key may carry while nothing has run or the first call still runs.
+/// Most calls with the same key that are accepted before one of them has run to an end.
 const MAX_CALLS: usize = 32;
 
-/// Where a call came from, and so who is told its outcome.
+/// Where a call came from, and therefore where its outcome is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOrigin {
     /// A caller of this node.
     Caller,
-    /// A node that relayed it here, where its key was minted.
+    /// The node that relayed it to this one, where its key was minted.
     Relay(NodeId),
 }
 
-/// What is to be done with a call that carries a valid key.
+/// The decision on a call with a valid key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyDecision {
-    /// Nothing ran under this key: run the call.
+    /// Nothing has run under this key: run the call.
     Run,
-    /// The call runs now as `original`; its answer is this call's too.
+    /// Another call with this key is running: this call gets the same response.
     Join {
-        /// The call that runs.
+        /// The call that is running.
         original: CallId,
     },
-    /// The call ended; `original` names the kept answer.
+    /// A call with this key has ended: this call gets its outcome and, if retained, its response.
     Repeat {
         /// The call that ran.
         original: CallId,
         /// How it ended.
         outcome: CallOutcome,
     },
-    /// The same message came twice.
+    /// The same message arrived twice.
     Duplicate,
-    /// The key was used for another request.
+    /// The key was used for a different request.
     Conflict,
-    /// Too old, or forgotten: it may have run.
+    /// The key is too old or was evicted, so its call may have run.
     Expired,
 }
 
@@ -69,21 +69,21 @@
     workspace: WorkspaceId,
     state: KeyState,
     fingerprint: u64,
-    /// Second of the kernel's clock until which the entry is kept.
+    /// Second of the kernel's clock until which the entry is retained.
     until: u64,
-    /// Calls that ran, or waited, under this key; guards against doubled messages.
+    /// Calls that ran or waited under this key, to detect duplicated messages.
     seen: Vec<CallId>,
     joined: Vec<(CallId, CallOrigin)>,
 }
 
-/// What is remembered of one workspace's keys.
+/// The records of one workspace's keys.
 #[derive(Debug, Default)]
 struct WorkspaceKeys {
     remembered: usize,
-    /// Entries whose call does not run, by the second until which they are kept.
+    /// Entries whose call is not running, by the second until which they are retained.
     expiry: BTreeSet<(u64, u64)>,
     answers: VecDeque<u64>,
-    /// Keys with lower numbers may have been forgotten.
+    /// Keys with lower numbers may have been evicted.
     floor: u64,
 }
 
@@ -91,16 +91,16 @@
 #[derive(Debug, Default)]
 pub struct KeyOutcomes {
     entries: BTreeMap<u64, KeyEntry>,
-    /// Entries whose call does not run, by the second until which they are kept.
+    /// Entries whose call is not running, by the second until which they are retained.
     expiry: BTreeSet<(u64, u64)>,
     answers: VecDeque<u64>,
     workspaces: BTreeMap<WorkspaceId, WorkspaceKeys>,
-    /// Calls whose kept answers may go.
+    /// Calls whose retained responses may be discarded.
     gone: Vec<CallId>,
 }
 
 impl KeyOutcomes {
-    /// Decides on a call with a key that is valid for the workspace, and remembers it.
+    /// Decides on a call with a key that is valid for the workspace, and records it.
     pub fn admit(
         &mut self,
         key: &KeyParts,
@@ -136,7 +136,7 @@
         KeyDecision::Run
     }
 
-    /// Notes how the call of a key ended; gives the calls that wait for the same outcome.
+    /// Records how the call of a key ended; returns the calls that wait for the same outcome.
     pub fn record_outcome(
         &mut self,
         sequence: u64,
@@ -167,7 +167,7 @@
         joined
     }
 
-    /// Keeps a workspace within its own bounds.
+    /// Enforces a workspace's own bounds.
     fn trim(&mut self, workspace: WorkspaceId) {
         let Some(keys) = self.workspaces.get_mut(&workspace) else {
             return;
@@ -190,7 +190,8 @@
         }
     }
 
-    /// Forgets what is too old or too much; gives the calls whose kept answers may go.
+    /// Removes expired entries and those above the bounds; returns the calls whose retained
+    /// responses may be discarded.
     pub fn expire(&mut self, now: Duration) -> Vec<CallId> {
         while self.answers.len() > MAX_ANSWERS {
             if let Some(sequence) = self.answers.pop_front() {
@@ -207,7 +208,7 @@
         std::mem::take(&mut self.gone)
     }
 
-    /// Forgets a key; no key of its workspace with a number up to this one runs from here on.
+    /// Removes a key. From now on no key of its workspace with this number or a lower one runs.
     fn remove(&mut self, until: u64, sequence: u64) {
         self.drop_answer(sequence);
         self.expiry.remove(&(until, sequence));
@@ -220,17 +221,17 @@
         keys.floor = keys.floor.max(sequence + 1);
     }
 
-    /// Keys remembered.
+    /// Number of keys retained.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether no key is retained.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Answers kept.
+    /// Number of responses retained.
     pub fn answers(&self) -> usize {
         self.answers.len()
     }
--- a/kernel/src/leases.rs
+++ b/kernel/src/leases.rs
@@ -1,8 +1,9 @@
-//! The lease on giving orders to engines, and the orders.
+//! The lease on sending orders to engines, and the orders themselves.
 //!
-//! One node at a time gives orders: the one that holds the lease on the log. A node that wants an
-//! order given hands it to the holder, or to the node that is to claim the lease, again and again
-//! until it is told the outcome; the same order twice is given once.
+//!
+//! One node at a time sends orders: the holder of the lease on the log. A node that wants an order
+//! sent forwards it to the holder, or to the node that should claim the lease, and repeats this
+//! until it receives the outcome. Identical orders are sent once.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,37 +28,37 @@
 pub mod lease;
 pub mod orders;
 
-/// Time until a wanted order whose outcome is not known is handed on again.
+/// Interval at which a wanted order without an outcome is forwarded again.
 const HAND_AGAIN: Duration = Duration::from_secs(3);
 
-/// Orders wanted at a time by one node; more are dropped.
+/// Most orders wanted by one node at a time; further ones are dropped.
 const MAX_WANTED: usize = 16_384;
 
-/// The occasion for which the nodes are ranked as claimants.
+/// Seed by which the nodes are ranked as claimants of the lease.
 pub const CLAIM_OCCASION: u64 = 0x6c65_6173;
 
-/// What an engine is told to do.
+/// What an engine is ordered to do.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "order")]
 pub enum EngineOrder {
     /// Load a model's weights.
     #[display("load model {model} version {version}")]
     LoadModel {
-        /// The model.
+        /// Name of the model.
         model: Box<str>,
-        /// The version.
+        /// Version of the model.
         version: Box<str>,
     },
     /// Load an adapter.
     #[display("load adapter {adapter}")]
     LoadAdapter {
-        /// The adapter.
+        /// Name of the adapter.
         adapter: Box<str>,
     },
-    /// Serve another role.
+    /// Change to another role.
     #[display("change role to {role}")]
     ChangeRole {
-        /// The role.
+        /// Name of the role.
         role: Box<str>,
     },
 }
@@ -65,9 +66,9 @@
 /// An order to an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct OrderRequest {
-    /// The upstream.
+    /// Upstream that receives the order.
     pub upstream: UpstreamId,
-    /// The order.
+    /// What it is ordered to do.
     pub order: EngineOrder,
 }
 
@@ -75,13 +76,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderMessage {
-    /// To the holder, or the node that is to claim the lease: give this order.
+    /// To the holder, or the node that should claim the lease: send this order.
     Give(OrderRequest),
-    /// To the node that wanted it: how it ended.
+    /// To the node that wanted it: how the order ended.
     Ended {
-        /// The order.
+        /// The order that ended.
         request: OrderRequest,
-        /// How.
+        /// How it ended.
         outcome: OrderOutcome,
     },
 }
@@ -92,7 +93,7 @@
     hand_at: Duration,
 }
 
-/// Claims the lease when there are orders to give, and gives them.
+/// Claims the lease while there are orders to send, and sends them.
 #[derive(Debug, Default)]
 pub struct LeaseManager {
     config: Arc<Config>,
@@ -107,7 +108,8 @@
 }
 
 impl LeaseManager {
-    /// The node to hand an order to: the holder, or else the claimant of the given rank.
+    /// The node to forward an order to: the holder, or else the claimant of the given rank; `None`
+    /// without live nodes.
     fn giver(&self, tries: u32, now: Duration) -> Option<NodeId> {
         let live = |node: &NodeId| {
             let member = self.view.members.get(node);
@@ -131,7 +133,7 @@
             .map(|(request, wanted)| (request.clone(), wanted.handed))
             .collect();
         for (request, handed) in due {
-            // Every claimant gets a few tries before the next one does.
+            // Each claimant is tried four times before the next one.
             let Some(giver) = self.giver(handed / 4, now) else {
                 return;
             };
@@ -189,7 +191,7 @@
         }
         let (node, incarnation) = (context.profile.node, context.profile.incarnation);
         if self.lease.is_held_by_other(node, incarnation, context.now) {
-            // The nodes that want these hand them to the holder.
+            // The nodes that want these orders forward them to the holder.
             self.queue.clear();
         }
         if self.leaving || self.queue.is_empty() {
@@ -209,8 +211,8 @@
         }
     }
 
-    /// Gives the orders that are due, if the lease holds at this moment. The process looks at the
-    /// clock once more before each is sent.
+    /// Sends the orders that are due, if this node has the lease now. The process checks the clock
+    /// again before it sends each one.
     fn give(&mut self, context: &mut Context<'_>) {
         let Some(held) = self.lease.held(context.now) else {
             return;
@@ -230,7 +232,7 @@
         let open = self.queue.has_open();
         self.queue.clear();
         if open {
-            // An order may still be sent until the lease ends, so it is left to lapse.
+            // An open order may still be sent until the lease ends, so the lease is left to expire.
             return;
         }
         let (node, incarnation) = (context.profile.node, context.profile.incarnation);
--- a/kernel/src/leases/lease.rs
+++ b/kernel/src/leases/lease.rs
@@ -1,7 +1,9 @@
-//! Holding the lease: claims chained on the log, each with its offset as fencing number.
+//! The state of a lease: claims chained on the log, whose offsets are the fencing tokens.
 //!
-//! The claimant counts a lease from before its append, everyone else from when they read it, so
-//! the claimant's own end is never after anyone else's (C. Gray and D. Cheriton, "Leases", 1989).
+//!
+//! The claimant counts a lease from before its append, and all other nodes from when they read it.
+//! For the claimant it therefore never ends later than for anyone else (C. Gray and D. Cheriton,
+//! "Leases", 1989).
 
 use std::time::Duration;
 
@@ -12,29 +14,29 @@
 use crate::ids::{Incarnation, NodeId};
 use crate::record::{LeaseHead, LeaseRecord};
 
-/// How long a lease holds.
+/// Duration of the lease on sending orders.
 pub const LEASE_LENGTH: Duration = Duration::from_secs(15);
 
-/// Part of a lease that its holder leaves unused, for clocks that run at different rates.
+/// Final part of a lease that its holder does not use, in case clocks run at different rates.
 const DRIFT_MARGIN: Duration = Duration::from_secs(1);
 
-/// The longest time that an order may go on taking effect after it was sent: its edge gives up the
+/// Longest time for which an order may take effect after it was sent: the edge times out the
 /// request after this.
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a claim may take to be read back before it is sent again.
+/// Time after which a claim that was not read back is sent again.
 const CLAIM_WAIT: Duration = Duration::from_secs(3);
 
-/// Times that the holder and all claimants of a lease have to agree on.
+/// Durations that the holder and all claimants of a lease must agree on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTerms {
-    /// How long it holds.
+    /// Duration of the lease.
     pub length: Duration,
-    /// Part that its holder leaves unused, for clocks that run at different rates.
+    /// Final part that its holder does not use, in case clocks run at different rates.
     pub drift_margin: Duration,
-    /// Longest time that an order may go on taking effect after it was sent.
+    /// Longest time for which an order may take effect after it was sent.
     pub flight: Duration,
-    /// How long a claim may take to be read back before it is sent again.
+    /// Time after which a claim that was not read back is sent again.
     pub claim_wait: Duration,
 }
 
@@ -49,14 +51,14 @@
     }
 }
 
-/// A lease that this node holds.
+/// A lease that belongs to this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldLease {
-    /// The offset of its newest record.
+    /// Fencing token: the offset of the newest lease record.
     pub fencing: u64,
-    /// The offset of the claim since which no other node has held it.
+    /// Offset of the claim since which no other node has had the lease.
     pub claim_offset: u64,
-    /// The time from which no order may be given under it.
+    /// Time from which no order may be sent under it.
     pub until: Duration,
 }
 
@@ -71,7 +73,7 @@
     head.record.node == node && head.record.incarnation == incarnation
 }
 
-/// What this node knows of the lease.
+/// The lease as this node has read it from the log.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseState {
     terms: LeaseTerms,
@@ -85,7 +87,7 @@
 }
 
 impl LeaseState {
-    /// What a node knows that has not read the log yet.
+    /// The state of a node that has not read the log yet.
     pub fn new(terms: LeaseTerms) -> Self {
         Self {
             terms,
@@ -93,18 +95,18 @@
         }
     }
 
-    /// Its times.
+    /// The durations agreed for this lease.
     pub fn terms(&self) -> LeaseTerms {
         self.terms
     }
 
-    /// The offset of the newest record that is known.
+    /// Offset of the newest lease record that was read, or `None` before the first.
     pub fn newest_offset(&self) -> Option<u64> {
         self.head.as_ref().map(|head| head.offset)
     }
 
-    /// Forgets all records, as those that were read may not stand any more, and waits as if another
-    /// node had just renewed the lease.
+    /// Discards all records, since those that were read may no longer be in force, and waits as if
+    /// another node had just renewed the lease.
     pub fn reset(&mut self, now: Duration) {
         *self = Self {
             terms: self.terms,
@@ -114,7 +116,7 @@
         };
     }
 
-    /// A valid lease record was folded at `now`.
+    /// Applies a valid lease record that was read at `now`.
     pub fn apply(
         &mut self,
         head: &LeaseHead,
@@ -148,8 +150,8 @@
     }
 
     fn take(&mut self, head: &LeaseHead, random: &mut Pcg64Mcg) {
-        // A record of this node that it did not send as its pending claim was sent before: when
-        // is not known any more, so nothing is held under it.
+        // A record of this node that does not match its pending claim was sent earlier, at an
+        // unknown time, so it grants nothing.
         let sent = self
             .claim
             .as_ref()
@@ -167,12 +169,12 @@
         self.renew_at = sent + head.record.length.mul_f64(random.random_range(0.4..0.6));
     }
 
-    /// The lease that this node holds at this moment.
+    /// This node's lease if it is valid at `now`.
     pub fn held(&self, now: Duration) -> Option<HeldLease> {
         self.held.filter(|held| now < held.until)
     }
 
-    /// The node whose lease has not lapsed by this node's clock.
+    /// The node whose lease has not expired by this node's clock.
     pub fn holder(&self, now: Duration) -> Option<NodeId> {
         self.head
             .as_ref()
@@ -180,29 +182,29 @@
             .map(|head| head.record.node)
     }
 
-    /// Whether another node, or an earlier run of this one, may hold the lease.
+    /// Whether another node, or an earlier run of this one, may have the lease.
     pub fn is_held_by_other(&self, node: NodeId, incarnation: Incarnation, now: Duration) -> bool {
         let other = |head: &LeaseHead| !is_of(head, node, incarnation);
         now < self.lapses && self.head.as_ref().is_some_and(other)
     }
 
-    /// A claim stands nowhere on the log: the next one is a new one.
+    /// Discards the pending claim, which is not on the log, so that the next one is new.
     pub fn claim_rejected(&mut self) {
         self.claim = None;
     }
 
-    /// The end of what an earlier holder's orders can still do at an upstream that does not check
-    /// fencing numbers.
+    /// Time until which an earlier holder's orders may still take effect at an upstream that does
+    /// not check fencing tokens.
     pub fn quiet_until(&self) -> Duration {
         self.quiet_until
     }
 
-    /// Has the lease renewed with the next claim.
+    /// Makes the lease due for renewal with the next claim.
     pub fn renew_now(&mut self, now: Duration) {
         self.renew_at = self.renew_at.min(now);
     }
 
-    /// For the state dump.
+    /// The lease's entry in the state dump.
     pub fn dump(&self) -> Value {
         json!({
             "holder": self.head.as_ref().map(|head| head.record.node.to_string()),
@@ -213,7 +215,7 @@
         })
     }
 
-    /// The record that claims or renews the lease, if it is time for one.
+    /// The record that claims or renews the lease, or `None` if none is due.
     pub fn claim(
         &mut self,
         node: NodeId,
@@ -246,7 +248,7 @@
         })
     }
 
-    /// The record that gives the lease up.
+    /// The record that releases the lease, or `None` if this node does not have it.
     pub fn release(
         &mut self,
         node: NodeId,
--- a/kernel/src/leases/orders.rs
+++ b/kernel/src/leases/orders.rs
@@ -1,4 +1,4 @@
-//! Orders that wait, or were given and not answered.
+//! Orders that are queued, or were sent and not answered.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -10,34 +10,34 @@
 use crate::leases::lease::{HeldLease, ORDER_TIMEOUT};
 use crate::leases::{EngineOrder, OrderRequest};
 
-/// Orders held at a time; more are refused.
+/// Most orders queued at a time; further ones are dropped.
 const MAX_ORDERS: usize = 16_384;
 
-/// Tries of one order.
+/// Attempts to send one order.
 const MAX_TRIES: u32 = 5;
 
-/// Time until a refused or unanswered order is given again, times the tries so far.
+/// Delay before a rejected or unanswered order is sent again, per attempt so far.
 const RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Orders to load something that may be unanswered at a time.
+/// Most load orders that may be unanswered at a time.
 const OPEN_LOADS: usize = 4;
 
-/// Least time between two orders to load something: the weight store limits its rate.
+/// Shortest time between two load orders: the weight store limits its rate.
 const LOAD_EVERY: Duration = Duration::from_millis(500);
 
-/// Time to the end of the lease below which no order is begun.
+/// Shortest remaining lease time in which an order is sent.
 const SEND_MARGIN: Duration = Duration::from_millis(200);
 
-/// Outcomes that the state dump shows.
+/// Outcomes that are retained for the state dump.
 const SHOWN_OUTCOMES: usize = 32;
 
 /// How an order ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderOutcome {
-    /// The upstream carries it out.
+    /// The upstream accepted it.
     Accepted,
-    /// The upstream refused it, or did not answer, each time.
+    /// The upstream rejected it, or did not answer, at every attempt.
     GivenUp,
 }
 
@@ -49,18 +49,18 @@
     sent: Option<u64>,
 }
 
-/// An order that is over, and the nodes that wanted it.
+/// An order that has ended, and the nodes that wanted it.
 #[derive(Clone, Debug)]
 pub struct EndedOrder {
     /// The order.
     pub request: OrderRequest,
     /// How it ended.
     pub outcome: OrderOutcome,
-    /// The nodes.
+    /// Nodes to be sent the outcome.
     pub requesters: BTreeSet<NodeId>,
 }
 
-/// Orders by what they say, so that one that is asked for twice is given once.
+/// Queued orders by their content, so that one that is requested twice is sent once.
 #[derive(Clone, Debug, Default)]
 pub struct OrderQueue {
     orders: BTreeMap<OrderRequest, OrderState>,
@@ -73,7 +73,7 @@
 }
 
 impl OrderQueue {
-    /// Takes an order that a node wants.
+    /// Adds an order that a node wants; drops it if the queue is full.
     pub fn add(&mut self, request: &OrderRequest, requester: NodeId) {
         if self.orders.len() >= MAX_ORDERS && !self.orders.contains_key(request) {
             return;
@@ -82,32 +82,32 @@
         state.requesters.insert(requester);
     }
 
-    /// Whether nothing waits.
+    /// Whether no order is queued or unanswered.
     pub fn is_empty(&self) -> bool {
         self.orders.is_empty()
     }
 
-    /// Orders that wait or are unanswered.
+    /// Number of orders that are queued or unanswered.
     pub fn len(&self) -> usize {
         self.orders.len()
     }
 
-    /// Whether an order was given and not answered.
+    /// Whether an order was sent and not answered.
     pub fn has_open(&self) -> bool {
         self.orders.values().any(|state| state.sent.is_some())
     }
 
-    /// The orders that ended last, oldest first.
+    /// The newest outcomes, oldest first.
     pub fn outcomes(&self) -> impl Iterator<Item = &(OrderRequest, OrderOutcome)> {
         self.outcomes.iter()
     }
 
-    /// Forgets every order: this node is not the one to give them.
+    /// Removes every order, when this node is not the one to send them.
     pub fn clear(&mut self) {
         self.orders.clear();
     }
 
-    /// The orders to give now, under the lease held. One at a time to each upstream.
+    /// The orders to send now under this lease, at most one at a time to each upstream.
     pub fn due(
         &mut self,
         lease: HeldLease,
@@ -157,7 +157,7 @@
         due
     }
 
-    /// An upstream answered an order.
+    /// Applies an upstream's answer to an order. Returns the order if it has ended.
     pub fn answered(
         &mut self,
         upstream: UpstreamId,
@@ -183,7 +183,7 @@
         self.end(&request, outcome)
     }
 
-    /// The orders that were tried often enough without an answer.
+    /// Ends the orders that remain unanswered after their last attempt, and returns them.
     pub fn expired(&mut self, now: Duration) -> Vec<EndedOrder> {
         let expired: Vec<OrderRequest> = self
             .orders
--- a/kernel/src/limits.rs
+++ b/kernel/src/limits.rs
@@ -1,10 +1,11 @@
-//! Rate and concurrency limits of workspaces over the whole fleet.
+//! Fleet-wide rate and concurrency limits of workspaces.
 //!
-//! Each limited workspace has one limiter among the live nodes, by rendezvous hashing. A node with
-//! demand asks the limiter for a share and gets it as a short lease; the limiter shares the limit
-//! out by max-min fairness over demands. While the limiter cannot be reached, a node uses the
-//! limit over the number of live nodes, so nodes that cannot see each other may together reach the
-//! limit once a side.
+//!
+//! Each limited workspace has one limiter among the live nodes, chosen by rendezvous hashing. A
+//! node with demand requests a share from the limiter and receives it as a short lease; the limiter
+//! divides the limit among the demands by max-min fairness. While the limiter is unreachable, a
+//! node uses the limit divided by the number of live nodes, so each side of a network partition may
+//! use up to the whole limit.
 
 pub mod allowance;
 pub mod ledger;
@@ -31,9 +32,9 @@
 /// A share of a workspace's limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitShare {
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
-    /// Calls at a time.
+    /// Concurrent calls.
     pub concurrent: u32,
 }
 
@@ -41,51 +42,52 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LimitMessage {
-    /// To the limiter: what the sender could use, and what it holds.
+    /// To the limiter: the sender's demand and its current share.
     Demand {
-        /// The workspace.
+        /// Workspace whose limits are requested.
         workspace: WorkspaceId,
-        /// What the sender could use.
+        /// Share that the sender could use.
         wanted: LimitShare,
-        /// What it holds by a lease that has not run out.
+        /// Share that the sender has by an unexpired lease.
         held: LimitShare,
     },
-    /// From the limiter: replaces whatever share the receiver holds.
+    /// From the limiter: replaces the receiver's share.
     Grant {
-        /// The workspace.
+        /// Workspace whose limits are granted.
         workspace: WorkspaceId,
-        /// The share.
+        /// New share.
         share: LimitShare,
-        /// How long it holds, counted from when it arrives.
+        /// Duration of the lease, counted from the arrival of the message.
         length: Duration,
-        /// Whether the limiter takes a part back: it must be told what is still held.
+        /// Whether the limiter reduces the share: the receiver must reply with its demand and the
+        /// share that it still has.
         reclaim: bool,
     },
 }
 
-/// Messages that a node sends about its demand at one tick, to stay within the budget of control
+/// Most demand messages that a node sends at one tick, to stay within the budget of control
 /// traffic.
 const MOST_AT_ONCE: usize = 4;
 
-/// Messages about its demand that a node sends in a second, over all workspaces, and the most at
-/// once. Without an answer in time a node uses an even share.
+/// Demand messages that a node sends per second over all workspaces, and the largest burst. Without
+/// a reply in time a node uses an even share.
 const MESSAGES_PER_SECOND: f64 = 4.0;
 const MOST_MESSAGES: f64 = 64.0;
 
-/// Calls a second, and calls at a time, that stand for no limit: beyond what a fleet can take in,
-/// and safe to share out.
+/// Rate and concurrency that stand for no limit: more than a fleet can accept, and small enough to
+/// be divided safely.
 const UNLIMITED_RATE: f64 = 1e9;
 const UNLIMITED_CALLS: u32 = 1_000_000_000;
 
-/// Calls of one workspace that wait for a share, or for their turn.
+/// Most calls of one workspace that wait for a share or for their turn.
 const MOST_WAITING: usize = 1_024;
 
-/// Admits calls within their workspace's limits.
+/// Admits calls within the limits of their workspaces.
 #[derive(Debug, Default)]
 pub struct LimitTable {
     config: Arc<Config>,
     nodes: Vec<NodeId>,
-    /// The live nodes before the last change of them, and when that was.
+    /// Live nodes before the last change of membership, and the time of that change.
     former_nodes: Vec<NodeId>,
     nodes_changed: Duration,
     messages: f64,
@@ -97,7 +99,7 @@
 }
 
 impl LimitTable {
-    /// The workspace's limits; none when it has none.
+    /// The workspace's limits, or `None` if it has none.
     fn limits(&self, workspace: WorkspaceId) -> Option<LimitShare> {
         let spec = self.config.workspaces.get(&workspace)?;
         if spec.calls_per_second.is_none() && spec.concurrent_calls.is_none() {
@@ -109,13 +111,13 @@
         })
     }
 
-    /// The node that shares out the workspace's limits.
+    /// The node that divides the workspace's limits; `None` without live nodes.
     fn limiter(&self, workspace: WorkspaceId) -> Option<NodeId> {
         limiter_among(&self.nodes, workspace)
     }
 
-    /// When this node became the limiter, if holders of a former limiter's shares may still be
-    /// about to ask anew.
+    /// When this node replaced another limiter for the workspace, whose shares may still be in use;
+    /// `None` if the last change of membership did not change the limiter.
     fn took_over(&self, workspace: WorkspaceId) -> Option<Duration> {
         let same = limiter_among(&self.former_nodes, workspace) == self.limiter(workspace);
         (!same).then_some(self.nodes_changed)
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Whether a call of the workspace may go on now; takes up its place if it may.
+    /// Decides whether a call may be admitted now, and counts it against the limits if so.
     pub fn admit(&mut self, now: Duration, call: &WaitingCall, node: NodeId) -> LimitDecision {
         let workspace = call.spec.workspace;
         let Some(limits) = self.limits(workspace) else {
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Keeps a call until a share comes that it fits into.
+    /// Queues a call until the share has capacity for it.
     fn wait(&mut self, call: WaitingCall, context: &mut Context<'_>) {
         let workspace = call.spec.workspace;
         let Some(allowance) = self.local.get_mut(&workspace) else {
@@ -202,7 +204,7 @@
         });
     }
 
-    /// Decides again on the calls that waited for a share.
+    /// Decides again on the calls that wait for a share.
     fn release_waiting(&mut self, workspace: WorkspaceId, context: &mut Context<'_>) {
         let Some(allowance) = self.local.get_mut(&workspace) else {
             return;
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Tells the limiter the demand, within the budget of such messages.
+    /// Sends the demand to the limiter, unless the message budget is exhausted.
     fn ask(&mut self, workspace: WorkspaceId, context: &mut Context<'_>) {
         let passed = context.now.saturating_sub(self.refilled).as_secs_f64();
         self.refilled = context.now;
@@ -290,7 +292,8 @@
             return;
         };
         allowance.granted(context.now, share, length);
-        // The answer to a node's own demand is not answered again: two nodes would never stop.
+        // A grant in response to a node's own demand is not acknowledged; otherwise two nodes would
+        // exchange messages without end.
         if reclaim {
             self.tell_demand(workspace, context);
         }
@@ -368,7 +371,7 @@
     }
 }
 
-/// The limiter of a workspace, by rendezvous hashing.
+/// The limiter of a workspace among `nodes`, by rendezvous hashing.
 fn limiter_among(nodes: &[NodeId], workspace: WorkspaceId) -> Option<NodeId> {
     let weight = |node: &NodeId| xxh3_64_with_seed(&node.0.to_le_bytes(), workspace.0);
     nodes.iter().copied().max_by_key(weight)
--- a/kernel/src/limits/allowance.rs
+++ b/kernel/src/limits/allowance.rs
@@ -1,4 +1,4 @@
-//! What one node may let in of a limited workspace, and what it asks for.
+//! Admission of one workspace's calls at one node, and the demand that the node reports.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,55 +12,57 @@
 /// How long a call waits for the first share of its workspace.
 const FIRST_WAIT: Duration = Duration::from_millis(200);
 
-/// Least time between two messages about demand.
+/// Shortest time between two demand messages.
 const LEAST_GAP: Duration = Duration::from_secs(1);
 
-/// Share of its time that a call above the rate may wait for its turn, and the longest such wait.
+/// Fraction of its time left that a call above the rate may wait for its turn, and the longest such
+/// wait.
 const PACE_SHARE: f64 = 0.25;
 const LONGEST_PACE: Duration = Duration::from_secs(5);
 
-/// Least time between two messages while calls wait for a greater share.
+/// Shortest time between two demand messages while calls wait for a larger share.
 const URGENT_GAP: Duration = Duration::from_millis(100);
 
-/// How long a call waits for a greater share: the limiter may have to take it from another node
+/// How long a call waits for a larger share: the limiter may have to reclaim it from another node
 /// first.
 const GROWTH_WAIT: Duration = Duration::from_millis(100);
 
-/// Time after which demand that did not change is told again.
+/// Time after which unchanged demand is sent again.
 const RENEWAL: Duration = Duration::from_secs(8);
 
-/// Time without calls after which a workspace is forgotten.
+/// Time without calls after which a workspace's state is dropped.
 const IDLE: Duration = Duration::from_secs(30);
 
-/// Time over which the rate of arrivals is averaged, in seconds.
+/// Averaging time of the arrival rate, in seconds.
 const RATE_WINDOW: f64 = 2.0;
 
-/// Asked beyond the demand seen, so that small growth needs no message.
+/// Factor by which the requested share exceeds the measured demand, so that small growth needs no
+/// message.
 const HEADROOM: f64 = 1.25;
 
-/// A call that waits for the first share of its workspace.
+/// A call that waits for a share of its workspace's limits.
 #[derive(Clone, Debug)]
 pub struct WaitingCall {
-    /// The call.
+    /// The call as it arrived.
     pub spec: CallSpec,
-    /// Its idempotency key.
+    /// Idempotency key; `None` if the caller sent none.
     pub key: Option<RequestKey>,
     /// When it arrived.
     pub since: Duration,
 }
 
-/// What the limits say of a call.
+/// The decision of a workspace's limits on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitDecision {
     /// The workspace has no limits.
     Unlimited,
-    /// It is within them, and counts from now on.
+    /// The call is within the limits and is counted as running.
     Admitted,
-    /// The share is being asked for.
+    /// The call waits for a share or for its turn.
     Wait,
-    /// It is above them.
+    /// The call is above the limits.
     Limited {
-        /// When a retry makes sense.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
 }
@@ -71,13 +73,13 @@
     until: Duration,
 }
 
-/// What one node may let in of a limited workspace.
+/// One node's share of a workspace's limits, and its use of it.
 #[derive(Debug, Default)]
 pub struct LocalAllowance {
-    /// Calls that wait for the first share.
+    /// Calls that wait for a share or for their turn.
     pub waiting: VecDeque<WaitingCall>,
     held: Option<HeldShare>,
-    /// Until then the whole limit is thought to be in use.
+    /// Until this time the limit is assumed to be fully used.
     denied: Duration,
     running: u32,
     limited: u32,
@@ -109,13 +111,13 @@
             .map(|held| held.share)
     }
 
-    /// What is held by a lease that has not run out.
+    /// The share of an unexpired lease; zero without one.
     pub fn held(&self, now: Duration) -> LimitShare {
         self.share(now).unwrap_or_default()
     }
 
-    /// Decides on one call; `even` is the share of a node that cannot reach
-    /// the limiter, `limits` are the whole fleet's.
+    /// Decides on one call. `even` is the share of a node that cannot reach the limiter, and
+    /// `limits` are those of the whole fleet.
     pub fn admit(
         &mut self,
         now: Duration,
@@ -153,7 +155,7 @@
         LimitDecision::Limited { retry_after }
     }
 
-    /// Whether a greater share may come in time for a call that is above the one held.
+    /// Whether a larger share may arrive in time for a call that is above the current one.
     fn may_grow(
         &self,
         now: Duration,
@@ -171,7 +173,7 @@
         reachable && !whole && now >= self.denied && now < since + GROWTH_WAIT
     }
 
-    /// Whether a call above the rate may wait for its turn: it must not use up much of its time.
+    /// Whether a call above the rate may wait for its turn without using too much of its time.
     fn can_pace(&self, now: Duration, call: &WaitingCall, rate: f64) -> bool {
         let turn = (self.waiting.len() as f64 + 1.0 - self.tokens) / rate.max(0.001);
         let longest = call.spec.time_left.mul_f64(PACE_SHARE).min(LONGEST_PACE);
@@ -179,7 +181,8 @@
         waited.as_secs_f64() + turn <= longest.as_secs_f64()
     }
 
-    /// A token bucket that holds what comes in during a second, and one call at the least.
+    /// Refills a token bucket that contains at most one second's worth of calls, and at least one
+    /// call.
     fn refill(&mut self, now: Duration, rate: f64) {
         let time = now.saturating_sub(self.filled).as_secs_f64();
         self.filled = now;
@@ -187,7 +190,7 @@
         self.tokens = (self.tokens + rate * time).min(most);
     }
 
-    /// A call that was let in is over.
+    /// Counts the end of an admitted call.
     pub fn finished(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
@@ -203,23 +206,24 @@
         }
     }
 
-    /// Whether an arrival must ask at once: nothing is held and nothing was asked lately.
+    /// Whether an arrival must send the demand at once: there is no share, and no demand was sent
+    /// recently.
     pub fn should_ask_now(&self, now: Duration) -> bool {
         self.share(now).is_none() && (self.first_ask.is_none() || now >= self.asked + LEAST_GAP)
     }
 
-    /// Whether the call that begins to wait must ask: the share held is used up.
+    /// Whether a call that starts to wait must send the demand: the current share is used up.
     pub fn should_ask_for_growth(&self, now: Duration) -> bool {
         self.share(now).is_some() && now >= self.asked + URGENT_GAP
     }
 
-    /// The limiter is another node now: tells it the demand as soon as may be.
+    /// Has the demand sent to the new limiter at the next opportunity.
     pub fn limiter_changed(&mut self) {
         self.asked = Duration::ZERO;
         self.wanted = LimitShare::default();
     }
 
-    /// Whether it is time to tell the demand again.
+    /// Whether the demand is due to be sent again.
     pub fn should_renew(&self, now: Duration) -> bool {
         if now < self.asked + LEAST_GAP || self.first_ask.is_none() {
             return false;
@@ -233,12 +237,12 @@
         grown || fallen || now >= self.asked + RENEWAL
     }
 
-    /// When the demand was told last.
+    /// When the demand was last sent.
     pub fn asked_at(&self) -> Duration {
         self.asked
     }
 
-    /// Notes that the demand is told now, and says what it is.
+    /// Records that the demand is sent now, and returns it.
     pub fn ask(&mut self, now: Duration) -> LimitShare {
         self.wanted = self.demand(now);
         self.limited = 0;
@@ -247,7 +251,7 @@
         self.wanted
     }
 
-    /// Takes in a share.
+    /// Applies a granted share with a lease of this length.
     pub fn granted(&mut self, now: Duration, share: LimitShare, length: Duration) {
         if self.share(now).is_none() {
             self.tokens = self.tokens.max(1.0);
@@ -259,12 +263,12 @@
         });
     }
 
-    /// Whether nothing is left to remember.
+    /// Whether the state may be dropped: no calls run or wait, and none arrived recently.
     pub fn is_idle(&self, now: Duration) -> bool {
         self.running == 0 && self.waiting.is_empty() && now > self.last_arrival + IDLE
     }
 
-    /// The state dump.
+    /// The workspace's entry in the state dump.
     pub fn dump(&self) -> Value {
         json!({
             "running": self.running,
--- a/kernel/src/limits/ledger.rs
+++ b/kernel/src/limits/ledger.rs
@@ -1,4 +1,4 @@
-//! The limiter's side: shares a workspace's limits out over the nodes that have demand.
+//! The limiter's side: divides a workspace's limits among the nodes that have demand.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,29 +6,29 @@
 use crate::ids::{NodeId, WorkspaceId};
 use crate::limits::LimitShare;
 
-/// How long a share holds.
+/// Duration of the lease on a share.
 pub const SHARE_LENGTH: Duration = Duration::from_secs(20);
 
-/// Least time between two unasked messages to one holder.
+/// Shortest time between two unsolicited messages to one holder.
 const SHRINK_GAP: Duration = Duration::from_millis(200);
 
-/// Time in which holders of a former limiter's shares ask anew: until then a limiter gives nobody
-/// more than it holds already, or an even part.
+/// Time for the holders of a former limiter's shares to report them to the new one. Until then the
+/// new limiter grants nobody more than it already has, or than an even share.
 const TAKE_OVER: Duration = Duration::from_secs(3);
 
-/// How far above its fair part a holder may be before it is told of a smaller one.
+/// Factor above its fair share from which a holder's share is reduced.
 const TOLERANCE: f64 = 1.1;
 
 /// A share to be sent to a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShareGrant {
-    /// The node.
+    /// Receiver of the share.
     pub node: NodeId,
-    /// The share.
+    /// New share.
     pub share: LimitShare,
-    /// How long it holds.
+    /// Duration of the lease.
     pub length: Duration,
-    /// Whether a part is taken back: the holder must say what it still holds.
+    /// Whether the share is reduced, so that the holder must report what it still has.
     pub reclaim: bool,
 }
 
@@ -41,14 +41,14 @@
     told: Duration,
 }
 
-/// What a workspace's limits are shared out by.
+/// Parameters by which a workspace's limits are divided.
 #[derive(Clone, Copy, Debug)]
 pub struct ShareTerms {
-    /// The limits of the whole fleet.
+    /// Limits of the whole fleet.
     pub limits: LimitShare,
-    /// Live nodes.
+    /// Number of live nodes.
     pub nodes: usize,
-    /// When this node took over from another limiter, if it did so lately.
+    /// When this node replaced another limiter; `None` if it did not do so recently.
     pub took_over: Option<Duration>,
 }
 
@@ -57,15 +57,15 @@
     holders: BTreeMap<NodeId, ShareHolder>,
 }
 
-/// The shares that this node has given out.
+/// The shares that this node has granted as a limiter.
 #[derive(Debug, Default)]
 pub struct ShareLedger {
     workspaces: BTreeMap<WorkspaceId, WorkspaceLedger>,
 }
 
-/// Max-min fair parts of `limit`: small demands are met whole and the rest is cut evenly. What no
-/// demand takes is spread over all `nodes`, so that growth needs no message and a node whose first
-/// call is yet to come finds room.
+/// Max-min fair parts of `limit`: small demands are met in full and the rest is divided evenly.
+/// Unclaimed capacity is spread over all `nodes`, so that growth needs no message and a node that
+/// receives its first call finds capacity.
 pub fn fair_parts(
     limit: f64,
     nodes: usize,
@@ -89,33 +89,33 @@
     parts
 }
 
-/// A node's message about its demand.
+/// A node's demand message.
 #[derive(Clone, Copy, Debug)]
 pub struct ShareDemand {
-    /// The node.
+    /// Sender of the demand.
     pub node: NodeId,
-    /// What it could use.
+    /// Share that it could use.
     pub wanted: LimitShare,
-    /// What it holds.
+    /// Share that it has by an unexpired lease.
     pub held: LimitShare,
-    /// The part of a node when all live nodes get the same.
+    /// Share of this node if all live nodes get the same.
     pub even: LimitShare,
 }
 
 impl ShareLedger {
-    /// Workspaces whose limits are being shared out.
+    /// Number of workspaces with granted shares.
     pub fn len(&self) -> usize {
         self.workspaces.len()
     }
 
-    /// Whether nothing is shared out.
+    /// Whether no share is granted.
     pub fn is_empty(&self) -> bool {
         self.workspaces.is_empty()
     }
 
-    /// Takes in a node's demand; gives back its new share, smaller ones for holders that have more
-    /// than their part, and greater ones for holders that had to do with less. The shares that one
-    /// limiter gave never exceed the limit together.
+    /// Applies a node's demand. Returns its new share, reduced shares for holders above their fair
+    /// share, and larger ones for holders below it. The shares granted by one limiter never exceed
+    /// the limit in total.
     pub fn demand(
         &mut self,
         now: Duration,
@@ -139,7 +139,7 @@
         grants
     }
 
-    /// Drops shares that have run out.
+    /// Drops expired shares.
     pub fn expire(&mut self, now: Duration) {
         for ledger in self.workspaces.values_mut() {
             ledger.holders.retain(|_, holder| now < holder.until);
@@ -167,7 +167,8 @@
         rates
             .into_iter()
             .map(|(node, rate)| {
-                // Whole calls do not divide evenly: what is left over goes to who asks first.
+                // Concurrent calls do not divide evenly: the remainder goes to the first holders
+                // that send a demand.
                 let concurrent = (counts[&node].floor() as u32).max(1);
                 (node, LimitShare { rate, concurrent })
             })
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Gives a holder its fair part, as far as the shares of the others leave it.
+    /// Grants a holder its fair share, as far as the shares of the others allow.
     fn grant(&mut self, now: Duration, terms: ShareTerms, node: NodeId) -> ShareGrant {
         let part = self.parts(terms)[&node];
         let mut share = smaller(part, self.free(terms.limits, node));
@@ -207,8 +208,8 @@
         }
     }
 
-    /// Smaller shares for holders that have more than their part while another has less; greater
-    /// ones for those that have less, once there is room.
+    /// Reduced shares for holders above their fair share while another holder is below its own, and
+    /// larger ones for holders below it once there is capacity.
     fn balance(&mut self, now: Duration, terms: ShareTerms, asker: NodeId) -> Vec<ShareGrant> {
         let parts = self.parts(terms);
         let lacks = |holder: &ShareHolder, part: &LimitShare| {
@@ -232,7 +233,7 @@
             if *node == asker || !above || now < holder.told + SHRINK_GAP {
                 continue;
             }
-            // The holder's answer says when it has let go; until then it counts in full.
+            // A reduced share counts in full until the holder confirms the reduction.
             grants.push(ShareGrant {
                 node: *node,
                 share: smaller(holder.held, *part),
--- a/kernel/src/routing.rs
+++ b/kernel/src/routing.rs
@@ -1,8 +1,10 @@
-//! The plug-in of the entry node: chooses the owner that a call goes to and ends each call once.
+//! The entry node's plug-in: chooses the owner that each call is offered to, and reports exactly
+//! one outcome per call.
 //!
-//! A call ends in exactly one of: the whole answer; `not_run`, only if nothing of it ran; `unknown`.
-//! A call that may not be repeated is offered to another owner only while nothing of it can have
-//! run. Any other call goes on elsewhere from the tokens that its caller has.
+//!
+//! The outcome is one of: the whole response; `not_run`, only if no part of the call ran;
+//! `unknown`. A call that is not repeatable is offered to another owner only while no part of it
+//! can have run. Any other call is resumed elsewhere after the tokens that its caller already has.
 
 mod answers;
 pub mod attempt;
@@ -34,15 +36,15 @@
 use crate::routing::retry::RetryBudget;
 use crate::wire::{Message, RelayMessage};
 
-/// What is done with an urgent call that waits long at its owner while another seems to have room.
+/// What happens to an urgent call that waits long at its owner while another owner has capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WaitPolicy {
-    /// Nothing.
+    /// It keeps waiting.
     Stay,
-    /// It is taken back and offered to the other.
+    /// It is withdrawn and offered to the other owner.
     #[default]
     Move,
-    /// It is offered to the other as well; the first to start answers (hedging).
+    /// It is offered to the other owner as well, and the first to start responds (hedging).
     Hedge,
 }
 
@@ -55,7 +57,7 @@
     hedges: u64,
 }
 
-/// Calls that entered at this node and are not over.
+/// Routes the calls that entered at this node and have not ended.
 pub struct CallRouter {
     waiting: WaitPolicy,
     config: Arc<Config>,
@@ -74,7 +76,7 @@
 }
 
 impl CallRouter {
-    /// A router for a node's run.
+    /// A router for a node's run, with the given policy for waiting calls.
     pub fn new(profile: &NodeProfile, waiting: WaitPolicy) -> Self {
         Self {
             waiting,
@@ -100,7 +102,7 @@
             .rebuild(&self.config, &self.owners, &self.view, zone);
     }
 
-    /// Ends a call that this node holds.
+    /// Ends a call that this node is responsible for, together with its repeats.
     fn finish(&mut self, call: CallId, outcome: CallOutcome, context: &mut Context<'_>) {
         let Some(open) = self.calls.remove(&call) else {
             return;
@@ -122,7 +124,8 @@
         }
     }
 
-    /// Tells everyone concerned that a call is over.
+    /// Reports the outcome of a call to its caller, the node that relayed it and the other
+    /// plug-ins.
     fn settle(
         &mut self,
         call: CallId,
@@ -142,7 +145,7 @@
         context.raise(Event::CallFinished(call));
     }
 
-    /// Nodes whose run that was known before is over.
+    /// Nodes whose last known run has ended.
     fn ended_runs(&self, view: &MemberView, own: NodeId) -> Vec<NodeId> {
         let over = |node: &NodeId, run: u64| {
             view.members.get(node).is_none_or(|member| {
--- a/kernel/src/routing/answers.rs
+++ b/kernel/src/routing/answers.rs
@@ -1,4 +1,4 @@
-//! What owners, and the edge, tell of tries.
+//! Updates about attempts, from owners and from the edge.
 
 use crate::call::{CallOutcome, LoadSummary, RefusalReason};
 use crate::event::Action;
@@ -9,7 +9,7 @@
 use crate::wire::WorkMessage;
 
 impl CallRouter {
-    /// Takes in an owner's message.
+    /// Handles a message from an owner.
     pub(super) fn work_message(
         &mut self,
         from: NodeId,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The edge passes nothing more of a try on.
+    /// Handles the report of the edge that it no longer forwards an attempt's tokens.
     pub(super) fn attempt_lost(
         &mut self,
         attempt: AttemptId,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// News of a try that was given up here: only whether it ran still matters.
+    /// Applies an update to an attempt that was withdrawn: only whether it ran still matters.
     fn hear_old(&mut self, attempt: AttemptId, news: AttemptUpdate) {
         let Some(open) = self.calls.get_mut(&attempt.call) else {
             return;
@@ -101,8 +101,9 @@
         open.unconfirmed.swap_remove(place);
     }
 
-    /// News of a call's second try. If it starts first, the first try is given up; the second
-    /// answers only once the edge has said that no token of the first went on.
+    /// Applies an update to a call's hedge. If the hedge starts first, the first attempt is
+    /// withdrawn; the hedge replaces it only once the edge has reported that no token of the first
+    /// was forwarded.
     fn hear_hedge(&mut self, attempt: AttemptId, news: AttemptUpdate, context: &mut Context<'_>) {
         let Some(open) = self.calls.get_mut(&attempt.call) else {
             return;
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Decides on a call whose try may have run.
+    /// Continues or ends a call whose attempt may have run.
     fn go_on(
         &mut self,
         call: CallId,
@@ -180,7 +181,7 @@
             return;
         }
         if tokens > 0 {
-            // The second try began without them, so its answer does not follow on.
+            // The hedge started without these tokens, so its response does not continue from them.
             self.drop_hedge(call, context);
         }
         if !self.promote_hedge(call, context) {
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Makes the second try of a hedged call its only one.
+    /// Makes the hedge the call's only attempt; returns whether there was one.
     fn promote_hedge(&mut self, call: CallId, context: &mut Context<'_>) -> bool {
         let Some(open) = self.calls.get_mut(&call) else {
             return false;
@@ -205,7 +206,7 @@
         true
     }
 
-    /// Cancels the second try of a hedged call. None of its tokens went on.
+    /// Cancels the hedge of a call. None of its tokens were forwarded.
     fn drop_hedge(&mut self, call: CallId, context: &mut Context<'_>) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
@@ -219,7 +220,8 @@
         context.send(hedge.owner, cancel);
     }
 
-    /// Gives a try up: its owner is told, and the edge asked how far it came.
+    /// Withdraws an attempt: sends a cancellation to its owner and asks the edge how many tokens
+    /// were forwarded.
     pub(super) fn withdraw(&mut self, attempt: AttemptId, context: &mut Context<'_>) {
         let Some(open) = self.calls.get_mut(&attempt.call) else {
             return;
@@ -234,7 +236,7 @@
         self.watch(attempt.call, context.now);
     }
 
-    /// A node's run is over: every try there is, too.
+    /// Withdraws every attempt at a node whose run has ended.
     pub(super) fn node_gone(&mut self, node: NodeId, context: &mut Context<'_>) {
         let lost: Vec<AttemptId> = self
             .calls
--- a/kernel/src/routing/attempt.rs
+++ b/kernel/src/routing/attempt.rs
@@ -1,95 +1,98 @@
-//! One try of a call, as its entry node knows it, and what its end means for the call.
+//! One attempt of a call as its entry node tracks it, and what its end means for the call.
 //!
-//! What has left the socket decides. A try that the owner gave back before a byte of it went to an
-//! upstream did not run. One that the owner was about to send, or of which the entry node has lost
-//! sight, may have run: the message that says so may have been lost with the link.
+//!
+//! The criterion is what has left the socket. An attempt that the owner returned before sending any
+//! byte of it to an upstream did not run. An attempt that the owner was about to send, or that the
+//! entry node can no longer track, may have run: the message that reports it may have been lost
+//! with the link.
 
 use std::time::Duration;
 
 use crate::call::{AttemptEnd, ReturnReason};
 use crate::ids::NodeId;
 
-/// How far a try has got.
+/// How far an attempt has progressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptPhase {
-    /// Offered to the owner; may wait in its queue.
+    /// Offered to the owner; may be queued there.
     Offered,
-    /// The owner has sent it, or is about to.
+    /// The owner has sent it to an upstream, or is about to.
     Started,
-    /// Given up here; the edge is asked how many tokens went on to the caller.
+    /// Withdrawn by the entry node; the edge is asked how many tokens were forwarded to the caller.
     Withdrawn {
         /// Whether it is known to have started.
         started: bool,
     },
 }
 
-/// A try that is not over.
+/// An attempt that has not ended.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenAttempt {
-    /// The number within the call.
+    /// Number within the call, counted from 1.
     pub number: u32,
     /// The node that it was offered to.
     pub owner: NodeId,
-    /// How far it has got.
+    /// How far it has progressed.
     pub phase: AttemptPhase,
     /// When it was offered.
     pub offered: Duration,
-    /// Questions to the owner that have found no answer.
+    /// Queries to the owner since its last message.
     pub unanswered: u32,
-    /// Time to the next question.
+    /// Time until the next query to the owner.
     pub query_interval: Duration,
 }
 
-/// What the entry node hears of a try.
+/// An update about an attempt, as the entry node receives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptUpdate {
-    /// The owner is about to send it.
+    /// The owner is about to send it to an upstream.
     Started,
-    /// The owner gives it back, not started.
+    /// The owner returned it without starting it.
     Returned(ReturnReason),
-    /// The owner says how it ended.
+    /// The owner reported how it ended.
     Ended(AttemptEnd),
-    /// The owner cannot be asked any more.
+    /// The edge forwards no more of its tokens, because the link broke or the attempt was
+    /// withdrawn.
     Lost {
-        /// Tokens of this try that went on to the caller.
+        /// Tokens of this attempt that were forwarded to the caller.
         tokens: u32,
-        /// Whether any byte of the offer left for the owner.
+        /// Whether any byte of the offer was sent to the owner.
         sent: bool,
     },
 }
 
-/// What the news means for the call.
+/// What an update means for the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStatus {
-    /// The try goes on.
+    /// The attempt continues.
     Open,
-    /// The caller has the whole answer; this many tokens came from this try.
+    /// The caller has the whole response.
     Whole {
-        /// Tokens.
+        /// Tokens that came from this attempt.
         tokens: u32,
     },
-    /// Nothing of the try ran.
+    /// No part of the attempt ran.
     NotRun(NotRunCause),
-    /// The try may have run; this many of its tokens went on to the caller.
+    /// The attempt may have run.
     MayHaveRun {
-        /// Tokens.
+        /// Tokens of this attempt that were forwarded to the caller.
         tokens: u32,
     },
 }
 
-/// Why nothing of a try ran.
+/// Why no part of an attempt ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotRunCause {
-    /// The owner gave it back.
+    /// The owner returned it.
     Returned(ReturnReason),
-    /// The upstream said that it did not run it.
+    /// The upstream reported that it did not run it.
     UpstreamRefused,
-    /// Nothing of it left a socket.
+    /// No byte of it left a socket.
     Unsent,
 }
 
 impl OpenAttempt {
-    /// Gives the try up.
+    /// Marks the attempt as withdrawn.
     pub fn withdraw(&mut self) {
         let started = match self.phase {
             AttemptPhase::Offered => false,
@@ -99,13 +102,13 @@
         self.phase = AttemptPhase::Withdrawn { started };
     }
 
-    /// Whether it was given up before it was known to have started; its owner may still confirm
+    /// Whether it was withdrawn before it was known to have started. Its owner may still confirm
     /// that it did not run.
     pub fn may_be_confirmed(&self) -> bool {
         self.phase == AttemptPhase::Withdrawn { started: false }
     }
 
-    /// Takes in the news of this try.
+    /// Applies an update and returns what it means for the call.
     pub fn apply(&mut self, news: AttemptUpdate) -> AttemptStatus {
         self.unanswered = 0;
         match (self.phase, news) {
@@ -113,7 +116,7 @@
                 self.phase = AttemptPhase::Started;
                 AttemptStatus::Open
             }
-            // The edge no longer passes its tokens on, so only its count can end it.
+            // The edge no longer forwards its tokens, so only the edge's token count can end it.
             (AttemptPhase::Withdrawn { .. }, AttemptUpdate::Started | AttemptUpdate::Ended(_)) => {
                 self.phase = AttemptPhase::Withdrawn { started: true };
                 AttemptStatus::Open
--- a/kernel/src/routing/keyed.rs
+++ b/kernel/src/routing/keyed.rs
@@ -1,4 +1,5 @@
-//! Calls with an idempotency key: run here if this run of this node minted the key, else relayed.
+//! Calls with an idempotency key: run here if this run of this node minted the key, relayed to the
+//! minter otherwise.
 
 use std::time::Duration;
 
@@ -15,15 +16,15 @@
 use crate::routing::watch::MAX_UNANSWERED;
 use crate::wire::RelayMessage;
 
-/// Time without news after which a minter is asked for a relayed call.
+/// Time without a message after which the minter is first queried about a relayed call.
 const RELAY_PATIENCE: Duration = Duration::from_secs(5);
-/// Longest time between two questions.
+/// Longest time between two queries.
 const MAX_RELAY_PATIENCE: Duration = Duration::from_mins(1);
-/// Time between two questions when the first found no answer.
+/// Time between queries while the minter does not reply.
 const ASK_AGAIN: Duration = Duration::from_secs(2);
 
 impl CallRouter {
-    /// Takes in a call that may not be repeated and has a key.
+    /// Admits a call that is not repeatable and has an idempotency key.
     pub(super) fn admit_keyed(
         &mut self,
         spec: CallSpec,
@@ -42,7 +43,7 @@
         }
         match self.checker.check(&parts, spec.workspace) {
             Ok(()) => self.admit_own(spec, key.fingerprint, &parts, origin, context),
-            // The run that minted it is gone, and with it what it knew.
+            // The run that minted it has ended, and its records of the key are lost.
             Err(KeyError::OtherMinter) => {
                 self.settle(spec.call, origin, CallOutcome::Unknown, context);
             }
@@ -86,7 +87,8 @@
         }
     }
 
-    /// Hands a call to the node that minted its key, if that run can still be there.
+    /// Relays a call to the node that minted its key, or ends it as `unknown` if that run has
+    /// ended.
     fn relay(
         &mut self,
         spec: CallSpec,
@@ -114,7 +116,7 @@
         self.relayed.insert(call, relayed);
     }
 
-    /// Takes in a message about a relayed call.
+    /// Handles a message about a relayed call.
     pub(super) fn relay_message(
         &mut self,
         from: NodeId,
@@ -127,7 +129,7 @@
                     self.admit_keyed(*spec, key, CallOrigin::Relay(from), context);
                 }
             }
-            // The call goes on: its caller may collect the answer with the same key.
+            // The call continues: its caller may fetch the response with the same key.
             RelayMessage::Cancel(_) => {}
             RelayMessage::Finished { call, outcome } => {
                 self.finish_relayed(*call, from, *outcome, context);
@@ -158,7 +160,7 @@
         }
     }
 
-    /// The caller of a relayed call left.
+    /// Ends a relayed call whose caller left.
     pub(super) fn cancel_relayed(&mut self, call: CallId, context: &mut Context<'_>) {
         let Some(relayed) = self.relayed.get(&call) else {
             return;
@@ -168,7 +170,8 @@
         self.finish_relayed(call, minter, CallOutcome::Unknown, context);
     }
 
-    /// The minter of relayed calls is cut off or gone; it may have run them.
+    /// Ends the calls relayed to a node that is unreachable or gone as `unknown`, since it may have
+    /// run them.
     pub(super) fn minter_gone(&mut self, node: NodeId, context: &mut Context<'_>) {
         let lost: Vec<CallId> = self
             .relayed
@@ -181,7 +184,7 @@
         }
     }
 
-    /// Asks the minter for a relayed call, or gives up one whose minter answers nothing.
+    /// Queries the minter about a relayed call, or ends the call if the minter does not reply.
     pub(super) fn look_at_relayed(&mut self, call: CallId, context: &mut Context<'_>) {
         let Some(relayed) = self.relayed.get_mut(&call) else {
             return;
--- a/kernel/src/routing/load.rs
+++ b/kernel/src/routing/load.rs
@@ -1,28 +1,29 @@
-//! What an entry node knows of an owner's load.
+//! An owner's load as its entry nodes estimate it.
 
 use std::time::Duration;
 
 use crate::call::{CallSpec, LoadSummary};
 
-/// Age at which a queue summary counts half. At 1 s an owner that is asked once in two seconds
-/// looks idle while its queue grows; `examples/owner_choice.rs` shows it.
+/// Age at which a load summary has half its weight. With 1 s, an owner that is offered one call in
+/// two seconds looks idle while its queue grows; `examples/owner_choice.rs` shows it.
 const NEWS_HALF_LIFE: Duration = Duration::from_secs(20);
-/// Time for which an owner that said that it has no healthy slot gets no offers.
+/// Time without offers for an owner that reported no healthy slot.
 const NO_SLOTS_TIME: Duration = Duration::from_secs(2);
 
-/// What a node knows of an owner's load.
+/// What an entry node has recorded of an owner's load.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OwnerLoad {
-    /// The newest summary, and when it came.
+    /// The newest summary and when it arrived; `None` before the first.
     pub summary: Option<(Duration, LoadSummary)>,
-    /// Offers made since the summary.
+    /// Offers made since the newest summary.
     pub offers_since: u32,
-    /// Offers that are not over.
+    /// Offers that have not ended.
     pub open_offers: u32,
 }
 
 impl OwnerLoad {
-    /// Work a slot ahead of the call, if the owner has `configured` slots by its settings.
+    /// Work per slot ahead of the call; infinite for an owner that just reported no healthy slot.
+    /// `configured` is the owner's number of slots by the configuration.
     pub fn ahead(&self, spec: &CallSpec, configured: u32, now: Duration) -> f64 {
         let open = f64::from(self.open_offers);
         let Some((at, told)) = self.summary else {
--- a/kernel/src/routing/offers.rs
+++ b/kernel/src/routing/offers.rs
@@ -1,4 +1,4 @@
-//! Offering a call to an owner, first or again, and giving it up.
+//! Offers of a call to an owner, first or repeated, and the end of a call that no owner accepts.
 
 use std::time::Duration;
 
@@ -14,28 +14,30 @@
 use crate::routing::retry::backoff;
 use crate::wire::WorkMessage;
 
-/// Tries of one call before it is given up.
+/// Attempts of one call before it is given up.
 const MAX_ATTEMPTS: u32 = 10;
-/// Time for which a call waits for some owner of its pool to appear.
+/// Time for which a call waits until its pool has a reachable owner.
 const SEARCH_TIME: Duration = Duration::from_secs(5);
-/// When the caller should come back, if nothing better is known.
+/// `retry_after` of a call that did not run, unless a better value is known.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Shortest and longest time without news after which an owner is first asked for a try.
+/// Shortest and longest time without a message after which an owner is first queried about an
+/// attempt.
 const PATIENCE: [Duration; 2] = [Duration::from_secs(2), Duration::from_secs(30)];
 
-/// How soon and at what cost a call is tried again.
+/// When a call is retried, and whether the retry budget pays for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RetryKind {
-    /// The owner was the wrong one; no work was done.
+    /// The owner was the wrong one and did no work: free, and without delay the first time.
     Reroute,
-    /// The caller has a part of the answer and cannot repeat the call without losing it.
+    /// The caller has part of the response, which a retry of its own would lose: free, and without
+    /// delay the first time.
     Resume,
-    /// Anything else: paid from the budget.
+    /// Any other retry: paid from the budget and delayed.
     Paid,
 }
 
 impl CallRouter {
-    /// Takes in a call that is within its workspace's limits.
+    /// Admits a call that is within its workspace's limits.
     pub(super) fn admit(
         &mut self,
         spec: CallSpec,
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Opens a call and offers it.
+    /// Registers a call and offers it to an owner.
     pub(super) fn open(
         &mut self,
         spec: CallSpec,
@@ -71,7 +73,7 @@
         self.offer(spec.call, context);
     }
 
-    /// Offers a call that has no open try to the owner that suits best.
+    /// Offers a call without an open attempt to the best owner.
     pub(super) fn offer(&mut self, call: CallId, context: &mut Context<'_>) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
@@ -102,7 +104,7 @@
         self.watch(call, context.now);
     }
 
-    /// No owner can be reached: waits a little for one.
+    /// Delays a call while no owner can be reached, and gives it up after [`SEARCH_TIME`].
     fn search(&mut self, call: CallId, context: &mut Context<'_>) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
@@ -122,7 +124,7 @@
         self.wait(call, delay, context);
     }
 
-    /// Looks at the call again after `delay`, unless it cannot start in time then.
+    /// Schedules the call after `delay`, or gives it up if it can no longer start in time.
     fn wait(&mut self, call: CallId, delay: Duration, context: &mut Context<'_>) {
         let Some(open) = self.calls.get(&call) else {
             return;
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Decides on a call whose try did not run at all.
+    /// Retries or gives up a call whose attempt did not run at all.
     pub(super) fn not_run(
         &mut self,
         call: CallId,
@@ -154,7 +156,7 @@
             NotRunCause::Returned(ReturnReason::Leaving) => {
                 (RetryKind::Reroute, RefusalReason::Leaving, None)
             }
-            // Its caller has not left: this node took it back from the owner.
+            // The caller has not left: this node withdrew the call from the owner.
             NotRunCause::Returned(ReturnReason::Refused {
                 reason: RefusalReason::Cancelled,
                 ..
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Whether another owner may take what one has refused.
+    /// Whether another owner may accept a call that one has rejected.
     fn worth_another(
         &mut self,
         call: CallId,
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Goes on elsewhere with a call that may run more than once.
+    /// Continues a repeatable call at another owner.
     pub(super) fn resume(
         &mut self,
         call: CallId,
@@ -245,7 +247,7 @@
         self.wait(call, delay, context);
     }
 
-    /// Ends a call without an answer, by what is known of its tries.
+    /// Ends a call without a response: as `unknown` if it may have run, as `not_run` otherwise.
     pub(super) fn give_up(
         &mut self,
         call: CallId,
@@ -264,7 +266,8 @@
         self.finish(call, outcome, context);
     }
 
-    /// The caller left. A call with a key goes on: its caller may collect the answer.
+    /// Cancels a call whose caller left. A call with an idempotency key continues, since its caller
+    /// may fetch the response later.
     pub(super) fn cancel(&mut self, call: CallId, context: &mut Context<'_>) {
         self.cancel_relayed(call, context);
         let Some(open) = self.calls.get_mut(&call) else {
@@ -286,7 +289,7 @@
     }
 }
 
-/// Sends a call to an owner as its next try.
+/// Sends a call to an owner as its next attempt.
 pub(super) fn send_offer(
     open: &mut OpenCall,
     owner: NodeId,
--- a/kernel/src/routing/open.rs
+++ b/kernel/src/routing/open.rs
@@ -1,4 +1,4 @@
-//! What the entry node holds of a call that is not over.
+//! The entry node's state for a call that has not ended.
 
 use std::time::Duration;
 
@@ -7,45 +7,46 @@
 use crate::keys::outcomes::CallOrigin;
 use crate::routing::attempt::OpenAttempt;
 
-/// A call that this node answers for.
+/// A call that this node is responsible for.
 #[derive(Debug)]
 pub struct OpenCall {
-    /// The call.
+    /// The call as it was admitted.
     pub spec: CallSpec,
     /// Where it came from.
     pub origin: CallOrigin,
-    /// The sequence number of its idempotency key, if it has one.
+    /// Sequence number of its idempotency key; `None` without a key.
     pub key: Option<u64>,
-    /// When its target for the first token is missed.
+    /// When its latency target is missed.
     pub deadline: Duration,
-    /// The newest try's number; 0 before the first.
+    /// Number of the newest attempt; 0 before the first.
     pub number: u32,
-    /// The try that is open, if any; between two tries there is none.
+    /// The open attempt; `None` between two attempts.
     pub attempt: Option<OpenAttempt>,
-    /// A second try of a hedged call, open beside the first.
+    /// The second attempt of a hedged call, open beside the first; `None` without one.
     pub hedge: Option<OpenAttempt>,
-    /// Tokens that the caller has from tries that are over.
+    /// Tokens that the caller has from ended attempts.
     pub tokens: u32,
-    /// Whether a try that is over may have run.
+    /// Whether an ended attempt may have run.
     pub possibly_run: bool,
-    /// Tries given up before they were known to have started, whose owners have not confirmed it.
+    /// Numbers of the attempts that were withdrawn before they were known to have started, and
+    /// whose owners have not yet confirmed that they did not run.
     pub unconfirmed: Vec<u32>,
-    /// Owners that gave it back or failed it.
+    /// Owners that returned or failed it.
     pub tried: Vec<NodeId>,
-    /// Why the newest try did not run; the reason given if the call is given up.
+    /// Why the newest attempt did not run; the reason sent if the call is given up.
     pub refusal: RefusalReason,
     /// Retries so far.
     pub retries: u32,
-    /// When the search for an owner began, while there is none.
+    /// Since when there has been no reachable owner; `None` while there is one.
     pub searching: Option<Duration>,
     /// Whether the caller left.
     pub cancelled: bool,
-    /// The next time at which the call is looked at.
+    /// When the call is next checked.
     pub next_check: Duration,
 }
 
 impl OpenCall {
-    /// A call that just came.
+    /// A call that was just admitted.
     pub fn new(spec: CallSpec, origin: CallOrigin, key: Option<u64>, now: Duration) -> Self {
         Self {
             spec,
@@ -67,12 +68,12 @@
         }
     }
 
-    /// Whether anything of the call may have run, the open tries left aside.
+    /// Whether any part of the call may have run, apart from its open attempts.
     pub fn may_have_run(&self) -> bool {
         self.possibly_run || !self.unconfirmed.is_empty()
     }
 
-    /// The open try with this number.
+    /// The open attempt with this number, or `None` if it has ended.
     pub fn find(&mut self, number: u32) -> Option<&mut OpenAttempt> {
         self.attempt
             .iter_mut()
@@ -80,13 +81,14 @@
             .find(|attempt| attempt.number == number)
     }
 
-    /// The open tries.
+    /// The open attempts: at most one and its hedge.
     pub fn attempts(&self) -> impl Iterator<Item = &OpenAttempt> {
         self.attempt.iter().chain(&self.hedge)
     }
 
-    /// The call as it is offered now. A call that has run in part is past its own target; it gets
-    /// half of the target anew, so that the owner neither refuses it nor puts it last.
+    /// The call as it would be offered now. A call that has run in part is past its own target; it
+    /// gets half of the original target again, so that the owner neither rejects it nor queues it
+    /// last.
     pub fn offer_spec(&self, now: Duration) -> CallSpec {
         let left = self.deadline.saturating_sub(now);
         let least = if self.may_have_run() {
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Names one of the call's tries.
+    /// The identifier of one of the call's attempts.
     pub fn attempt_id(&self, number: u32) -> AttemptId {
         AttemptId {
             call: self.spec.call,
@@ -109,15 +111,15 @@
     }
 }
 
-/// A call that another node, its key's minter, answers for.
+/// A call that another node, the minter of its key, is responsible for.
 #[derive(Debug)]
 pub struct RelayedCall {
-    /// The minter.
+    /// The node that minted the key.
     pub minter: NodeId,
-    /// Questions to the minter that have found no answer.
+    /// Queries to the minter since its last message.
     pub unanswered: u32,
-    /// Time to the next question.
+    /// Time until the next query to the minter.
     pub query_interval: Duration,
-    /// The next time at which the call is looked at.
+    /// When the call is next checked.
     pub next_check: Duration,
 }
--- a/kernel/src/routing/owners.rs
+++ b/kernel/src/routing/owners.rs
@@ -1,10 +1,11 @@
-//! Which owner a call is offered to.
+//! Selection of the owner that a call is offered to.
 //!
-//! Candidates are the nodes that own upstreams of the call's pool. What is known of each: the
-//! queue summary on its last answer, the offers made since, and the offers of this node that are
-//! still open. A few candidates are all compared; of many, two are drawn (M. Mitzenmacher, *The
-//! Power of Two Choices in Randomized Load Balancing*, 2001), because many entry nodes that all
-//! pick the least loaded by old news pick the same one.
+//!
+//! Candidates are the nodes that own upstreams of the call's pool. Their load is estimated from the
+//! newest load summary, the offers made since, and this node's offers that are still open. A small
+//! number of candidates is compared in full; of a large number, two are drawn (M. Mitzenmacher,
+//! *The Power of Two Choices in Randomized Load Balancing*, 2001), because many entry nodes that
+//! all pick the least loaded by outdated summaries would pick the same one.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,30 +21,31 @@
 use crate::ownership::OwnerMap;
 use crate::routing::load::OwnerLoad;
 
-/// Most candidates that are all compared.
+/// Most candidates that are compared in full.
 const COMPARE_ALL: usize = 16;
-/// Candidates drawn of more.
+/// Number of candidates drawn when there are more.
 const DRAWS: u8 = 2;
-/// Load a slot below which an owner has room.
+/// Load per slot below which an owner has capacity.
 const ROOM: f64 = 0.9;
-/// Load a slot by which an owner in another availability zone must be better.
+/// Load per slot by which an owner in another availability zone must be better.
 const ZONE_MARGIN: f64 = 0.25;
-/// Load a slot by which another owner must be better than the one that may hold the prefix.
+/// Load per slot by which another owner must be better than the one that probably has the prefix
+/// cached.
 const PREFIX_MARGIN: f64 = 0.25;
-/// Load a slot that is added for a node that does not answer its peers now.
+/// Load per slot added for a suspected node.
 const SUSPECT_LOAD: f64 = 10.0;
-/// Time for which a node whose link broke gets no offers.
+/// Time without offers for a node whose link broke.
 const LINK_REST: Duration = Duration::from_secs(1);
 
-/// How an owner is chosen.
+/// How an owner is selected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OwnerPolicy {
-    /// The least loaded of a few, the better of two among many.
+    /// The least loaded of a small number, the better of two among a large number.
     #[default]
     Mixed,
     /// Always the least loaded.
     LeastLoaded,
-    /// Always the best of this many, drawn at random.
+    /// Always the least loaded of this many, drawn at random.
     BestOf(u8),
     /// At random, in proportion to slots.
     EqualShares,
@@ -63,7 +65,7 @@
     all: BTreeMap<NodeId, Candidate>,
 }
 
-/// The owners of each pool, and what is known of their load.
+/// The owners of each pool and their estimated load.
 #[derive(Debug, Default)]
 pub struct OwnerTable {
     policy: OwnerPolicy,
@@ -73,7 +75,7 @@
 }
 
 impl OwnerTable {
-    /// An empty board with a policy.
+    /// An empty table with a selection policy.
     pub fn new(policy: OwnerPolicy) -> Self {
         Self {
             policy,
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Takes in who owns what. Nodes that are leaving or dead are no candidates.
+    /// Rebuilds the candidates of each pool. Nodes that are leaving or dead are excluded.
     pub fn rebuild(&mut self, config: &Config, owners: &OwnerMap, view: &MemberView, zone: ZoneId) {
         self.pools.clear();
         for (pool, upstreams) in config.members.iter() {
@@ -124,49 +126,50 @@
         });
     }
 
-    /// Whether the pool has upstreams at all.
+    /// Whether the pool has any upstream in the configuration.
     pub fn has_pool(&self, pool: PoolId) -> bool {
         self.pools.contains_key(&pool)
     }
 
-    /// Takes in an owner's queue summary.
+    /// Records an owner's load summary.
     pub fn update(&mut self, pool: PoolId, node: NodeId, load: LoadSummary, now: Duration) {
         let known = self.loads.entry((pool, node)).or_default();
         known.summary = Some((now, load));
         known.offers_since = 0;
     }
 
-    /// Counts an offer.
+    /// Counts an offer to a node.
     pub fn record_offer(&mut self, pool: PoolId, node: NodeId) {
         let load = self.loads.entry((pool, node)).or_default();
         load.offers_since += 1;
         load.open_offers += 1;
     }
 
-    /// Counts the end of an offer.
+    /// Counts the end of an offer to a node.
     pub fn record_close(&mut self, pool: PoolId, node: NodeId) {
         if let Some(load) = self.loads.get_mut(&(pool, node)) {
             load.open_offers = load.open_offers.saturating_sub(1);
         }
     }
 
-    /// Gives a node a rest after its link broke.
+    /// Backs off from a node whose link broke.
     pub fn link_down(&mut self, node: NodeId, now: Duration) {
         self.resting.retain(|_, until| *until > now);
         self.resting.insert(node, now + LINK_REST);
     }
 
-    /// Ends the rest of a node.
+    /// Ends the backoff from a node whose link was restored.
     pub fn link_up(&mut self, node: NodeId) {
         self.resting.remove(&node);
     }
 
-    /// Offers that are not over, at all owners.
+    /// Number of offers that have not ended, at all owners.
     pub fn open(&self) -> u32 {
         self.loads.values().map(|load| load.open_offers).sum()
     }
 
-    /// The owner to offer a call to, none of `tried`.
+    /// The owner to offer a call to, or `None` if there is none besides `tried` and backed-off
+    /// nodes.
     pub fn choose(
         &self,
         spec: &CallSpec,
@@ -198,7 +201,7 @@
         Some(if better { far } else { near })
     }
 
-    /// Whether an owner that is none of `tried` seems to have a free slot.
+    /// Whether an owner outside `tried` probably has a free slot.
     pub fn has_capacity(
         &self,
         spec: &CallSpec,
@@ -217,7 +220,7 @@
             .map_or(f64::INFINITY, |candidate| self.load(spec, *candidate, now))
     }
 
-    /// Work a slot ahead of the call at an owner, as far as is known.
+    /// Estimated work per slot ahead of the call at an owner.
     fn load(&self, spec: &CallSpec, candidate: Candidate, now: Duration) -> f64 {
         let penalty = if candidate.suspect { SUSPECT_LOAD } else { 0.0 };
         let known = self.loads.get(&(spec.pool, candidate.node));
@@ -225,7 +228,7 @@
     }
 }
 
-/// One choice among the owners of a pool.
+/// One selection among the owners of a pool.
 struct OwnerSearch<'a> {
     board: &'a OwnerTable,
     spec: &'a CallSpec,
@@ -252,7 +255,7 @@
         )
     }
 
-    /// The owner that the prefix belongs to, by rendezvous hashing.
+    /// The owner that the prefix is assigned to by rendezvous hashing, and its load.
     fn prefix_keeper(&self, among: &[Candidate]) -> Option<(NodeId, f64)> {
         if self.spec.prefix == 0 {
             return None;
@@ -287,7 +290,7 @@
             .min_by(|one, two| one.1.total_cmp(&two.1))
     }
 
-    /// An allowed candidate at random: the next one after a random place.
+    /// The first allowed candidate after a random position.
     fn draw(&self, among: &[Candidate], random: &mut Pcg64Mcg) -> Option<(NodeId, f64)> {
         let start = random.random_range(0..among.len());
         let (before, after) = among.split_at(start);
@@ -330,7 +333,7 @@
     }
 }
 
-/// Whether an owner that may hold the prefix is good enough beside the best.
+/// Whether the owner assigned to the prefix is preferred over the least loaded one.
 fn keeps(load: f64, best: f64) -> bool {
     load < ROOM || load <= best + PREFIX_MARGIN
 }
--- a/kernel/src/routing/retry.rs
+++ b/kernel/src/routing/retry.rs
@@ -1,5 +1,5 @@
-//! When a call may be tried again: a budget that keeps retries to a share of the calls, and
-//! exponential backoff with full jitter.
+//! Retry policy: a budget that limits retries to a fraction of the calls, and exponential backoff
+//! with full jitter.
 //!
 //! Budget: Google, *Site Reliability Engineering* (2016), chapter 21. Jitter: M. Brooker,
 //! *Exponential Backoff and Jitter*, AWS Architecture Blog (2015).
@@ -12,23 +12,23 @@
 
 use crate::ids::{ClassId, WorkspaceId};
 
-/// Retries that each call of a workspace and class earns.
+/// Retries that each call adds to the budget of its workspace and class.
 pub const RETRY_SHARE: f64 = 0.1;
-/// Retries that can be saved up; also the credit of a new workspace and class.
+/// Largest retry credit; also the initial credit of a workspace and class.
 pub const RETRY_BURST: f64 = 20.0;
 /// Upper bound of the first backoff.
 const BACKOFF_BASE: Duration = Duration::from_millis(20);
 /// Upper bound of every backoff.
 const BACKOFF_CAP: Duration = Duration::from_secs(2);
 
-/// Retry credit by workspace and class; one that is not listed has the full credit.
+/// Retry credit by workspace and class; those that are not listed have the full credit.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     credit: BTreeMap<(WorkspaceId, ClassId), f64>,
 }
 
 impl RetryBudget {
-    /// Credits a call.
+    /// Adds the credit of one call.
     pub fn earn(&mut self, workspace: WorkspaceId, class: ClassId) {
         let Some(credit) = self.credit.get_mut(&(workspace, class)) else {
             return;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Pays for a retry; false when the budget is used up.
+    /// Pays for one retry; returns `false` if the budget is exhausted.
     pub fn spend(&mut self, workspace: WorkspaceId, class: ClassId) -> bool {
         let credit = self.credit.entry((workspace, class)).or_insert(RETRY_BURST);
         if *credit < 1.0 {
@@ -49,7 +49,7 @@
         true
     }
 
-    /// Workspaces and classes without full credit.
+    /// Number of workspaces and classes without full credit.
     pub fn len(&self) -> usize {
         self.credit.len()
     }
@@ -60,8 +60,8 @@
     }
 }
 
-/// Time to wait before retry number `retry`, counted from 0: uniform between zero and a bound that
-/// doubles with each retry.
+/// Delay before retry number `retry`, counted from 0: uniform between zero and a bound that doubles
+/// with each retry.
 pub fn backoff(retry: u32, random: &mut Pcg64Mcg) -> Duration {
     let bound = BACKOFF_BASE
         .saturating_mul(1 << retry.min(16))
--- a/kernel/src/routing/watch.rs
+++ b/kernel/src/routing/watch.rs
@@ -1,4 +1,4 @@
-//! Looking at open calls again when their time has come.
+//! Periodic checks of open calls: queries to owners, moving and hedging of waiting calls.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,23 +13,23 @@
 use crate::routing::{CallRouter, WaitPolicy};
 use crate::wire::WorkMessage;
 
-/// Time between two questions when the first found no answer.
+/// Time between queries while the owner does not reply.
 const ASK_AGAIN: Duration = Duration::from_secs(2);
-/// Questions without an answer after which an owner is given up.
+/// Unanswered queries after which an attempt is withdrawn or a relayed call is given up.
 pub(super) const MAX_UNANSWERED: u32 = 3;
-/// Longest time between two questions.
+/// Longest time between two queries.
 const MAX_PATIENCE: Duration = Duration::from_mins(5);
-/// Time that an owner has to confirm that it dropped a cancelled call.
+/// Time for an owner to confirm that it dropped a cancelled call.
 const CANCEL_TIME: Duration = Duration::from_secs(5);
 /// The most urgent tier, whose calls are moved when they wait long at an owner.
 const MOVED_TIER: Tier = Tier(0);
-/// Share of the time left at the offer after which such a call is moved.
+/// Fraction of the time left at the offer after which such a call is moved.
 const MOVE_SHARE: f64 = 0.5;
 
 type Questions = BTreeMap<NodeId, Vec<AttemptId>>;
 
 impl CallRouter {
-    /// Looks at each call whose time has come.
+    /// Checks each call that is due.
     pub(super) fn tick(&mut self, context: &mut Context<'_>) {
         let mut questions = Questions::new();
         while let Some(&(due, call)) = self.wakes.first() {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Sets the next time at which a call without an open try is looked at.
+    /// Schedules the next check of a call without an open attempt.
     pub(super) fn wake_at(&mut self, call: CallId, due: Duration) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
@@ -61,7 +61,7 @@
         self.wakes.insert((due, call));
     }
 
-    /// Sets the next time at which a call with an open try is looked at.
+    /// Schedules the next check of a call with an open attempt.
     pub(super) fn watch(&mut self, call: CallId, now: Duration) {
         let Some(open) = self.calls.get(&call) else {
             return;
@@ -74,7 +74,7 @@
                 .min()
                 .unwrap_or(now)
         };
-        // Never within the same tick, which would look at it for ever.
+        // A check within the same tick would repeat without end.
         self.wake_at(call, due.max(now + Duration::from_millis(1)));
     }
 
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Notes a question to the owner of each open try, or gives up one that answers none.
+    /// Adds a query to the owner of each open attempt, or withdraws an attempt whose owner does not
+    /// reply.
     fn ask(&mut self, call: CallId, questions: &mut Questions, context: &mut Context<'_>) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
@@ -125,7 +126,7 @@
         self.watch(call, context.now);
     }
 
-    /// Takes in which tries an owner holds.
+    /// Applies an owner's reply to a query. Attempts that the owner does not have are withdrawn.
     pub(super) fn told_held(
         &mut self,
         held: &[AttemptId],
@@ -147,12 +148,12 @@
         }
     }
 
-    /// An urgent call waits long at its owner: tries another that seems to have room.
+    /// Moves or hedges an urgent call that waits long at its owner, if another owner has capacity.
     fn move_on(&mut self, call: CallId, attempt: OpenAttempt, context: &mut Context<'_>) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
         };
-        // One move a call: from here on it is watched like any other.
+        // A call is moved once; after that it is checked like any other.
         open.tried.push(attempt.owner);
         let (spec, tried) = (open.spec, open.tried.clone());
         let room = self
