--- a/kernel/src/dispatch/past.rs
+++ b/kernel/src/dispatch/finished.rs
@@ -1,40 +1,40 @@
-//! Attempts that are over, remembered for a while: a message that comes twice or too late must not
-//! start them again.
+//! Attempts that are finished, retained for a while so that a duplicated or delayed message does
+//! not start them again.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
 use crate::ids::AttemptId;
 
-/// How long an attempt is remembered.
+/// How long a finished attempt is retained.
 const REMEMBERED: Duration = Duration::from_mins(1);
 
-/// Most attempts that are remembered.
+/// Most attempts that are retained.
 const MOST_REMEMBERED: usize = 131_072;
 
-/// Attempts that are over, or were cancelled before they were offered.
+/// Attempts that are finished, or were cancelled before they were offered.
 #[derive(Debug, Default)]
-pub struct PastAttempts {
+pub struct FinishedAttempts {
     known: BTreeSet<AttemptId>,
     order: VecDeque<(Duration, AttemptId)>,
 }
 
-impl PastAttempts {
-    /// Remembers an attempt.
+impl FinishedAttempts {
+    /// Records an attempt as finished.
     pub fn add(&mut self, now: Duration, attempt: AttemptId) {
-        self.forget(now);
+        self.expire(now);
         if self.known.insert(attempt) {
             self.order.push_back((now, attempt));
         }
     }
 
-    /// Whether the attempt is over.
+    /// Whether the attempt is recorded as finished.
     pub fn contains(&self, attempt: AttemptId) -> bool {
         self.known.contains(&attempt)
     }
 
-    /// Drops what need not be remembered any longer.
-    pub fn forget(&mut self, now: Duration) {
+    /// Drops attempts that have expired.
+    pub fn expire(&mut self, now: Duration) {
         while let Some((at, attempt)) = self.order.front().copied() {
             if now < at + REMEMBERED && self.order.len() < MOST_REMEMBERED {
                 return;
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Attempts remembered.
+    /// Number of attempts retained.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no attempt is retained.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
