--- a/kernel/src/addresses.rs
+++ b/kernel/src/addresses.rs
@@ -1,4 +1,4 @@
-//! The answer to "which of the system's addresses do I use".
+//! Selects the node addresses that a caller uses.
 
 use std::time::Duration;
 
@@ -7,22 +7,23 @@
 use crate::ids::{NodeId, ZoneId};
 use crate::membership::{MemberView, NodeState};
 
-/// How long a caller keeps the answer. A node that begins to leave is in nobody's answer after
-/// this time and the second or so that the news takes.
+/// Time for which a caller may cache the answer. Once a node begins to leave, no caller uses its
+/// address after this time plus about a second for the membership update to propagate.
 pub const ANSWER_TIME: Duration = Duration::from_secs(3);
 
-/// Addresses for a caller, the best first.
+/// Addresses for a caller, most preferred first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AddressAnswer {
-    /// Addresses of nodes that live (IP number and port).
+    /// IP addresses and ports of live nodes; empty when there is no live node.
     pub addresses: Vec<Box<str>>,
-    /// How long the answer may be kept.
+    /// Time for which the answer may be cached.
     pub keep: Duration,
 }
 
-/// Up to `count` addresses for a caller in `zone`: nodes of that zone first, never a node that is
-/// suspect, leaving or dead. Each seed has its own order, so callers with different seeds spread
-/// evenly, and one caller's order changes little when nodes come or go.
+/// Selects up to `count` addresses for a caller in `zone`: nodes of that zone first, and no node
+/// that is suspect, leaving or dead. Each seed ranks the nodes differently (rendezvous hashing), so
+/// callers with different seeds spread evenly, and one caller's order changes little when nodes
+/// join or leave. With `zone` absent all zones rank alike.
 pub fn caller_addresses(
     view: &MemberView,
     zone: Option<ZoneId>,
--- a/kernel/src/call.rs
+++ b/kernel/src/call.rs
@@ -1,4 +1,4 @@
-//! A call, its tries, and the ways in which each can end.
+//! Calls, their attempts, and the ways in which each can end.
 
 use std::time::Duration;
 
@@ -15,166 +15,168 @@
 #[serde(transparent)]
 pub struct Tier(pub u8);
 
-/// What the kernel knows of a call. The body stays with the process's edge.
+/// The kernel's description of a call. The request body stays in the edge of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallSpec {
-    /// The call's identifier.
+    /// Identifier of the call.
     pub call: CallId,
-    /// Who pays for it.
+    /// The workspace that the call counts against.
     pub workspace: WorkspaceId,
-    /// The class that the rules gave it.
+    /// Request class that the rules assigned.
     pub class: ClassId,
-    /// The tier of the class.
+    /// Service tier that the rules assigned.
     pub tier: Tier,
-    /// The pool that the rules sent it to.
+    /// Pool that the rules assigned.
     pub pool: PoolId,
     /// Time left until the class's target for the first token (or the whole answer of a plain
     /// service) is missed, counted from the moment the message that carries it is handled.
     pub time_left: Duration,
-    /// Whether running the call twice does no harm.
+    /// Whether the call is safe to run more than once.
     pub repeatable: bool,
-    /// Size of the prompt, in tokens.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens that the caller will take; 0 when the caller named none.
+    /// The caller's limit on generated tokens; 0 when the caller set none.
     pub max_tokens: u32,
-    /// Hash of the beginning of the prompt, for cache affinity; 0 when there is none.
+    /// Hash of the beginning of the prompt, for cache affinity; 0 when there is no prompt prefix.
     pub prefix: u64,
 }
 
-/// A call on its way to, or held by, the owner of an upstream.
+/// An attempt of a call, as sent to the owner of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkSpec {
-    /// The try that this is.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
-    /// The call.
+    /// The call that is attempted.
     pub spec: CallSpec,
-    /// Tokens that the caller has already; the engine continues behind them.
+    /// Number of tokens that the caller already received; the engine continues after them.
     pub resume_from: u32,
 }
 
-/// Why a call was refused without having run.
+/// Why a call was rejected without having run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The tiers above and its own fill the fleet.
+    /// Work of its own tier and the tiers above uses all capacity.
     #[display("overloaded")]
     Overloaded,
-    /// It cannot start in time for its target.
+    /// It cannot start early enough to meet its deadline.
     #[display("deadline")]
     Deadline,
-    /// The workspace is above its rate or concurrency limit.
+    /// The workspace exceeds its rate or concurrency limit.
     #[display("limit")]
     Limit,
-    /// No upstream of its pool can be reached.
+    /// No upstream of its pool is reachable.
     #[display("no_upstream")]
     NoUpstream,
-    /// The upstream itself refused it before running it.
+    /// The upstream rejected it before running it.
     #[display("upstream_refused")]
     UpstreamRefused,
     /// The node is leaving.
     #[display("leaving")]
     Leaving,
-    /// The idempotency key was not minted here, is expired, or is of another workspace.
+    /// The idempotency key was not issued by this node, has expired, or belongs to another
+    /// workspace.
     #[display("key")]
     Key,
     /// No configuration is in force yet.
     #[display("no_configuration")]
     NoConfiguration,
-    /// The caller went away before it started.
+    /// The caller closed its connection before the call started.
     #[display("cancelled")]
     Cancelled,
 }
 
-/// How a call ended; exactly one for every call.
+/// How a call ended. Every call has exactly one outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum CallOutcome {
-    /// The caller has the whole answer.
+    /// The caller received the whole answer.
     Whole {
         /// Tokens (or body chunks of a plain service) in the answer.
         tokens: u32,
     },
-    /// It truly did not run and may be sent again.
+    /// The call provably did not run and may be sent again.
     NotRun {
-        /// Why.
+        /// The cause of the rejection.
         reason: RefusalReason,
-        /// When a retry makes sense, if known.
+        /// Delay after which a retry may succeed; `None` when unknown.
         retry_after: Option<Duration>,
     },
-    /// It may have run; the router does not run it again.
+    /// The call may have run; the router does not run it again.
     Unknown,
 }
 
-/// How one try ended, as seen by the owner of the upstream.
+/// How one attempt ended, as observed by the owner of the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum AttemptEnd {
-    /// The upstream gave its whole answer.
+    /// The upstream returned its whole answer.
     Complete {
-        /// Tokens sent in this try.
+        /// Tokens received in this attempt.
         tokens: u32,
     },
-    /// The upstream said that it did not run the call.
+    /// The upstream reported that it did not run the call.
     Refused,
-    /// Nothing of the call left the socket.
+    /// No byte of the call was written to the socket.
     Unsent,
     /// The connection broke after the call had been sent.
     Broken {
-        /// Tokens passed on before the break.
+        /// Tokens forwarded before the connection broke.
         tokens: u32,
     },
-    /// The router cancelled it (the caller left, or it was preempted).
+    /// The router cancelled the attempt, because the caller left or a more urgent call preempted
+    /// it.
     Cancelled {
-        /// Tokens passed on before.
+        /// Tokens forwarded before the cancellation.
         tokens: u32,
     },
 }
 
-/// Why an owner gave work back without having started it.
+/// Why an owner returned work without having started it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum ReturnReason {
-    /// Refused for good, with the honest reason.
+    /// The owner rejected the call, with the reason that a caller may be given.
     Refused {
-        /// Why.
+        /// The cause of the rejection.
         reason: RefusalReason,
-        /// When a retry makes sense, if known.
+        /// Delay after which a retry may succeed; `None` when unknown.
         retry_after: Option<Duration>,
     },
-    /// The node does not own an upstream of the pool (any more).
+    /// The node owns no upstream of the pool, or no longer does.
     NotOwner,
-    /// The node is leaving; choose another.
+    /// The node is leaving; the entry node offers the work to another one.
     Leaving,
 }
 
-/// What an upstream said of its own load, some time ago.
+/// An upstream's report of its own load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests being served.
+    /// Number of requests that the upstream is serving.
     pub running: u32,
-    /// Requests waiting inside the upstream.
+    /// Number of requests queued inside the upstream.
     pub waiting: u32,
-    /// Age of the report when it arrived.
+    /// Age of the report on arrival.
     pub age: Duration,
-    /// Whether the upstream says that it is leaving.
+    /// Whether the upstream announces that it is leaving.
     pub leaving: bool,
 }
 
-/// A node's queue for one pool, told to the nodes that send it work.
+/// Summary of a node's queue for one pool, sent to the nodes that offer it work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadSummary {
-    /// Slots of the healthy upstreams that the node owns in the pool.
+    /// Total slots of the healthy upstreams that the node owns in the pool.
     pub slots: u32,
-    /// Slots in use.
+    /// Number of slots in use.
     pub running: u32,
-    /// Work waiting at tiers 0, 1 and from 2 on.
+    /// Number of queued calls of tier 0, of tier 1, and of all tiers from 2 on.
     pub waiting: [u32; 3],
 }
 
-/// An attempt to start, as the kernel orders it from the edge.
+/// The kernel's request to the edge to start an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AttemptStart {
-    /// The work.
+    /// The attempt to start.
     pub work: WorkSpec,
     /// The upstream to send it to.
     pub upstream: UpstreamId,
--- a/kernel/src/clock.rs
+++ b/kernel/src/clock.rs
@@ -1,8 +1,8 @@
-//! The clock as an interface: real in a process, virtual in benchmarks and tests.
+//! The clock interface: real time in a process, virtual time in benchmarks and tests.
 
 use std::time::{Duration, Instant};
 
-/// Tells the time since a fixed start; never goes back.
+/// A monotonic clock that counts from a fixed start.
 pub trait Clock: Send + Sync {
     /// Time since the clock's start.
     fn now(&self) -> Duration;
@@ -15,7 +15,7 @@
 }
 
 impl MonotonicClock {
-    /// A clock that starts at zero now.
+    /// Creates a clock that starts at zero now.
     pub fn new() -> Self {
         Self {
             start: Instant::now(),
--- a/kernel/src/event.rs
+++ b/kernel/src/event.rs
@@ -1,4 +1,4 @@
-//! Everything that a kernel can be told, and everything that it can ask for.
+//! Inputs and outputs of the kernel.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,252 +17,255 @@
 };
 use crate::wire::Message;
 
-/// An input to the kernel: from an edge, or from one plug-in to the others.
+/// An input to the kernel: from an edge of the process, or from one plug-in to the others.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A caller's request was accepted and classified.
     CallArrived {
-        /// The call.
+        /// The classified call.
         spec: CallSpec,
-        /// The idempotency key, if the caller sent one.
+        /// The idempotency key; `None` if the caller sent none.
         key: Option<RequestKey>,
     },
-    /// The caller went away.
+    /// The caller closed its connection before the call ended.
     CallCancelled(CallId),
-    /// The first byte of the attempt is about to leave the socket: it may run from here on.
+    /// The edge is about to write the first byte of the attempt to the upstream. From here on the
+    /// attempt may run.
     AttemptSent(AttemptId),
-    /// The upstream's answer goes on: tokens so far in this attempt. Sent for the first token and
-    /// then every few tokens.
+    /// The upstream is streaming its answer. Sent for the first token and then every few tokens.
     AttemptProgress {
-        /// The attempt.
+        /// The attempt that streams.
         attempt: AttemptId,
-        /// Tokens so far.
+        /// Tokens received in this attempt so far.
         tokens: u32,
     },
-    /// The attempt is over at the upstream.
+    /// The attempt ended at the upstream.
     AttemptEnded {
-        /// The attempt.
+        /// The attempt that ended.
         attempt: AttemptId,
-        /// How.
+        /// How it ended.
         end: AttemptEnd,
     },
-    /// The upstream told its load.
+    /// The upstream reported its load.
     UpstreamReported {
-        /// The upstream.
+        /// The reporting upstream.
         upstream: UpstreamId,
-        /// The report.
+        /// The reported load.
         report: LoadReport,
     },
-    /// An answer of the upstream says that it leaves.
+    /// A response of the upstream announces that it is leaving.
     UpstreamAnnounced(UpstreamId),
-    /// The upstream refused a call and wants none from this node for a while.
+    /// The upstream refused a call and requested that this node back off.
     UpstreamPaused {
-        /// The upstream.
+        /// The upstream to back off from.
         upstream: UpstreamId,
-        /// For how long.
+        /// Time during which this node sends it no calls.
         pause: Duration,
     },
-    /// A poll of the upstream's load failed.
+    /// A poll of this upstream's load failed.
     UpstreamUnreachable(UpstreamId),
-    /// The upstream told that its cache holds, or no longer holds, a prefix.
+    /// The upstream reported that a prompt prefix entered or left its cache.
     CacheChanged {
-        /// The upstream.
+        /// The reporting upstream.
         upstream: UpstreamId,
-        /// The prefix hash.
+        /// Hash of the prefix.
         prefix: u64,
-        /// Whether it is held now.
+        /// Whether the prefix is cached now.
         held: bool,
     },
-    /// An upstream answered an order.
+    /// An upstream responded to an order.
     OrderAnswered {
-        /// The upstream.
+        /// The responding upstream.
         upstream: UpstreamId,
-        /// The order's fencing number.
+        /// Fencing token that the order was sent with.
         fencing: u64,
-        /// Whether it was carried out.
+        /// Whether the upstream executed the order.
         accepted: bool,
     },
-    /// Another node's message.
+    /// A message from another node, or one that this node sent to itself.
     PeerMessage {
         /// The sender.
         from: NodeId,
-        /// The message.
+        /// The decoded message.
         message: Message,
     },
-    /// The link to a node broke, or could not be made.
+    /// The connection to this node broke or could not be established.
     LinkDown(NodeId),
-    /// The link to a node was made.
+    /// The connection to this node was established.
     LinkUp(NodeId),
-    /// Records read from the platform's log, in order of offset.
+    /// A read of the platform's log succeeded.
     LogRead {
-        /// The records.
+        /// The records read, in order of offset; empty when there are no new ones.
         records: Vec<LogRecord>,
-        /// The offset after the last record that the log holds.
+        /// Offset after the last record in the log.
         end: u64,
     },
-    /// The log answered that records before this offset are gone.
+    /// The log no longer retains the requested records.
     LogTruncated {
-        /// The oldest offset that is still held.
+        /// The oldest offset that the log retains.
         first: u64,
     },
-    /// The log could not be read.
+    /// A read of the log failed.
     LogUnavailable,
-    /// An append was answered, or not.
+    /// An append to the log ended, with or without a response.
     AppendDone {
-        /// Names the append.
+        /// The ticket that the append was requested with.
         ticket: AppendTicket,
-        /// The result.
+        /// What is known of the append.
         result: AppendResult,
     },
-    /// The platform's host list, as it shows now.
+    /// The platform's current host list.
     HostList(Vec<HostEntry>),
-    /// An operator asked this node to leave.
+    /// An operator or a signal requested that this node drain and exit.
     DrainNode,
-    /// An operator asked that an upstream get nothing new.
+    /// An operator requested that this upstream receive no new work.
     DrainUpstream(UpstreamId),
-    /// An operator asked for an order to an upstream.
+    /// An operator or a plug-in requested an order to an upstream.
     OrderRequested(OrderRequest),
-    /// Time passed.
+    /// Periodic timer event; plug-ins evaluate their timeouts on it.
     Tick,
-    /// A new configuration is in force here.
+    /// A new configuration came into force at this node.
     ConfigApplied(Arc<Config>),
-    /// Which nodes are alive or leaving changed.
+    /// The membership view changed.
     MembersChanged(Arc<MemberView>),
-    /// Which node owns which upstream changed.
+    /// The assignment of upstreams to owner nodes changed.
     OwnersChanged(Arc<OwnerMap>),
-    /// An upstream is leaving: no new work.
+    /// This upstream is leaving and receives no new work.
     UpstreamLeaving(UpstreamId),
-    /// This node is leaving: no new calls, queued work goes to other nodes.
+    /// This node is leaving: it accepts no new calls, and queued work moves to other nodes.
     NodeLeaving,
-    /// The call is within its workspace's limits.
+    /// The call is within the limits of its workspace.
     CallAdmitted {
-        /// The call.
+        /// The classified call.
         spec: CallSpec,
-        /// The idempotency key, if the caller sent one.
+        /// The idempotency key; `None` if the caller sent none.
         key: Option<RequestKey>,
     },
-    /// The call that this node held is over.
+    /// A call that this node accepted ended.
     CallFinished(CallId),
-    /// The entry node's edge passes nothing more of this attempt on. The edge raises it for each
-    /// open attempt at an owner after `LinkDown` for that owner, and in answer to
+    /// The entry node's edge forwards nothing more of this attempt. The edge raises it for each
+    /// open attempt at an owner after `LinkDown` for that owner, and in response to
     /// [`Action::WithdrawAttempt`].
     AttemptLost {
-        /// The attempt.
+        /// The lost attempt.
         attempt: AttemptId,
-        /// Tokens of this attempt that went on to the caller.
+        /// Tokens of this attempt that were forwarded to the caller.
         tokens: u32,
-        /// Whether any byte of the offer left the socket; true when the owner is this node.
+        /// Whether any byte of the offer was written to the socket; true when this node is the
+        /// owner.
         sent: bool,
     },
-    /// An upstream that was leaving was registered anew: it may get work again.
+    /// An upstream that was leaving is back in service and may receive work again.
     UpstreamReturned(UpstreamId),
-    /// An operator publishes a change. Answered by [`Action::PublishAnswered`].
+    /// A change is to be published, by an operator or a plug-in. Answered by
+    /// [`Action::PublishAnswered`].
     PublishRequested {
-        /// Names the request in its answer.
+        /// The ticket that the answer carries.
         request: RequestTicket,
-        /// The change.
+        /// The change to publish.
         record: ChangeRecord,
     },
-    /// An operator asks for every document in force. Answered by [`Action::DocumentsAnswered`].
+    /// An operator requests all documents in force. Answered by [`Action::DocumentsAnswered`].
     DocumentsRequested(RequestTicket),
-    /// A valid lease record was folded, or stands in the checkpoint that this node started from.
+    /// A valid lease record was folded, or read from the checkpoint that this node restored.
     LeaseSeen(LeaseHead),
 }
 
-/// A request of the kernel to the process around it.
+/// An output of the kernel, carried out by the process around it.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send a message to another node. The edge adds the body to an offer or a relayed call.
+    /// Send a message to another node. The edge adds the request body to an offer or a relayed
+    /// call.
     Send {
         /// The receiver.
         to: NodeId,
-        /// The message.
+        /// The message without any request body.
         message: Message,
     },
-    /// Send the work to the upstream.
+    /// Send an attempt to an upstream.
     StartAttempt(AttemptStart),
-    /// Stop the attempt at the upstream.
+    /// Abort the attempt at its upstream.
     CancelAttempt(AttemptId),
-    /// The call is over; tell the caller. For a call that another node relayed here the edge only
-    /// closes what it holds of it: the outcome goes in a message.
+    /// End the call and send its outcome to the caller. For a call that another node relayed here
+    /// the edge only releases its resources; the outcome travels in a message.
     FinishCall {
-        /// The call.
+        /// The call that ended.
         call: CallId,
         /// How it ended.
         outcome: CallOutcome,
     },
-    /// Tokens of this attempt, from this index on, are the ones that the caller gets from now on;
-    /// those of every other attempt of the call are dropped. Tokens of a newer attempt that come
-    /// before it is accepted are held, not dropped.
+    /// Forward the tokens of this attempt to the caller, from index `resume_from` on, and drop
+    /// those of every other attempt of the call. Tokens of a newer attempt that arrive before that
+    /// attempt is accepted are buffered, not dropped.
     AcceptAttempt {
-        /// The attempt.
+        /// The attempt to forward.
         attempt: AttemptId,
-        /// Tokens that the caller already has.
+        /// Number of tokens that the caller already received.
         resume_from: u32,
     },
-    /// This call repeats one that ran, or still runs: the caller gets the answer of `original`
-    /// from its beginning. `FinishCall` follows for the repeat when the original is over. An edge
-    /// that no longer has the whole answer tells the caller `unknown`.
+    /// Answer a repeated call with the answer of `original`, from its beginning; the original may
+    /// still be running. `FinishCall` follows for the repeat when the original ends. An edge that
+    /// no longer retains the whole answer reports `unknown` to the caller.
     AttachCall {
-        /// The repeat.
+        /// The repeated call.
         call: CallId,
-        /// The call whose answer is kept.
+        /// The call whose answer is retained.
         original: CallId,
     },
-    /// The answer of a call with a key need not be kept any longer.
+    /// The retained answer of this call with an idempotency key may be discarded.
     ForgetAnswer(CallId),
-    /// Append to the platform's log.
+    /// Append a record to the platform's log. Answered by [`Event::AppendDone`].
     Append {
-        /// Names the append in its answer.
+        /// The ticket that the answer carries.
         ticket: AppendTicket,
-        /// The record.
+        /// The record to append.
         record: Record,
     },
-    /// Read the log from this offset.
+    /// Read the platform's log.
     ReadLog {
-        /// The first offset wanted.
+        /// The first offset to read.
         from: u64,
     },
-    /// Give an upstream an order, if the lease still holds at this moment.
+    /// Send an order to an upstream, unless the lease has expired by then.
     Order {
-        /// The order.
+        /// The order and its upstream.
         request: OrderRequest,
-        /// The lease's fencing number.
+        /// Fencing token of the lease.
         fencing: u64,
-        /// The kernel time after which the order must not be sent.
+        /// Kernel time after which the order must not be sent.
         not_after: Duration,
     },
-    /// The node has finished everything and may exit.
+    /// Terminate the process: all work of this node has ended.
     Exit,
-    /// This configuration is in force at this node now.
+    /// Use this configuration in the edges from now on.
     UseConfig(Arc<Config>),
-    /// These are the nodes now.
+    /// Use this membership view in the edges from now on.
     UseMembers(Arc<MemberView>),
-    /// These are the owners of upstreams now.
+    /// Use this assignment of upstreams to owners in the edges from now on.
     UseOwners(Arc<OwnerMap>),
-    /// Pass on nothing more of this attempt, and raise [`Event::AttemptLost`] for it.
+    /// Forward nothing more of this attempt, and raise [`Event::AttemptLost`] for it.
     WithdrawAttempt(AttemptId),
-    /// What became of a change that an operator published.
+    /// Report the result of a published change to its publisher.
     PublishAnswered {
-        /// The request.
+        /// Ticket of the publish request.
         request: RequestTicket,
-        /// The change's identifier.
+        /// Identifier of the change.
         id: Box<str>,
-        /// The result.
+        /// Whether the change was accepted, and if not, why.
         result: PublishResult,
     },
-    /// How far an accepted change has come; told after its answer, each time that it is news.
+    /// Report the rollout of an accepted change. Follows the answer, once per change of the count.
     PublishProgressed {
-        /// The request.
+        /// Ticket of the publish request.
         request: RequestTicket,
-        /// Nodes on which it is in force.
+        /// Number of nodes on which the change is in force.
         progress: PublishProgress,
     },
-    /// Every document in force.
+    /// Report all documents in force.
     DocumentsAnswered {
-        /// The request.
+        /// Ticket of the request.
         request: RequestTicket,
-        /// The documents.
+        /// All documents in force, with their versions.
         list: DocumentList,
     },
 }
--- a/kernel/src/ids.rs
+++ b/kernel/src/ids.rs
@@ -1,4 +1,4 @@
-//! Small `Copy` identifiers, each the stable hash of a configured name.
+//! Small `Copy` identifiers, most of them stable hashes of configured names.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The identifier of the thing called `name`, the same on every node.
+            /// The identifier for a configured name: its XXH3 hash, identical on every node.
             pub fn named(name: &str) -> Self {
                 Self(xxh3_64(name.as_bytes()))
             }
@@ -23,38 +23,38 @@
 }
 
 named_id!(
-    /// A node of the fleet (a host that runs `monsoonbankd`).
+    /// Identifier of a node of the fleet: a host that runs `monsoonbankd`.
     NodeId
 );
 named_id!(
-    /// An availability zone.
+    /// Identifier of an availability zone.
     ZoneId
 );
 named_id!(
-    /// An upstream: a model engine or a plain service instance.
+    /// Identifier of an upstream: a model engine or an instance of a plain service.
     UpstreamId
 );
 named_id!(
-    /// A pool of interchangeable upstreams.
+    /// Identifier of a pool of interchangeable upstreams.
     PoolId
 );
 named_id!(
-    /// A workspace.
+    /// Identifier of a workspace.
     WorkspaceId
 );
 named_id!(
-    /// A request class.
+    /// Identifier of a request class.
     ClassId
 );
 
-/// One run of a node's process. Later runs of the same node have a greater number.
+/// Number of one run of a node's process. Later runs of the same node have greater numbers.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{_0}")]
 pub struct Incarnation(pub u64);
 
-/// A call, numbered by the node incarnation that accepted it.
+/// Identifier of a call, assigned by the node that accepted it.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -62,20 +62,21 @@
 pub struct CallId {
     /// The node that accepted the call.
     pub node: NodeId,
-    /// The run of that node.
+    /// The run of that node's process.
     pub incarnation: Incarnation,
-    /// Counts calls within the run.
+    /// Sequence number of the call within the run.
     pub sequence: u64,
 }
 
-/// One try of a call. Numbers start at 1 and grow; only the newest may answer.
+/// Identifier of one attempt of a call. Numbers start at 1 and increase; only the newest attempt
+/// may answer the caller.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{call}/{number}")]
 pub struct AttemptId {
-    /// The call that is tried.
+    /// The call that the attempt belongs to.
     pub call: CallId,
-    /// The number of the try within the call.
+    /// Number of the attempt within the call, from 1.
     pub number: u32,
 }
--- a/kernel/src/kernel.rs
+++ b/kernel/src/kernel.rs
@@ -1,4 +1,4 @@
-//! The kernel: hands each event to every plug-in and collects the actions.
+//! The kernel: dispatches each event to every plug-in and collects their actions.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,8 +16,8 @@
     plugin: Box<dyn Plugin>,
 }
 
-/// All decisions of one node. Free of input, output and clocks: the same profile and the same
-/// events at the same times give the same actions.
+/// The deterministic state machine of one node. It performs no input or output and reads no clock:
+/// the same profile and the same events at the same times produce the same actions.
 pub struct Kernel {
     profile: NodeProfile,
     random: Pcg64Mcg,
@@ -26,12 +26,12 @@
 }
 
 impl Kernel {
-    /// A kernel with every registered plug-in.
+    /// Creates a kernel with every registered plug-in.
     pub fn new(profile: NodeProfile) -> Self {
         Self::with_plugins(profile, |_| true)
     }
 
-    /// A kernel with the registered plug-ins whose name is chosen.
+    /// Creates a kernel with the registered plug-ins whose names `chosen` accepts.
     pub fn with_plugins(profile: NodeProfile, chosen: impl Fn(&str) -> bool) -> Self {
         let mut registrations: Vec<&Registration> = inventory::iter::<Registration>
             .into_iter()
@@ -53,19 +53,21 @@
         }
     }
 
-    /// Puts another plug-in in the place of the one with this name, to measure it against that.
+    /// Replaces the plug-in called `name`, so that a benchmark can compare the two. Does nothing if
+    /// no plug-in has this name.
     pub fn replace(&mut self, name: &str, plugin: Box<dyn Plugin>) {
         if let Some(slot) = self.slots.iter_mut().find(|slot| slot.name == name) {
             slot.plugin = plugin;
         }
     }
 
-    /// Who this node is.
+    /// The identity of this node.
     pub fn profile(&self) -> &NodeProfile {
         &self.profile
     }
 
-    /// Handles one event at `now`, and all that plug-ins tell each other because of it.
+    /// Handles one event at kernel time `now`, and every event that plug-ins raise as a
+    /// consequence. Appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         let open_work = match event {
             Event::Tick => self.open_work(),
@@ -88,12 +90,12 @@
         }
     }
 
-    /// Calls and work that must end before the node may exit.
+    /// Number of calls and other pieces of work that must end before the node may exit.
     pub fn open_work(&self) -> usize {
         self.slots.iter().map(|slot| slot.plugin.open_work()).sum()
     }
 
-    /// The state dump: one section a plug-in, or only the section named.
+    /// The state dump: one section per plug-in, or only the section called `section`.
     pub fn dump(&self, section: Option<&str>) -> Value {
         let sections: Map<String, Value> = self
             .slots
@@ -104,7 +106,7 @@
         Value::Object(sections)
     }
 
-    /// Every plug-in's metrics.
+    /// The metrics of all plug-ins.
     pub fn gauges(&self) -> Vec<GaugeSample> {
         self.slots
             .iter()
@@ -113,7 +115,8 @@
     }
 }
 
-/// Tells the process around the kernel of the state that its edges work with.
+/// The action that publishes state to the process around the kernel, if the event changes state
+/// that the edges read.
 fn snapshot(event: &Event) -> Option<Action> {
     match event {
         Event::ConfigApplied(config) => Some(Action::UseConfig(Arc::clone(config))),
--- a/kernel/src/leaving.rs
+++ b/kernel/src/leaving.rs
@@ -1,8 +1,8 @@
-//! Planned stops: a node takes nothing new, finishes what it has, and exits.
+//! Planned shutdown: the node accepts nothing new, finishes its open work, and exits.
 //!
-//! A stop begins with an operator's word or a signal ([`Event::DrainNode`]), or with the platform's
-//! host list. What is open is asked of the plug-ins themselves ([`Plugin::open_work`]); a count
-//! kept here could drift from theirs.
+//! An operator's request or a signal ([`Event::DrainNode`]) starts it, or the leaving flag in the
+//! platform's host list. The amount of open work is queried from the plug-ins
+//! ([`Plugin::open_work`]), because a separate count here could diverge from theirs.
 
 use std::time::Duration;
 
@@ -12,15 +12,15 @@
 use crate::membership::{HostEntry, HostRole};
 use crate::plugin::{Context, NodeProfile, Plugin, Registration};
 
-/// How long a leaving node stays after its last work, so that callers with an old answer about
-/// addresses are told where to go in place of meeting a closed port.
+/// Minimum time between the start of leaving and the exit, so that callers with cached addresses
+/// are redirected instead of finding a closed port.
 pub const LINGER: Duration = Duration::from_secs(6);
 
-/// A "leaving" that the host list showed when this run began may be meant for an earlier run; it
-/// is believed when it still stands after this time.
+/// Time after which a leaving flag that was already set in the first host list takes effect. Such a
+/// flag may have been set for an earlier run of this node.
 pub const STALE_LIST_TIME: Duration = Duration::from_secs(30);
 
-/// Whether this node is leaving, and how far it is.
+/// State of this node's planned shutdown.
 #[derive(Debug, Default)]
 pub struct NodeDrain {
     listed: bool,
--- a/kernel/src/lib.rs
+++ b/kernel/src/lib.rs
@@ -1,8 +1,8 @@
-//! Every decision of the monsoonbank router.
+//! Decision logic of the monsoonbank router, free of input and output.
 //!
-//! The kernel takes typed [`event::Event`]s and gives back typed [`event::Action`]s. It has no
-//! sockets, no threads and no clock, so the code that the daemon runs on real time is the code
-//! that benchmarks and fuzzers run on virtual time.
+//! The kernel consumes typed [`event::Event`]s and produces typed [`event::Action`]s. It has no
+//! sockets, no threads and no clock, so the daemon on real time and the benchmarks and fuzzers on
+//! virtual time run the same code.
 
 pub mod addresses;
 pub mod call;
--- a/kernel/src/membership.rs
+++ b/kernel/src/membership.rs
@@ -1,8 +1,10 @@
-//! The plug-in that knows which nodes exist, live and leave, and which upstreams leave.
+//! The plug-in that tracks which nodes exist, which are live or leaving, and which upstreams are
+//! leaving.
 //!
-//! The platform's host list says who exists. Whether a node answers is found by probes inside its
-//! group ([`group`], [`probe`]). News goes to the group at once, along with probes, and through
-//! bridges to other zones ([`zone`]); what was missed is repaired by digests ([`sync`]).
+//! The platform's host list defines which nodes exist. Nodes of one group probe each other to
+//! detect failures ([`group`], [`probe`]). Updates are gossiped: sent to the group at once,
+//! piggybacked on probes, and passed to other zones by bridge nodes ([`zone`]). Lost updates are
+//! repaired by comparing digests ([`sync`]).
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -39,77 +41,77 @@
 use upstream::UpstreamTable;
 use zone::ZoneTable;
 
-/// Least time between two views that messages of other nodes bring about, but for ticks.
+/// Minimum time between two published views when a message of another node causes the second.
 const PUBLISH_GAP: Duration = Duration::from_millis(100);
 
-/// A row of the platform's host list.
+/// An entry of the platform's host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
-    /// The host's name: a node's or an upstream's.
+    /// Name of the host, which is the name of its node or upstream.
     pub name: Box<str>,
-    /// The availability zone.
+    /// Name of the availability zone.
     pub zone: Box<str>,
-    /// What runs there.
+    /// Whether the host runs a node or an upstream.
     pub role: HostRole,
-    /// Where other nodes reach it (IP number and port); empty for upstreams.
+    /// IP address and port for other nodes; empty for upstreams.
     pub peer_address: Box<str>,
-    /// Where callers reach it (IP number and port); empty for upstreams.
+    /// IP address and port for callers; empty for upstreams.
     pub caller_address: Box<str>,
-    /// Whether the platform says that it is leaving.
+    /// Whether the platform has marked the host as leaving.
     pub leaving: bool,
 }
 
-/// What runs on a host.
+/// Role of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostRole {
-    /// A node of the router.
+    /// Runs a node of the router.
     Node,
-    /// An upstream.
+    /// Runs an upstream.
     Upstream,
 }
 
-/// Whether a node can be given work.
+/// State of a node in the membership view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NodeState {
-    /// Answers.
+    /// The node responds and accepts work.
     Live,
-    /// Does not answer now, but is not given up yet.
+    /// The node or the link to it does not respond, but the node is not declared dead.
     Suspect,
-    /// Finishes what it has and takes nothing new.
+    /// The node finishes its open work and accepts nothing new.
     Leaving,
-    /// Given up.
+    /// The node or its whole zone was declared unreachable.
     Dead,
 }
 
-/// A node, as another node sees it.
+/// A node in the membership view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The node's name.
+    /// Name of the node.
     pub name: Box<str>,
-    /// The availability zone.
+    /// Identifier of the node's availability zone.
     pub zone: ZoneId,
-    /// The availability zone's name.
+    /// Name of the node's availability zone.
     pub zone_name: Box<str>,
-    /// The newest run seen; 0 when the node was never heard of.
+    /// The newest known run of the node; 0 if no record of the node has arrived.
     pub incarnation: Incarnation,
-    /// The state.
+    /// Current state of the node.
     pub state: NodeState,
-    /// Where other nodes reach it.
+    /// IP address and port for other nodes.
     pub peer_address: Box<str>,
-    /// Where callers reach it.
+    /// IP address and port for callers.
     pub caller_address: Box<str>,
 }
 
-/// All nodes known, this one included.
+/// All known nodes, including this one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberView {
-    /// Nodes.
+    /// The nodes by identifier.
     pub members: BTreeMap<NodeId, Member>,
 }
 
-/// Keeps the membership.
+/// State of the membership protocol at one node.
 #[derive(Debug)]
 pub struct MembershipTable {
     node: NodeId,
@@ -189,8 +191,9 @@
         }
     }
 
-    /// A message proves that the way from the sender works; what it held against the sender's
-    /// link, or against all because it heard nobody, no longer stands.
+    /// Records that a message of this node arrived. It proves that the path from the sender works,
+    /// so any local suspicion of the sender is cleared; contact with a node of the group also shows
+    /// that this node is not isolated.
     fn hear(&mut self, from: NodeId, now: Duration) {
         if self.group.ring.binary_search(&from).is_ok() || self.group.dead.contains(&from) {
             self.prober.hear(now);
@@ -212,7 +215,8 @@
         self.tick_news(context);
     }
 
-    /// Many changes at once are published together at a tick.
+    /// Whether to publish a new view now. Changes that messages cause in quick succession are
+    /// batched; a tick publishes the remainder.
     fn is_publishable(&self, event: &Event, now: Duration) -> bool {
         let rest = matches!(event, Event::PeerMessage { .. });
         self.dirty && (!rest || now >= self.published + PUBLISH_GAP)
--- a/kernel/src/membership/sync.rs
+++ b/kernel/src/membership/sync.rs
@@ -1,4 +1,5 @@
-//! Repair: nodes whose digests differ compare digests of zones and send the records of those.
+//! Anti-entropy: nodes whose digests differ compare their digests per zone and exchange the records
+//! of the zones that differ.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,20 +14,21 @@
 use crate::membership::zone::zone_tag;
 use crate::plugin::Context;
 
-/// A difference must stand for so long before it is repaired; news on its way settles most.
+/// Time without new updates before a difference is repaired; updates in transit resolve most
+/// differences.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
-/// Least time between two repairs that a node asks for.
+/// Minimum time between two repairs that a node requests.
 const MIN_REPAIR_GAP: Duration = Duration::from_millis(500);
-/// The same, after repairs that brought nothing new.
+/// Upper limit of that time, which doubles after each repair that yields nothing new.
 const MAX_REPAIR_GAP: Duration = Duration::from_secs(30);
-/// Most records in one answer.
+/// Maximum number of records in one answer.
 const RECORDS_PER_REPAIR: usize = 64;
-/// Stands for the marks on upstreams among the zones' tags.
+/// Tag of the digest of upstream marks, in place of a zone tag.
 const UPSTREAM_TAG: u32 = 0;
-/// Stands for the marks on zones among the zones' tags.
+/// Tag of the digest of zone marks, in place of a zone tag.
 const ZONE_MARK_TAG: u32 = 1;
 
-/// When this node may ask for a repair again.
+/// Determines when this node may request the next repair.
 #[derive(Debug, Default)]
 pub struct RepairTimer {
     next: Duration,
@@ -37,7 +39,7 @@
 }
 
 impl RepairTimer {
-    /// Notes that something new was learned.
+    /// Records that new information arrived.
     pub fn learn(&mut self, now: Duration) {
         self.changed = now;
         self.gap = MIN_REPAIR_GAP;
@@ -55,7 +57,7 @@
 }
 
 impl MembershipTable {
-    /// Digest of what this node knows and `peer` should know as well.
+    /// Digest of all records that this node and `peer` share.
     pub(super) fn digest_for(&self, peer: NodeId) -> u32 {
         let digests = self.shared_digests(peer);
         digests
@@ -67,7 +69,8 @@
         self.rows.get(peer).is_some_and(|row| row.zone == self.zone)
     }
 
-    /// Digests by tag of what this node and `peer` should both know; without those that are 0.
+    /// Digests by tag of the records that this node and `peer` share; digests that are 0 are left
+    /// out.
     fn shared_digests(&self, peer: NodeId) -> BTreeMap<u32, u32> {
         let neighbour = self.is_neighbour(peer);
         let mut digests: BTreeMap<u32, u32> = BTreeMap::new();
@@ -84,7 +87,7 @@
         digests
     }
 
-    /// Asks for what this node lacks, if the peer's digest differs from its own for long enough.
+    /// Requests a repair if the peer's digest differs from this node's and no update is in transit.
     pub(super) fn compare(&mut self, from: NodeId, digest: u32, context: &mut Context<'_>) {
         if digest == self.digest_for(from) {
             self.repair.started = true;
@@ -96,8 +99,8 @@
         }
     }
 
-    /// A run that has just begun asks a neighbour at its first tick: before that the edges do not
-    /// know any address.
+    /// Requests a repair from a peer at the first tick of a run. Before that the edges have no
+    /// addresses.
     pub(super) fn tick_repair(&mut self, context: &mut Context<'_>) {
         if self.repair.asked {
             return;
@@ -108,7 +111,7 @@
         }
     }
 
-    /// Asks a peer for what this node lacks.
+    /// Requests the records that this node lacks from a peer.
     pub(super) fn ask_repair(&mut self, peer: NodeId, context: &mut Context<'_>) {
         let pairs: Vec<u32> = self
             .shared_digests(peer)
@@ -121,8 +124,8 @@
         context.send(peer, MembershipMessage::Compare(pairs));
     }
 
-    /// Answers with the records of the zones whose digests differ. A long answer is cut at a random
-    /// place; the asker asks again.
+    /// Answers with the records of the zones whose digests differ. A long answer is limited to a
+    /// random section; the requesting node repeats its request.
     pub(super) fn answer_compare(
         &mut self,
         from: NodeId,
--- a/kernel/src/ownership.rs
+++ b/kernel/src/ownership.rs
@@ -1,4 +1,5 @@
-//! The plug-in that gives every upstream one owner node, by rendezvous hashing with bounded loads.
+//! The plug-in that assigns every upstream to one owner node, by rendezvous hashing with bounded
+//! loads.
 //!
 //! Rendezvous hashing after Thaler and Ravishankar ("Using name-based mappings to increase hit
 //! rates", 1998); the bound after Mirrokni, Thorup and Zadimoghaddam ("Consistent hashing with
@@ -16,24 +17,25 @@
 use crate::membership::{MemberView, NodeState};
 use crate::plugin::{Context, NodeProfile, Plugin, Registration};
 
-/// A node owns at most this many times the mean of the slots in its zone, rounded up by one
-/// upstream. docs/decisions/ownership.md has the figures behind it.
+/// Load bound of a node, as a multiple of the mean number of slots per node in its zone. A node
+/// below the bound may exceed it by one upstream. The figures behind it are in
+/// `docs/decisions/ownership.md`.
 pub const LOAD_BOUND: f64 = 1.25;
 
-/// Which node owns which upstream.
+/// The assignment of upstreams to owner nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnerMap {
-    /// Owners.
+    /// Owner of each upstream. An upstream is absent while there is no node to own it.
     pub owners: BTreeMap<UpstreamId, NodeId>,
 }
 
-/// An upstream and the slots that it weighs.
+/// An upstream and its number of slots, which is its weight in the load bound.
 pub type UpstreamLoad = (UpstreamId, u32);
 
 type UpstreamsByZone = BTreeMap<ZoneId, Vec<UpstreamLoad>>;
 type NodesByZone = BTreeMap<ZoneId, Vec<NodeId>>;
 
-/// Computes the owners.
+/// Computes the owners and recomputes them when the configuration or the membership changes.
 #[derive(Debug, Default)]
 pub struct OwnershipTable {
     config: Arc<Config>,
@@ -56,7 +58,8 @@
     zones
 }
 
-/// Nodes that may own: a suspect one still does, so that a short pause moves nothing.
+/// Nodes that may own upstreams. A suspect node keeps its upstreams, so that a short pause moves
+/// none.
 fn nodes_by_zone(view: &MemberView) -> NodesByZone {
     let mut zones = NodesByZone::new();
     for (node, member) in &view.members {
@@ -67,8 +70,8 @@
     zones
 }
 
-/// The owner of each of the upstreams among the nodes: the one with the highest hash that is not
-/// yet at its bound (`bound` times the mean load); without a bound simply the highest.
+/// Assigns each upstream to the node with the highest hash whose load is still below the bound
+/// (`bound` times the mean load). Without a bound the node with the highest hash owns it.
 pub fn assign_among(
     upstreams: &[UpstreamLoad],
     nodes: &[NodeId],
@@ -103,8 +106,8 @@
     assign_among(upstreams, &all, Some(LOAD_BOUND))
 }
 
-/// The owner of each upstream, worked out from nothing: a node of the upstream's own availability
-/// zone, or of any zone when that one has none.
+/// Computes the owner of each upstream from scratch: a node of the upstream's own availability
+/// zone, or of any zone if its own has none.
 pub fn assign(config: &Config, view: &MemberView) -> OwnerMap {
     let nodes = nodes_by_zone(view);
     let owners = upstreams_by_zone(config)
@@ -138,8 +141,9 @@
         changed
     }
 
-    /// Works out the owners in these zones anew.
-    /// Upstreams can have gone only by a change of configuration, or when no node is left.
+    /// Recomputes the owners in these zones; returns whether any changed. Owners become stale only
+    /// by a change of configuration or when no node is left, so the search for stale ones is
+    /// limited to these cases.
     fn recompute(&mut self, zones: &BTreeSet<ZoneId>, configured: bool) -> bool {
         let mut changes = Vec::new();
         for zone in zones {
@@ -168,7 +172,7 @@
         true
     }
 
-    /// Upstreams that still have an owner, but are no longer configured or have no node left.
+    /// Upstreams with an owner that are no longer configured, or all if no node is left.
     fn stale(&self) -> Vec<UpstreamId> {
         let nobody = self.nodes.is_empty();
         self.owners
--- a/kernel/src/placement.rs
+++ b/kernel/src/placement.rs
@@ -1,9 +1,11 @@
-//! The plug-in that places engines: when one pool's demand stays high and another's low, an engine
-//! that may serve both is ordered to load the first one's model, and then serves it.
+//! The plug-in that moves engines between pools: while one pool's demand stays high and another's
+//! stays low, an engine that may serve both is ordered to load the first pool's model and then
+//! serves that pool.
 //!
-//! Demand is taken from the queue summaries on the owners' answers. Hysteresis: a pool must be
-//! high, or low, for a while; one engine moves at a time, and stays where it is for a while. The
-//! move itself is a document on the log, so every node routes alike.
+//! Demand is computed from the queue summaries in the owners' responses. Hysteresis prevents
+//! flapping: demand must stay high or low for a minimum time, one engine moves at a time, and an
+//! engine stays in its pool for a minimum time. The move itself is a document on the log, so that
+//! all nodes route alike.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,47 +26,47 @@
 use crate::record::{ChangeRecord, DocumentChange};
 use crate::wire::{Message, WorkMessage};
 
-/// Work running and waiting, as a share of the slots, from which a pool's demand is high.
+/// A pool's demand is high from this ratio of running and queued work to slots.
 const HIGH: f64 = 1.2;
 
-/// The share up to which it is low.
+/// A pool's demand is low up to this ratio of running and queued work to slots.
 const LOW: f64 = 0.5;
 
-/// How long demand must stay high before an engine moves there.
+/// Time for which a pool's demand must stay high before an engine moves to it.
 const HIGH_FOR: Duration = Duration::from_mins(1);
 
-/// How long demand must stay low before an engine moves away.
+/// Time for which a pool's demand must stay low before an engine moves away from it.
 const LOW_FOR: Duration = Duration::from_mins(2);
 
-/// Least time between two moves of one engine.
+/// Minimum time between two moves of one engine.
 const STAY: Duration = Duration::from_mins(10);
 
-/// How long a move may take.
+/// Time after which a move without a result is abandoned.
 const MOVE_WAIT: Duration = Duration::from_mins(5);
 
-/// A queue summary is used for this long.
+/// Age at which a queue summary expires.
 const FRESH: Duration = Duration::from_secs(10);
 
-/// Time between two looks at the demand.
+/// Time between two evaluations of demand.
 const LOOK_EVERY: Duration = Duration::from_secs(1);
 
-/// Open calls whose pool is remembered.
+/// Maximum number of open calls whose pool is retained.
 const MAX_CALLS: usize = 65_536;
 
-/// The version that an engine is asked to load: whichever the weight store has as newest.
+/// Version in the load order: the newest in the weight store.
 const NEWEST: &str = "newest";
 
-/// Since when a pool's demand has been high or low.
+/// How long a pool's demand has been high or low.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolDemand {
-    /// High since.
+    /// Kernel time since which demand has been high; `None` if it is not high.
     pub high_since: Option<Duration>,
-    /// Low since.
+    /// Kernel time since which demand has been low; `None` if it is not low.
     pub low_since: Option<Duration>,
 }
 
 impl PoolDemand {
-    /// Takes the newest share of work running and waiting to slots.
+    /// Records the current ratio of running and queued work to slots.
     pub fn see(&mut self, pressure: f64, now: Duration) {
         self.high_since = (pressure >= HIGH).then(|| self.high_since.unwrap_or(now));
         self.low_since = (pressure <= LOW).then(|| self.low_since.unwrap_or(now));
@@ -81,16 +83,16 @@
     }
 }
 
-/// An engine on its way to another pool.
+/// The move of an engine to another pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementMove {
-    /// The engine.
+    /// The engine that moves.
     pub upstream: UpstreamId,
-    /// The pool's name.
+    /// Name of the pool that it moves to.
     pub to: Box<str>,
 }
 
-/// The move to make now, if any. A pool is never left without an engine.
+/// Selects the move to start now; `None` if there is none. Never takes the last engine of a pool.
 pub fn decide(
     config: &Config,
     demand: &BTreeMap<PoolId, PoolDemand>,
@@ -134,7 +136,7 @@
         })
 }
 
-/// Watches demand, and moves one engine at a time.
+/// Monitors the demand of all pools and moves one engine at a time.
 #[derive(Debug, Default)]
 pub struct EnginePlacer {
     config: Arc<Config>,
--- a/kernel/src/plugin.rs
+++ b/kernel/src/plugin.rs
@@ -1,4 +1,4 @@
-//! The interface of a plug-in, and how plug-ins register themselves.
+//! The plug-in interface and the plug-in registry.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,52 +9,52 @@
 use crate::event::{Action, Event};
 use crate::ids::{Incarnation, NodeId, ZoneId};
 
-/// Who a node is; fixed for the life of its process.
+/// Identity of a node, fixed for the lifetime of its process.
 #[derive(Clone, Debug)]
 pub struct NodeProfile {
-    /// The node's identifier, the hash of its name.
+    /// Identifier of the node: the hash of its name.
     pub node: NodeId,
-    /// The node's name.
+    /// Configured name of the node.
     pub name: Box<str>,
-    /// The availability zone.
+    /// Identifier of the node's availability zone.
     pub zone: ZoneId,
-    /// The availability zone's name.
+    /// Name of the node's availability zone.
     pub zone_name: Box<str>,
-    /// This run of the process.
+    /// Number of this run of the process; later runs have greater numbers.
     pub incarnation: Incarnation,
-    /// Seed of the kernel's random numbers.
+    /// Seed of the kernel's random number generator.
     pub seed: u64,
-    /// Secret for idempotency keys; lives in this run's memory only.
+    /// Secret that signs idempotency keys; held in memory only and valid for this run.
     pub secret: [u8; 32],
 }
 
-/// What a plug-in may use while it handles an event.
+/// Capabilities of a plug-in while it handles an event.
 pub struct Context<'a> {
-    /// Kernel time.
+    /// Kernel time of the event.
     pub now: Duration,
-    /// Who this node is.
+    /// Identity of this node.
     pub profile: &'a NodeProfile,
-    /// Random numbers, the same for the same seed and events.
+    /// Random number generator; deterministic for the same seed and events.
     pub random: &'a mut Pcg64Mcg,
-    /// Calls and work that the node's plug-ins held when the event came in; counted for
-    /// [`Event::Tick`] only, 0 for every other event.
+    /// Number of calls and other pieces of work open in all plug-ins when the event arrived;
+    /// computed for [`Event::Tick`] only and 0 for every other event.
     pub open_work: usize,
     pub(crate) actions: &'a mut Vec<Action>,
     pub(crate) events: &'a mut VecDeque<Event>,
 }
 
 impl Context<'_> {
-    /// Asks the process for something.
+    /// Requests an action from the process.
     pub fn act(&mut self, action: Action) {
         self.actions.push(action);
     }
 
-    /// Tells every plug-in of something, after the current event.
+    /// Queues an event for all plug-ins, to be handled after the current one.
     pub fn raise(&mut self, event: Event) {
         self.events.push_back(event);
     }
 
-    /// Sends a message; one to this node itself comes back as an event.
+    /// Sends a message to a node. A message to this node itself is queued as an event.
     pub fn send(&mut self, to: NodeId, message: impl Into<crate::wire::Message>) {
         let message = message.into();
         if to == self.profile.node {
@@ -65,45 +65,47 @@
     }
 }
 
-/// One number for the metrics page.
+/// One sample of a gauge for the metrics endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GaugeSample {
-    /// The metric's name without the program's prefix.
+    /// Name of the metric, without the prefix of the program.
     pub name: &'static str,
-    /// What it means, with its unit.
+    /// Help text: meaning and unit.
     pub help: &'static str,
-    /// The value of the label `kind`; empty for none.
+    /// Value of the label `kind`; the label is omitted when empty.
     pub kind: &'static str,
-    /// The value.
+    /// Current value, in the unit that the help text states.
     pub value: f64,
 }
 
-/// One piece of the kernel's state and the decisions on it.
+/// One part of the kernel's state, together with the decisions based on it.
 pub trait Plugin: Send {
-    /// Handles one event.
+    /// Handles one event; actions, events and messages go out through `context`.
     fn handle(&mut self, event: &Event, context: &mut Context<'_>);
 
-    /// The plug-in's section of the state dump; never secrets, prompts or keys.
+    /// The plug-in's section of the state dump. It must not contain secrets, prompts or keys.
     fn dump(&self) -> Value;
 
-    /// Calls and work that must end before the node may exit.
+    /// Number of calls and other pieces of work in this plug-in that must end before the node may
+    /// exit.
     fn open_work(&self) -> usize {
         0
     }
 
-    /// The plug-in's metrics.
+    /// Current samples of the plug-in's metrics; none by default.
     fn gauges(&self) -> Vec<GaugeSample> {
         Vec::new()
     }
 }
 
-/// A plug-in's entry in the registry.
+/// Registry entry of a plug-in.
 pub struct Registration {
-    /// Name of the section in the state dump.
+    /// Name of the plug-in and of its section in the state dump.
     pub name: &'static str,
-    /// Plug-ins handle an event in ascending order of this number.
+    /// Position in the handling order: each event goes to the plug-ins in ascending order of this
+    /// number.
     pub order: u8,
-    /// Makes the plug-in for a node.
+    /// Creates the plug-in for a node.
     pub build: fn(&NodeProfile) -> Box<dyn Plugin>,
 }
 
--- a/kernel/src/record.rs
+++ b/kernel/src/record.rs
@@ -9,81 +9,82 @@
 use crate::config::spec::ConfigFile;
 use crate::ids::{Incarnation, NodeId};
 
-/// Names an append until it is answered.
+/// Identifies an append until its result arrives.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 #[display("{_0}")]
 pub struct AppendTicket(pub u64);
 
-/// Which plug-in asked for an append; each numbers its own.
+/// The component that requested an append. Each numbers its appends independently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendOwner {
-    /// An operator's change.
+    /// Publication of a change.
     Publish,
-    /// A checkpoint.
+    /// Writing of checkpoints.
     Checkpoint,
-    /// A lease.
+    /// Claims, renewals and releases of the lease.
     Lease,
 }
 
 impl AppendTicket {
-    /// The ticket of an owner's append.
+    /// Combines the owner (upper 8 bits) with its sequence number (lower 56 bits).
     pub fn new(owner: AppendOwner, sequence: u64) -> Self {
         Self((owner as u64) << 56 | sequence & ((1 << 56) - 1))
     }
 
-    /// Whether the ticket is of this owner.
+    /// Whether the ticket was issued for this owner.
     pub fn is_of(self, owner: AppendOwner) -> bool {
         self.0 >> 56 == owner as u64
     }
 }
 
-/// A record with its place on the log.
+/// A record with its position on the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// The offset.
+    /// Position on the log.
     pub offset: u64,
-    /// The record; none when its bytes are no record that this version knows.
+    /// The decoded record; `None` if this version cannot decode its bytes.
     pub record: Option<Record>,
 }
 
-/// What an append came to.
+/// What is known of an append after it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendResult {
-    /// It stands at this offset.
+    /// The log confirmed the append.
     Appended {
-        /// The offset.
+        /// Offset of the new record.
         offset: u64,
     },
-    /// The log refused it; it does not stand on the log.
+    /// The log rejected the append; the record is not on the log.
     Refused,
-    /// No answer came; it may stand on the log.
+    /// No response arrived; the record may be on the log.
     Unknown,
 }
 
-/// What nodes and operators write on the log.
+/// A record that nodes and operators append to the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Record {
     /// A change of configuration.
     Change(ChangeRecord),
-    /// One part of the fold up to an offset, so that older records may go.
+    /// One part of the folded state up to an offset, so that the log may drop older records.
     Checkpoint(CheckpointRecord),
-    /// A lease on giving orders.
+    /// A claim, renewal or release of the lease on sending orders.
     Lease(LeaseRecord),
 }
 
-/// A change of configuration: sets or removes whole documents, all of them or none.
+/// A change of configuration: sets or removes whole documents atomically.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRecord {
-    /// Made by the publisher; a second record with the same identifier changes nothing.
+    /// Identifier chosen by the publisher. A second record with the same identifier has no effect.
     pub id: Box<str>,
-    /// The documents.
+    /// Changes of single documents, applied all or none.
     pub changes: Vec<DocumentChange>,
 }
 
 impl ChangeRecord {
-    /// The first publication of a whole file: no document of it may exist yet.
+    /// A change that publishes a whole file for the first time: it conflicts if a document of the
+    /// file exists already.
     pub fn from_file(id: &str, file: &ConfigFile) -> Self {
         let documents = document::split(file).into_iter();
         Self {
@@ -95,15 +96,15 @@
     }
 }
 
-/// A change of one document, on condition of the version that it replaces.
+/// A change of one document, conditional on the version that it replaces.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DocumentChange {
-    /// The document.
+    /// Key of the document.
     pub key: DocumentKey,
-    /// The version that the publisher had seen; 0 when the document was absent.
+    /// The version that the publisher read; 0 if the document was absent.
     pub replaces: u64,
-    /// The new content; the document is removed when none is given.
+    /// The new content; `None` removes the document.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub content: Option<Document>,
 }
@@ -128,89 +129,90 @@
     }
 }
 
-/// What became of a change; the same on every node that folded its record.
+/// Result of a change; identical on every node that folded its record.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "result")]
 pub enum PublishResult {
-    /// It is part of the configuration.
+    /// The change is part of the configuration.
     #[display("accepted as version {version}")]
     Accepted {
-        /// The version of the documents that it set.
+        /// Version of the documents that the change set.
         version: u64,
     },
-    /// Another change of the same document came first.
+    /// Another change of the same document precedes this one on the log.
     #[display("conflict on {key}: it replaces version {expected}, but version {found} is in force")]
     Conflict {
-        /// The document.
+        /// Key of the conflicting document.
         key: DocumentKey,
-        /// The version that the change replaces.
+        /// Version that the change replaces.
         expected: u64,
-        /// The version in force.
+        /// Version in force.
         found: u64,
     },
-    /// It would leave the configuration invalid.
+    /// The change would make the configuration invalid.
     #[display("invalid: {reason}")]
     Invalid {
-        /// What is wrong and what was expected.
+        /// Description of the error and of the expected value.
         reason: Box<str>,
     },
-    /// It could not be told whether it stands on the log; it may be sent again with its identifier.
+    /// It is unknown whether the change is on the log. It is safe to send it again with the same
+    /// identifier.
     #[display("unavailable: the log did not confirm the change; send it again with the same id")]
     Unavailable,
 }
 
-/// How a change that was folded ended.
+/// The result of a folded change, retained to answer repeats of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SeenChange {
-    /// The change's identifier.
+    /// Identifier of the change.
     pub id: Box<str>,
-    /// The offset of its first record.
+    /// Offset of its first record.
     pub offset: u64,
-    /// What became of it.
+    /// Whether it was accepted, and if not, why.
     pub result: PublishResult,
 }
 
-/// One part of the fold of all records before an offset.
+/// One part of the folded state of all records before an offset.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CheckpointRecord {
-    /// Every record before this offset is in it.
+    /// The checkpoint covers every record before this offset.
     pub through: u64,
-    /// Hash of the whole; parts with another hash belong to another checkpoint.
+    /// Hash of the whole checkpoint; parts with another hash belong to another checkpoint.
     pub digest: u64,
-    /// This part, from 0.
+    /// Index of this part, from 0.
     pub part: u32,
-    /// How many parts there are.
+    /// Number of parts of the checkpoint.
     pub parts: u32,
-    /// Version of the configuration.
+    /// Version of the configuration at that offset.
     pub version: u64,
-    /// Documents of this part.
+    /// Documents in this part.
     pub documents: Vec<VersionedDocument>,
-    /// Changes folded last, in this part.
+    /// Results of recently folded changes in this part.
     pub seen: Vec<SeenChange>,
-    /// The newest lease.
+    /// The newest valid lease record; `None` if there is none.
     pub lease: Option<LeaseHead>,
 }
 
-/// A claim, renewal or release of the lease on giving orders.
+/// A claim, renewal or release of the lease on sending orders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The claimant.
+    /// The claiming node.
     pub node: NodeId,
-    /// The claimant's run.
+    /// The run of the claiming node.
     pub incarnation: Incarnation,
-    /// The lease that was seen last, by the offset of its record plus one, 0 for none; the claim
-    /// holds only if no other stands between.
+    /// Offset, plus one, of the newest lease record that the claimant read; 0 for none. The record
+    /// is valid only if no other valid lease record lies between.
     pub follows: u64,
-    /// How long it holds, counted by the claimant from before the append and by everyone else from
-    /// when they read it. Zero releases the lease.
+    /// Duration of the lease. The claimant counts it from before the append, all other nodes from
+    /// when they read the record. Zero releases the lease.
     pub length: Duration,
 }
 
 /// The newest valid lease record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseHead {
-    /// Its offset, which is the fencing number of the orders given under it.
+    /// Offset of the record, which is the fencing token of the orders sent under the lease.
     pub offset: u64,
-    /// The record.
+    /// The lease record at that offset.
     pub record: LeaseRecord,
 }
--- a/kernel/src/transfer.rs
+++ b/kernel/src/transfer.rs
@@ -1,20 +1,20 @@
-//! Bounds on how an answer arrives: by its pace, not by its size.
+//! Timeouts for response bodies, based on the transfer rate instead of the total time.
 //!
-//! A limit on the whole is missed by each try once an answer is larger than a link carries in that
-//! time, and each try takes the link from the next.
+//! With a total timeout every attempt fails once a response is larger than the link can carry in
+//! that time, and each failed attempt takes bandwidth from the next one.
 
 use std::time::Duration;
 
-/// Least mean pace of an answer, in bytes a second: a link of 10 Mbit/s, the thinnest of a host, that
-/// ten transfers share.
+/// Minimum mean transfer rate of a response, in bytes per second: a tenth of a 10 Mbit/s link, the
+/// slowest of any host, so that ten transfers can share it.
 pub const LEAST_PACE: f64 = 125_000.0;
 
-/// Time that so many bytes take at the least pace.
+/// Time that `bytes` take at the minimum transfer rate.
 pub fn longest_time(bytes: usize) -> Duration {
     Duration::from_secs_f64(bytes as f64 / LEAST_PACE)
 }
 
-/// An answer that is arriving.
+/// Timeout state of a response body that is being received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TransferPace {
     silence: Duration,
@@ -23,7 +23,7 @@
 }
 
 impl TransferPace {
-    /// One that began now and may pause for `silence`.
+    /// Starts at `now`; `silence` is the longest pause between two chunks.
     pub fn new(silence: Duration, now: Duration) -> Self {
         Self {
             silence,
@@ -32,18 +32,18 @@
         }
     }
 
-    /// Takes in that a piece came.
+    /// Records a received chunk of this many bytes.
     pub fn piece_came(&mut self, bytes: usize) {
         self.received += bytes;
     }
 
-    /// Bytes that came.
+    /// Total number of bytes received.
     pub fn received(&self) -> usize {
         self.received
     }
 
-    /// How long the next piece may take from now: a pause, and not so long that less than the least
-    /// pace came beyond a first pause.
+    /// Time until the next chunk is due: at most one idle timeout, and less if the transfer would
+    /// otherwise fall below the minimum rate, counted from one idle timeout after its start.
     pub fn time_left(&self, now: Duration) -> Duration {
         let earned = self.began + self.silence + longest_time(self.received);
         earned.saturating_sub(now).min(self.silence)
--- a/kernel/src/wire.rs
+++ b/kernel/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes. The edge carries them as CBOR (RFC 8949) in WebSocket frames.
+//! Messages between nodes. The edge encodes them as CBOR (RFC 8949) in WebSocket frames.
 
 use derive_more::From;
 use serde::{Deserialize, Serialize};
@@ -11,92 +11,96 @@
 use crate::limits::LimitMessage;
 use crate::membership::MembershipMessage;
 
-/// A message from one node's kernel to another's.
+/// A message from the kernel of one node to that of another.
 #[derive(Clone, Debug, PartialEq, From, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Message {
-    /// Work between an entry node and an owner.
+    /// Work exchanged between an entry node and an owner.
     Work(WorkMessage),
-    /// Liveness and membership.
+    /// Failure detection and membership.
     #[serde(rename = "m")]
     Membership(MembershipMessage),
-    /// Configuration records passed between nodes.
+    /// Replication of configuration records.
     Configuration(ConfigurationMessage),
-    /// Shares of fleet-wide limits.
+    /// Distribution of shares of the fleet-wide limits.
     Limit(LimitMessage),
-    /// Calls with an idempotency key, on their way to the node that minted it.
+    /// Calls with an idempotency key, relayed to the node that issued the key.
     Relay(RelayMessage),
-    /// Orders on their way to the node that gives them.
+    /// Orders to upstreams, forwarded to the node that executes them.
     Order(OrderMessage),
 }
 
-/// Work between an entry node and an owner.
+/// Work exchanged between an entry node and an owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkMessage {
-    /// Entry to owner: queue this. The edge adds the body.
+    /// Entry to owner: requests that the attempt be queued. The edge adds the request body.
     Offer(WorkSpec),
-    /// Entry to owner: no longer wanted.
+    /// Entry to owner: cancels the attempt.
     Cancel(AttemptId),
-    /// Owner to entry: sent to an upstream; from here on it may have run.
+    /// Owner to entry: the attempt was sent to an upstream. From here on it may have run.
     Started(AttemptId),
-    /// Owner to entry: not started, and not going to be.
+    /// Owner to entry: the attempt was not started and will not be.
     Returned {
-        /// The try.
+        /// The returned attempt.
         attempt: AttemptId,
-        /// Why.
+        /// Why the owner did not start it.
         reason: ReturnReason,
-        /// The owner's queue now.
+        /// Current summary of the owner's queue.
         load: LoadSummary,
     },
-    /// Owner to entry: the try is over. All chunks went before it on the same link.
+    /// Owner to entry: the attempt ended. All chunks precede this message on the same link.
     Ended {
-        /// The try.
+        /// The attempt that ended.
         attempt: AttemptId,
         /// How it ended.
         end: AttemptEnd,
-        /// The owner's queue now.
+        /// Current summary of the owner's queue.
         load: LoadSummary,
     },
-    /// Owner to entry: the owner's queue, when it changed much with no answer to carry it.
+    /// Owner to entry: the owner's queue changed considerably while no response was due that would
+    /// carry the summary.
     Load {
-        /// The pool.
+        /// Pool that the queue belongs to.
         pool: PoolId,
-        /// The queue now.
+        /// Current summary of the queue.
         load: LoadSummary,
     },
-    /// Entry to owner: does the owner still hold these? Sent when nothing was heard for long.
+    /// Entry to owner: asks which of these attempts the owner still has. Sent after a long time
+    /// without a message about them.
     Ask(Vec<AttemptId>),
-    /// Owner to entry: the answer.
+    /// Owner to entry: the answer to [`WorkMessage::Ask`].
     Held {
-        /// Held, queued or running.
+        /// Attempts that are queued or running.
         held: Vec<AttemptId>,
-        /// Not held: never came, or over.
+        /// Attempts that never arrived or have ended.
         missing: Vec<AttemptId>,
     },
 }
 
-/// A call with an idempotency key that reached a node other than the key's minter.
+/// Messages about a call with an idempotency key that reached a node other than the issuer of the
+/// key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RelayMessage {
-    /// Run this once, or answer from memory. The edge adds the body.
+    /// Requests that the call be run once, or answered with the retained answer. The edge adds the
+    /// request body.
     Call {
-        /// The call, numbered by the relaying node.
+        /// The call; its identifier is that of the relaying node.
         spec: CallSpec,
-        /// The key.
+        /// The idempotency key.
         key: RequestKey,
     },
-    /// The caller left.
+    /// The caller closed its connection.
     Cancel(CallId),
-    /// The outcome; all chunks went before it on the same link.
+    /// The call ended. All chunks precede this message on the same link.
     Finished {
-        /// The call, numbered by the relaying node.
+        /// Identifier of the call at the relaying node.
         call: CallId,
         /// How it ended.
         outcome: CallOutcome,
     },
-    /// Is this call still open? Sent when nothing was heard for long.
+    /// Asks whether this call is still open. Sent after a long time without a message about it.
     Ask(CallId),
     /// The call is still open.
     Held(CallId),
