--- a/cli/src/slopes/messages.rs
+++ b/cli/src/slopes/messages.rs
@@ -2,8 +2,8 @@
 
 use monsoonbank_kernel::ids::{Incarnation, NodeId, UpstreamId};
 use monsoonbank_kernel::membership::MembershipMessage;
-use monsoonbank_kernel::membership::message::{NewsBatch, UpstreamNews, encoded_bytes};
-use monsoonbank_kernel::membership::record::{NodeNews, NodeRecord};
+use monsoonbank_kernel::membership::message::{UpdateBatch, UpstreamUpdate, encoded_bytes};
+use monsoonbank_kernel::membership::record::{NodeRecord, NodeUpdate};
 use monsoonbank_kernel::wire::Message;
 use serde::{Deserialize, Serialize};
 
@@ -23,9 +23,9 @@
 pub fn measure() -> Vec<MessageSample> {
     let node = NodeId::named("node-1");
     let record = NodeRecord::started(Incarnation(1_764_700_000_000));
-    let news = NodeNews::new(node, &record);
-    let batch = |count| NewsBatch(vec![news; count], Vec::new(), Vec::new());
-    let upstream = UpstreamNews(UpstreamId::named("engine-1"), 1, 1);
+    let news = NodeUpdate::new(node, &record);
+    let batch = |count| UpdateBatch(vec![news; count], Vec::new(), Vec::new());
+    let upstream = UpstreamUpdate(UpstreamId::named("engine-1"), 1, 1);
     let pairs: Vec<u32> = (0..ZONES)
         .flat_map(|tag| [u32::MAX - tag, 100_000])
         .collect();
@@ -42,11 +42,11 @@
             "probe in another's place",
             MembershipMessage::ProbeFor(100_000, node),
         ),
-        ("news of one node", MembershipMessage::News(batch(1))),
-        ("news of 32 nodes", MembershipMessage::News(batch(32))),
+        ("news of one node", MembershipMessage::Updates(batch(1))),
+        ("news of 32 nodes", MembershipMessage::Updates(batch(32))),
         (
             "news of one upstream",
-            MembershipMessage::News(NewsBatch(Vec::new(), vec![upstream], Vec::new())),
+            MembershipMessage::Updates(UpdateBatch(Vec::new(), vec![upstream], Vec::new())),
         ),
         (
             "comparison, 23 zones differ from quiet",
--- a/daemon/src/callers.rs
+++ b/daemon/src/callers.rs
@@ -77,7 +77,7 @@
         let keys = self.keys(request);
         response.render(Json(json!({
             "addresses": found.addresses,
-            "keep_seconds": found.keep.as_secs(),
+            "keep_seconds": found.ttl.as_secs(),
             "idempotency_keys": keys,
         })));
     }
--- a/daemon/src/changes.rs
+++ b/daemon/src/changes.rs
@@ -6,7 +6,7 @@
 
 use monsoonbank_kernel::config::DocumentList;
 use monsoonbank_kernel::configuration::publish::{ChangeStatus, RequestTicket};
-use monsoonbank_kernel::configuration::reach::PublishProgress;
+use monsoonbank_kernel::configuration::rollout::PublishProgress;
 use monsoonbank_kernel::record::PublishResult;
 use tokio::sync::oneshot;
 
--- a/daemon/src/driver.rs
+++ b/daemon/src/driver.rs
@@ -120,7 +120,7 @@
             let mut send = |node, frame| links::send(shared, node, frame);
             shared.calls.attach(call, original, &mut send);
         }
-        Action::ForgetAnswer(call) => shared.calls.forget_answer(call),
+        Action::DiscardAnswer(call) => shared.calls.forget_answer(call),
         Action::Append { ticket, record } => platform::append(shared, ticket, record),
         Action::ReadLog { from } => platform::read_log(shared, from),
         Action::Order {
--- a/daemon/src/platform.rs
+++ b/daemon/src/platform.rs
@@ -6,7 +6,7 @@
 use monsoonbank_kernel::event::Event;
 use monsoonbank_kernel::membership::HostEntry;
 use monsoonbank_kernel::record::{AppendResult, AppendTicket, LogRecord, Record};
-use monsoonbank_kernel::transfer::{self, TransferPace};
+use monsoonbank_kernel::transfer::{self, TransferMonitor};
 use reqwest::StatusCode;
 use reqwest::header::CONTENT_TYPE;
 use serde::Deserialize;
@@ -83,7 +83,7 @@
 ) -> Result<(StatusCode, Vec<u8>), PlatformError> {
     let beginning = timeout(wait + PATIENCE, shared.client.get(url).send()).await;
     let mut response = beginning.map_err(|_| PlatformError::TimedOut)??;
-    let mut pace = TransferPace::new(PATIENCE, shared.now());
+    let mut pace = TransferMonitor::new(PATIENCE, shared.now());
     let mut body = Vec::new();
     loop {
         let Ok(piece) = timeout(pace.time_left(shared.now()), response.chunk()).await else {
@@ -93,7 +93,7 @@
         let Some(piece) = piece? else {
             return Ok((response.status(), body));
         };
-        pace.piece_came(piece.len());
+        pace.record_chunk(piece.len());
         body.extend_from_slice(&piece);
     }
 }
@@ -146,7 +146,7 @@
     let sent = shared
         .client
         .post(url)
-        .timeout(APPEND_TIMEOUT + transfer::longest_time(body.len()))
+        .timeout(APPEND_TIMEOUT + transfer::max_transfer_time(body.len()))
         .header(CONTENT_TYPE, "application/json")
         .body(body)
         .send()
--- a/daemon/src/upstreams.rs
+++ b/daemon/src/upstreams.rs
@@ -134,7 +134,9 @@
     if response.headers().contains_key(LEAVING_HEADER) {
         let upstream = start.upstream;
         log::info!("upstream={upstream} event=leaving_announced");
-        running.shared.event(Event::UpstreamAnnounced(upstream));
+        running
+            .shared
+            .event(Event::UpstreamLeaveAnnounced(upstream));
     }
 }
 
--- a/kernel/src/addresses.rs
+++ b/kernel/src/addresses.rs
@@ -9,7 +9,7 @@
 
 /// Time for which a caller may cache the answer. Once a node begins to leave, no caller uses its
 /// address after this time plus about a second for the membership update to propagate.
-pub const ANSWER_TIME: Duration = Duration::from_secs(3);
+pub const ANSWER_TTL: Duration = Duration::from_secs(3);
 
 /// Addresses for a caller, most preferred first.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -17,7 +17,7 @@
     /// IP addresses and ports of live nodes; empty when there is no live node.
     pub addresses: Vec<Box<str>>,
     /// Time for which the answer may be cached.
-    pub keep: Duration,
+    pub ttl: Duration,
 }
 
 /// Selects up to `count` addresses for a caller in `zone`: nodes of that zone first, and no node
@@ -43,7 +43,7 @@
     let addresses = ranked.into_iter().take(count).map(|row| row.2.into());
     AddressAnswer {
         addresses: addresses.collect(),
-        keep: ANSWER_TIME,
+        ttl: ANSWER_TTL,
     }
 }
 
--- a/kernel/src/config.rs
+++ b/kernel/src/config.rs
@@ -10,11 +10,11 @@
 
 pub mod check;
 pub mod document;
+pub mod file_check;
 pub mod locate;
 pub mod rules;
 pub mod spec;
 pub mod text;
-pub mod whole;
 
 pub use document::{Document, DocumentKey, DocumentList, VersionedDocument};
 pub use rules::{RequestFacts, RuleIndex, RuleMismatch};
@@ -209,7 +209,7 @@
     }
 
     /// Notes the version of a placement.
-    pub fn note_version(&mut self, key: &DocumentKey, version: u64) {
+    pub fn set_placement_version(&mut self, key: &DocumentKey, version: u64) {
         let DocumentKey::Placement(name) = key else {
             return;
         };
--- a/kernel/src/config/check.rs
+++ b/kernel/src/config/check.rs
@@ -34,7 +34,7 @@
 impl ConfigFault {
     pub(crate) fn under(self, path: &FieldPath) -> Self {
         Self {
-            path: path.clone().then(&self.path),
+            path: path.clone().join(&self.path),
             message: self.message,
         }
     }
--- a/kernel/src/config/locate.rs
+++ b/kernel/src/config/locate.rs
@@ -35,7 +35,7 @@
 
     /// This path with another behind it.
     #[must_use]
-    pub fn then(mut self, rest: &Self) -> Self {
+    pub fn join(mut self, rest: &Self) -> Self {
         self.0.extend(rest.0.iter().cloned());
         self
     }
--- a/kernel/src/config/text.rs
+++ b/kernel/src/config/text.rs
@@ -3,9 +3,9 @@
 use thiserror::Error;
 
 use crate::config::check::ConfigFault;
+use crate::config::file_check::check_file;
 use crate::config::locate::{PathStep, TextPosition, locate};
 use crate::config::spec::ConfigFile;
-use crate::config::whole::check_file;
 
 /// Something that is wrong in a file.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
--- a/kernel/src/configuration.rs
+++ b/kernel/src/configuration.rs
@@ -9,12 +9,12 @@
 use crate::config::Config;
 use crate::configuration::checkpoint::CheckpointAssembly;
 use crate::configuration::duty::CheckpointDuty;
-use crate::configuration::fold::{ConfigFold, FoldStep, RefusedRecord};
+use crate::configuration::fold::{ConfigFold, FoldOutcome, RefusedRecord};
 use crate::configuration::peers::PeerExchange;
 use crate::configuration::publish::{PublishTracker, RequestTicket};
-use crate::configuration::reach::ReachCounter;
 use crate::configuration::reader::LogReader;
-use crate::configuration::tail::{EarlyRecords, RecordTail};
+use crate::configuration::rollout::RolloutCounter;
+use crate::configuration::tail::{RecordTail, ReorderBuffer};
 use crate::event::{Action, Event};
 use crate::ids::NodeId;
 use crate::plugin::{Context, GaugeSample, NodeProfile, Plugin, Registration};
@@ -29,8 +29,8 @@
 pub mod message;
 pub mod peers;
 pub mod publish;
-pub mod reach;
 pub mod reader;
+pub mod rollout;
 pub mod tail;
 
 pub use message::ConfigurationMessage;
@@ -50,12 +50,12 @@
     read_from: u64,
     reader: LogReader,
     tail: RecordTail,
-    early: EarlyRecords,
+    early: ReorderBuffer,
     assembly: CheckpointAssembly,
     duty: CheckpointDuty,
     peers: PeerExchange,
     publishes: PublishTracker,
-    reach: ReachCounter,
+    reach: RolloutCounter,
     checkpoint_sent: Option<Duration>,
 }
 
@@ -82,13 +82,13 @@
         let step = self.fold.apply(entry);
         let size = self.tail.push(entry.clone());
         match step {
-            FoldStep::Changed(id) => {
-                self.duty.grown(size);
+            FoldOutcome::Changed(id) => {
+                self.duty.record_change(size);
                 self.answer(&id, context);
             }
-            FoldStep::Refused(id) => self.answer(&id, context),
-            FoldStep::Leased(head) => context.raise(Event::LeaseSeen(head)),
-            FoldStep::Nothing => {}
+            FoldOutcome::Refused(id) => self.answer(&id, context),
+            FoldOutcome::Leased(head) => context.raise(Event::LeaseSeen(head)),
+            FoldOutcome::Unchanged => {}
         }
     }
 
@@ -128,7 +128,7 @@
                 continue;
             };
             if let Some(fold) = self.assembly.take(part) {
-                self.duty.seen(fold.next(), context.now);
+                self.duty.record_checkpoint(fold.next(), context.now);
                 self.adopt(fold, context);
             }
         }
@@ -192,7 +192,7 @@
             }
             ConfigurationMessage::Checkpoint { covered, part } => {
                 self.peers.received();
-                self.duty.seen(*covered, context.now);
+                self.duty.record_checkpoint(*covered, context.now);
                 if let Some(fold) = self.assembly.take(part) {
                     self.adopt(fold, context);
                 }
@@ -205,9 +205,10 @@
     }
 
     fn heard(&mut self, from: NodeId, next: u64, ready: bool, context: &mut Context<'_>) {
-        self.peers.hear(from, next, ready);
-        let at_once = !self.ready || self.reader.is_out(context.now);
-        self.peers.want(self.fold.next(), at_once, context);
+        self.peers.record_offset(from, next, ready);
+        let at_once = !self.ready || self.reader.is_unavailable(context.now);
+        self.peers
+            .request_missing(self.fold.next(), at_once, context);
     }
 
     fn tell(&self, to: NodeId, context: &mut Context<'_>) {
@@ -238,16 +239,16 @@
     }
 
     fn appended(&mut self, ticket: AppendTicket, result: AppendResult, context: &mut Context<'_>) {
-        if ticket.is_of(AppendOwner::Publish) {
+        if ticket.belongs_to(AppendOwner::Publish) {
             self.publishes.appended(ticket, result, context);
         }
-        if ticket.is_of(AppendOwner::Checkpoint) {
+        if ticket.belongs_to(AppendOwner::Checkpoint) {
             self.duty.appended(ticket, result, context);
         }
     }
 
     fn tick(&mut self, context: &mut Context<'_>) {
-        let log_out = self.reader.is_out(context.now);
+        let log_out = self.reader.is_unavailable(context.now);
         self.publishes.tick(context);
         self.peers
             .tick(self.fold.next(), self.ready, log_out, context);
@@ -261,8 +262,8 @@
     fn is_newest(&self, now: Duration) -> bool {
         let known = self.fold.config().version > 0 && self.fold.next() >= self.peers.newest();
         let log = self.log_end.is_some_and(|end| self.fold.next() >= end);
-        let peers = self.reader.is_out(now) && self.peers.have_shown();
-        known && self.peers.have_answered(now) && (log || peers)
+        let peers = self.reader.is_unavailable(now) && self.peers.any_ready();
+        known && self.peers.all_answered(now) && (log || peers)
     }
 
     /// After every event: goes into force, announces and reads on.
@@ -295,7 +296,7 @@
                 from,
                 message: Message::Configuration(message),
             } => self.message(*from, message, context),
-            Event::MembersChanged(view) => self.peers.see(view),
+            Event::MembersChanged(view) => self.peers.update_view(view),
             Event::PublishRequested { request, record } => {
                 self.publish(*request, record, context);
             }
--- a/kernel/src/configuration/checkpoint.rs
+++ b/kernel/src/configuration/checkpoint.rs
@@ -7,7 +7,7 @@
 
 use crate::config::VersionedDocument;
 use crate::configuration::fold::ConfigFold;
-use crate::record::{CheckpointRecord, SeenChange};
+use crate::record::{CheckpointRecord, FoldedChange};
 
 /// The size that a part is filled up to, in bytes of JSON.
 pub const PART_BYTES: usize = 48 * 1024;
@@ -42,7 +42,7 @@
 /// The state as checkpoint parts. The same state gives the same parts.
 pub fn parts(fold: &ConfigFold) -> Vec<CheckpointRecord> {
     let list = fold.documents();
-    let seen: Vec<SeenChange> = fold.seen().cloned().collect();
+    let seen: Vec<FoldedChange> = fold.seen().cloned().collect();
     let whole = serde_json::to_vec(&(&list, &seen, fold.lease())).unwrap_or_default();
     let blank = CheckpointRecord {
         through: fold.next(),
@@ -103,7 +103,7 @@
         .values()
         .flat_map(|part| part.documents.iter().cloned())
         .collect();
-    let seen: Vec<SeenChange> = parts
+    let seen: Vec<FoldedChange> = parts
         .values()
         .flat_map(|part| part.seen.iter().cloned())
         .collect();
--- a/kernel/src/configuration/duty.rs
+++ b/kernel/src/configuration/duty.rs
@@ -65,12 +65,12 @@
     }
 
     /// A change of this size was folded.
-    pub fn grown(&mut self, bytes: usize) {
+    pub fn record_change(&mut self, bytes: usize) {
         self.bytes += bytes;
     }
 
     /// A whole checkpoint was seen on the log.
-    pub fn seen(&mut self, through: u64, now: Duration) {
+    pub fn record_checkpoint(&mut self, through: u64, now: Duration) {
         if through < self.covered {
             return;
         }
--- a/kernel/src/configuration/fold.rs
+++ b/kernel/src/configuration/fold.rs
@@ -7,13 +7,13 @@
 use crate::config::check::{ConfigFault, check_dependents, check_document};
 use crate::config::{Config, Document, DocumentKey, DocumentList, VersionedDocument};
 use crate::record::{
-    ChangeRecord, DocumentChange, LeaseHead, LeaseRecord, LogRecord, PublishResult, Record,
-    SeenChange,
+    ChangeRecord, DocumentChange, FoldedChange, LeaseHead, LeaseRecord, LogRecord, PublishResult,
+    Record,
 };
 
 /// Changes whose identifiers are remembered. A change that is older and is sent again conflicts
 /// with its own first record, since that one raised the versions.
-pub const SEEN_CHANGES: usize = 1_024;
+pub const RETAINED_CHANGES: usize = 1_024;
 
 /// Refused and skipped records that the state dump shows.
 const SHOWN_REFUSALS: usize = 32;
@@ -34,7 +34,7 @@
 
 /// What a record came to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FoldStep {
+pub enum FoldOutcome {
     /// The configuration changed.
     Changed(Box<str>),
     /// A change was refused.
@@ -42,7 +42,7 @@
     /// The lease moved on.
     Leased(LeaseHead),
     /// Nothing.
-    Nothing,
+    Unchanged,
 }
 
 /// The state after all records before an offset.
@@ -51,7 +51,7 @@
     next: u64,
     config: Config,
     versions: BTreeMap<DocumentKey, u64>,
-    results: BTreeMap<Box<str>, SeenChange>,
+    results: BTreeMap<Box<str>, FoldedChange>,
     seen: VecDeque<Box<str>>,
     lease: Option<LeaseHead>,
     refused: VecDeque<RefusedRecord>,
@@ -63,7 +63,7 @@
         next: u64,
         version: u64,
         documents: &[VersionedDocument],
-        seen: &[SeenChange],
+        seen: &[FoldedChange],
         lease: Option<LeaseHead>,
     ) -> Self {
         let mut fold = Self {
@@ -74,7 +74,7 @@
         for document in documents {
             let key = document.content.key();
             fold.config.put(document.content.clone());
-            fold.config.note_version(&key, document.version);
+            fold.config.set_placement_version(&key, document.version);
             fold.versions.insert(key, document.version);
         }
         fold.config.version = version;
@@ -100,7 +100,7 @@
     }
 
     /// The changes that are remembered, oldest first.
-    pub fn seen(&self) -> impl Iterator<Item = &SeenChange> {
+    pub fn seen(&self) -> impl Iterator<Item = &FoldedChange> {
         self.seen.iter().filter_map(|id| self.results.get(id))
     }
 
@@ -134,48 +134,48 @@
     }
 
     /// Folds the next record. One with another offset than the next is not folded.
-    pub fn apply(&mut self, entry: &LogRecord) -> FoldStep {
+    pub fn apply(&mut self, entry: &LogRecord) -> FoldOutcome {
         if entry.offset != self.next {
-            return FoldStep::Nothing;
+            return FoldOutcome::Unchanged;
         }
         self.next += 1;
         match &entry.record {
             Some(Record::Change(change)) => self.apply_change(entry.offset, change),
             Some(Record::Lease(lease)) => self.apply_lease(entry.offset, lease),
-            Some(Record::Checkpoint(_)) => FoldStep::Nothing,
+            Some(Record::Checkpoint(_)) => FoldOutcome::Unchanged,
             None => {
                 self.refuse(entry.offset, None, "its shape is unknown".into());
-                FoldStep::Nothing
+                FoldOutcome::Unchanged
             }
         }
     }
 
-    fn apply_lease(&mut self, offset: u64, record: &LeaseRecord) -> FoldStep {
+    fn apply_lease(&mut self, offset: u64, record: &LeaseRecord) -> FoldOutcome {
         let head = self.lease.as_ref().map_or(0, |head| head.offset + 1);
         if record.follows != head {
-            return FoldStep::Nothing;
+            return FoldOutcome::Unchanged;
         }
         let record = record.clone();
         let head = LeaseHead { offset, record };
         self.lease = Some(head.clone());
-        FoldStep::Leased(head)
+        FoldOutcome::Leased(head)
     }
 
-    fn apply_change(&mut self, offset: u64, change: &ChangeRecord) -> FoldStep {
+    fn apply_change(&mut self, offset: u64, change: &ChangeRecord) -> FoldOutcome {
         if self.results.contains_key(&change.id) {
-            return FoldStep::Nothing;
+            return FoldOutcome::Unchanged;
         }
         let version = offset + 1;
         let refusal = self.replace(version, change);
         let step = if let Some(refusal) = &refusal {
             self.refuse(offset, Some(&change.id), refusal.to_string());
-            FoldStep::Refused(change.id.clone())
+            FoldOutcome::Refused(change.id.clone())
         } else {
             self.config.version = version;
-            FoldStep::Changed(change.id.clone())
+            FoldOutcome::Changed(change.id.clone())
         };
         if change.id.len() <= MAX_ID {
-            self.remember(SeenChange {
+            self.remember(FoldedChange {
                 id: change.id.clone(),
                 offset,
                 result: refusal.unwrap_or(PublishResult::Accepted { version }),
@@ -237,7 +237,7 @@
         let before = self.config.document(&change.key);
         if let Some(content) = &change.content {
             self.config.put(content.clone());
-            self.config.note_version(&change.key, version);
+            self.config.set_placement_version(&change.key, version);
             self.versions.insert(change.key.clone(), version);
         } else {
             self.config.remove(&change.key);
@@ -266,10 +266,10 @@
         })
     }
 
-    fn remember(&mut self, change: SeenChange) {
+    fn remember(&mut self, change: FoldedChange) {
         self.seen.push_back(change.id.clone());
         self.results.insert(change.id.clone(), change);
-        while self.seen.len() > SEEN_CHANGES {
+        while self.seen.len() > RETAINED_CHANGES {
             if let Some(oldest) = self.seen.pop_front() {
                 self.results.remove(&oldest);
             }
--- a/kernel/src/configuration/message.rs
+++ b/kernel/src/configuration/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::configuration::reach::CountId;
+use crate::configuration::rollout::CountId;
 use crate::ids::NodeId;
 use crate::record::{CheckpointRecord, LogRecord};
 
--- a/kernel/src/configuration/peers.rs
+++ b/kernel/src/configuration/peers.rs
@@ -76,7 +76,7 @@
 impl PeerExchange {
     /// Takes the newest view of which nodes live. What a node told is forgotten when it is gone, or
     /// runs anew with nothing kept.
-    pub fn see(&mut self, view: &Arc<MemberView>) {
+    pub fn update_view(&mut self, view: &Arc<MemberView>) {
         let run = |view: &MemberView, node: &NodeId| {
             let member = view.members.get(node);
             member.map(|member| member.incarnation)
@@ -94,7 +94,7 @@
     }
 
     /// Another node said how far it is.
-    pub fn hear(&mut self, from: NodeId, next: u64, ready: bool) {
+    pub fn record_offset(&mut self, from: NodeId, next: u64, ready: bool) {
         let told = self.told.entry(from).or_insert(PeerOffset { next, ready });
         told.next = told.next.max(next);
         told.ready |= ready;
@@ -110,7 +110,7 @@
     }
 
     /// Whether every node that was asked at the start has answered, or had the time to.
-    pub fn have_answered(&self, now: Duration) -> bool {
+    pub fn all_answered(&self, now: Duration) -> bool {
         let Some(asked_at) = self.asked_at else {
             return false;
         };
@@ -121,7 +121,7 @@
     }
 
     /// Whether a node that takes calls itself has told how far it is.
-    pub fn have_shown(&self) -> bool {
+    pub fn any_ready(&self) -> bool {
         self.told.values().any(|told| told.ready)
     }
 
@@ -145,7 +145,7 @@
             self.ask_first(next, context);
         }
         self.compare(next, ready, context);
-        self.want(next, !ready || log_out, context);
+        self.request_missing(next, !ready || log_out, context);
     }
 
     fn ask_first(&mut self, next: u64, context: &mut Context<'_>) {
@@ -199,7 +199,7 @@
     }
 
     /// Asks one node for records that it has and this one lacks.
-    pub fn want(&mut self, next: u64, at_once: bool, context: &mut Context<'_>) {
+    pub fn request_missing(&mut self, next: u64, at_once: bool, context: &mut Context<'_>) {
         let ahead: Vec<NodeId> = self
             .told
             .iter()
--- a/kernel/src/configuration/publish.rs
+++ b/kernel/src/configuration/publish.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::configuration::fold::ConfigFold;
-use crate::configuration::reach::PublishProgress;
 use crate::configuration::reader::backoff;
+use crate::configuration::rollout::PublishProgress;
 use crate::event::Action;
 use crate::plugin::Context;
 use crate::record::{AppendOwner, AppendResult, AppendTicket, ChangeRecord, PublishResult, Record};
--- a/kernel/src/configuration/reader.rs
+++ b/kernel/src/configuration/reader.rs
@@ -67,7 +67,7 @@
     }
 
     /// Whether the log has not shown anything lately, or has never answered in a reasonable time.
-    pub fn is_out(&self, now: Duration) -> bool {
+    pub fn is_unavailable(&self, now: Duration) -> bool {
         let slow = self
             .since
             .is_some_and(|since| now.saturating_sub(since) > SLOW_READ);
--- a/kernel/src/configuration/reach.rs
+++ b/kernel/src/configuration/rollout.rs
@@ -62,7 +62,7 @@
 
 /// Counts under way.
 #[derive(Clone, Debug, Default)]
-pub struct ReachCounter {
+pub struct RolloutCounter {
     counts: BTreeMap<CountId, NodeCount>,
     sequence: u64,
 }
@@ -84,7 +84,7 @@
         .collect()
 }
 
-impl ReachCounter {
+impl RolloutCounter {
     /// Counts the nodes at or past a version for a publisher.
     pub fn start(
         &mut self,
--- a/kernel/src/configuration/tail.rs
+++ b/kernel/src/configuration/tail.rs
@@ -71,11 +71,11 @@
 
 /// Records that cannot be folded until earlier ones arrive.
 #[derive(Clone, Debug, Default)]
-pub struct EarlyRecords {
+pub struct ReorderBuffer {
     records: BTreeMap<u64, LogRecord>,
 }
 
-impl EarlyRecords {
+impl ReorderBuffer {
     /// Keeps a record for later; the oldest gives way when there are too many.
     pub fn keep(&mut self, entry: LogRecord) {
         self.records.insert(entry.offset, entry);
--- a/kernel/src/event.rs
+++ b/kernel/src/event.rs
@@ -6,7 +6,7 @@
 use crate::call::{AttemptEnd, AttemptStart, CallOutcome, CallSpec, LoadReport};
 use crate::config::{Config, DocumentList};
 use crate::configuration::publish::RequestTicket;
-use crate::configuration::reach::PublishProgress;
+use crate::configuration::rollout::PublishProgress;
 use crate::ids::{AttemptId, CallId, NodeId, UpstreamId};
 use crate::keys::RequestKey;
 use crate::leases::OrderRequest;
@@ -54,7 +54,7 @@
         report: LoadReport,
     },
     /// A response of the upstream announces that it is leaving.
-    UpstreamAnnounced(UpstreamId),
+    UpstreamLeaveAnnounced(UpstreamId),
     /// The upstream refused a call and requested that this node back off.
     UpstreamPaused {
         /// The upstream to back off from.
@@ -213,7 +213,7 @@
         original: CallId,
     },
     /// The retained answer of this call with an idempotency key may be discarded.
-    ForgetAnswer(CallId),
+    DiscardAnswer(CallId),
     /// Append a record to the platform's log. Answered by [`Event::AppendDone`].
     Append {
         /// The ticket that the answer carries.
--- a/kernel/src/leases.rs
+++ b/kernel/src/leases.rs
@@ -258,7 +258,7 @@
                     .see(head, node, incarnation, context.now, context.random);
                 self.give(context);
             }
-            Event::AppendDone { ticket, result } if ticket.is_of(AppendOwner::Lease) => {
+            Event::AppendDone { ticket, result } if ticket.belongs_to(AppendOwner::Lease) => {
                 self.appended(*result, context);
             }
             Event::OrderRequested(request) => self.want(request),
--- a/kernel/src/leaving.rs
+++ b/kernel/src/leaving.rs
@@ -14,11 +14,11 @@
 
 /// Minimum time between the start of leaving and the exit, so that callers with cached addresses
 /// are redirected instead of finding a closed port.
-pub const LINGER: Duration = Duration::from_secs(6);
+pub const DRAIN_GRACE: Duration = Duration::from_secs(6);
 
 /// Time after which a leaving flag that was already set in the first host list takes effect. Such a
 /// flag may have been set for an earlier run of this node.
-pub const STALE_LIST_TIME: Duration = Duration::from_secs(30);
+pub const STALE_LEAVING_TIME: Duration = Duration::from_secs(30);
 
 /// State of this node's planned shutdown.
 #[derive(Debug, Default)]
@@ -56,13 +56,13 @@
         let listed_for = self
             .first_list
             .map_or(Duration::ZERO, |first| context.now.saturating_sub(first));
-        if self.listed && (!self.flag_since_start || listed_for >= STALE_LIST_TIME) {
+        if self.listed && (!self.flag_since_start || listed_for >= STALE_LEAVING_TIME) {
             self.begin(context);
         }
         let Some(since) = self.leaving_since else {
             return;
         };
-        let lingered = context.now >= since + LINGER;
+        let lingered = context.now >= since + DRAIN_GRACE;
         if lingered && self.open_work == 0 && !self.exited {
             self.exited = true;
             context.act(Action::Exit);
--- a/kernel/src/membership.rs
+++ b/kernel/src/membership.rs
@@ -18,10 +18,10 @@
 use crate::plugin::{Context, GaugeSample, NodeProfile, Plugin, Registration};
 use crate::wire::Message;
 
+mod gossip;
 pub mod group;
 mod hosts;
 pub mod message;
-mod news;
 pub mod outbox;
 pub mod probe;
 pub mod record;
@@ -33,7 +33,7 @@
 pub use message::MembershipMessage;
 
 use group::PeerGroup;
-use outbox::NewsOutbox;
+use outbox::UpdateOutbox;
 use probe::ProbeTable;
 use record::NodeRecord;
 use sync::RepairTimer;
@@ -121,7 +121,7 @@
     zones: ZoneTable,
     group: PeerGroup,
     prober: ProbeTable,
-    outbox: NewsOutbox,
+    outbox: UpdateOutbox,
     repair: RepairTimer,
     hosts: Vec<HostEntry>,
     view: Arc<MemberView>,
@@ -140,7 +140,7 @@
             zones: ZoneTable::default(),
             group: PeerGroup::default(),
             prober: ProbeTable::default(),
-            outbox: NewsOutbox::default(),
+            outbox: UpdateOutbox::default(),
             repair: RepairTimer::default(),
             hosts: Vec::new(),
             view: Arc::default(),
@@ -182,7 +182,7 @@
             MembershipMessage::Reached(sequence) => {
                 self.take_reached(*sequence, context.now);
             }
-            MembershipMessage::News(news) => self.take_news(from, news, context),
+            MembershipMessage::Updates(news) => self.take_news(from, news, context),
             MembershipMessage::Compare(pairs) => self.answer_compare(from, pairs, context),
             MembershipMessage::Bridge(answer, digest, beats) => {
                 self.take_bridge(from, *answer, beats, context);
@@ -196,13 +196,13 @@
     /// that this node is not isolated.
     fn hear(&mut self, from: NodeId, now: Duration) {
         if self.group.ring.binary_search(&from).is_ok() || self.group.dead.contains(&from) {
-            self.prober.hear(now);
+            self.prober.record_contact(now);
         }
         let Some(row) = self.rows.get_mut(from) else {
             return;
         };
-        self.dirty |= row.doubt.is_some();
-        row.doubt = None;
+        self.dirty |= row.local_suspicion.is_some();
+        row.local_suspicion = None;
     }
 
     fn tick(&mut self, context: &mut Context<'_>) {
@@ -264,9 +264,9 @@
             Event::NodeLeaving => self.leave(context.now),
             Event::DrainUpstream(upstream) => self.drain_upstream(*upstream, context),
             Event::UpstreamReported { upstream, report } => {
-                self.upstream_report(*upstream, report.leaving, context);
+                self.apply_report(*upstream, report.leaving, context);
             }
-            Event::UpstreamAnnounced(upstream) => self.upstream_report(*upstream, true, context),
+            Event::UpstreamLeaveAnnounced(upstream) => self.apply_report(*upstream, true, context),
             _ => return,
         }
         if self.is_publishable(event, context.now) {
--- a/kernel/src/membership/news.rs
+++ b/kernel/src/membership/gossip.rs
@@ -5,10 +5,10 @@
 use crate::event::Event;
 use crate::ids::{NodeId, UpstreamId};
 use crate::membership::MembershipTable;
-use crate::membership::message::{MembershipMessage, NewsBatch};
-use crate::membership::outbox::{NewsAudience, NewsKey};
-use crate::membership::record::{NodeHealth, NodeNews, NodeRecord};
-use crate::membership::table::LocalDoubt;
+use crate::membership::message::{MembershipMessage, UpdateBatch};
+use crate::membership::outbox::{UpdateAudience, UpdateKey};
+use crate::membership::record::{NodeHealth, NodeRecord, NodeUpdate};
+use crate::membership::table::LocalSuspicion;
 use crate::membership::upstream::UpstreamChange;
 use crate::plugin::Context;
 
@@ -21,18 +21,18 @@
 
 impl MembershipTable {
     /// The present content of news.
-    pub(super) fn batch(&self, keys: &[NewsKey]) -> NewsBatch {
-        let mut batch = NewsBatch::default();
+    pub(super) fn batch(&self, keys: &[UpdateKey]) -> UpdateBatch {
+        let mut batch = UpdateBatch::default();
         for key in keys {
             match key {
-                NewsKey::Node(node) => {
+                UpdateKey::Node(node) => {
                     let row = self.rows.get(*node);
                     batch
                         .0
-                        .extend(row.map(|row| NodeNews::new(*node, &row.record)));
+                        .extend(row.map(|row| NodeUpdate::new(*node, &row.record)));
                 }
-                NewsKey::Upstream(upstream) => batch.1.extend(self.upstreams.news(*upstream)),
-                NewsKey::Zone(zone) => batch.2.extend(self.zones.news(*zone)),
+                UpdateKey::Upstream(upstream) => batch.1.extend(self.upstreams.update(*upstream)),
+                UpdateKey::Zone(zone) => batch.2.extend(self.zones.update(*zone)),
             }
         }
         batch
@@ -40,14 +40,14 @@
 
     /// News that goes along with a probe of `peer`; what is held against the peer itself always
     /// does, so that it can refute.
-    pub(super) fn riding_news(&mut self, peer: NodeId) -> NewsBatch {
-        let mut keys = self.outbox.ride();
+    pub(super) fn riding_news(&mut self, peer: NodeId) -> UpdateBatch {
+        let mut keys = self.outbox.take_piggyback();
         let doubted = self
             .rows
             .get(peer)
             .is_some_and(|row| row.record.health != NodeHealth::Live);
-        if doubted && !keys.contains(&NewsKey::Node(peer)) {
-            keys.push(NewsKey::Node(peer));
+        if doubted && !keys.contains(&UpdateKey::Node(peer)) {
+            keys.push(UpdateKey::Node(peer));
         }
         self.batch(&keys)
     }
@@ -63,16 +63,16 @@
             return;
         }
         let receivers = self.group.counterparts(context.profile.zone);
-        let keys = self.outbox.take_world(receivers.len(), context.now);
+        let keys = self.outbox.take_other_zones(receivers.len(), context.now);
         if !keys.is_empty() {
             self.tell(&receivers, &keys, context);
         }
     }
 
-    fn tell(&self, receivers: &[NodeId], keys: &[NewsKey], context: &mut Context<'_>) {
+    fn tell(&self, receivers: &[NodeId], keys: &[UpdateKey], context: &mut Context<'_>) {
         let batch = self.batch(keys);
         for receiver in receivers {
-            context.send(*receiver, MembershipMessage::News(batch.clone()));
+            context.send(*receiver, MembershipMessage::Updates(batch.clone()));
         }
     }
 
@@ -90,14 +90,14 @@
             return;
         };
         let own = !self.group.zoned || row.zone == self.zone;
-        let notable = before.is_notable() || row.record.is_notable();
-        let audience = NewsAudience {
+        let notable = before.is_fleet_wide() || row.record.is_fleet_wide();
+        let audience = UpdateAudience {
             group: here && (own || notable),
-            world: own && notable && self.tells_world(),
+            other_zones: own && notable && self.tells_world(),
         };
         if own || notable {
             let after = if own { now } else { self.telling_time(now) };
-            self.outbox.add(NewsKey::Node(node), audience, after);
+            self.outbox.add(UpdateKey::Node(node), audience, after);
         }
         self.forget_if_gone(node);
     }
@@ -120,7 +120,12 @@
 
     /// Takes in news that came without a probe. A suspect that is first heard of this way is asked
     /// at once, so that it learns of the suspicion by more than one way.
-    pub(super) fn take_news(&mut self, from: NodeId, news: &NewsBatch, context: &mut Context<'_>) {
+    pub(super) fn take_news(
+        &mut self,
+        from: NodeId,
+        news: &UpdateBatch,
+        context: &mut Context<'_>,
+    ) {
         let suspects = self.merge(from, news, context);
         for suspect in suspects {
             self.ping(suspect, context);
@@ -131,7 +136,7 @@
     pub(super) fn merge(
         &mut self,
         from: NodeId,
-        news: &NewsBatch,
+        news: &UpdateBatch,
         context: &mut Context<'_>,
     ) -> Vec<NodeId> {
         let mut suspects = Vec::new();
@@ -206,7 +211,7 @@
                 self.correct(node, context);
             }
             if !outside && known == record {
-                self.outbox.told(NewsKey::Node(node));
+                self.outbox.mark_group_informed(UpdateKey::Node(node));
             }
             return false;
         }
@@ -216,15 +221,17 @@
             row.list_leaving &= known.epoch == 0;
         }
         if record.health == NodeHealth::Live {
-            row.doubt = row.doubt.filter(|doubt| *doubt != LocalDoubt::Lost);
+            row.local_suspicion = row
+                .local_suspicion
+                .filter(|doubt| *doubt != LocalSuspicion::DeadWhileIsolated);
         }
         self.rows.set_record(node, record);
         if record.health == NodeHealth::Suspect {
-            self.prober.told(node, context.now);
+            self.prober.add_remote_suspicion(node, context.now);
         } else {
-            self.prober.clear(node);
+            self.prober.clear_suspicion(node);
         }
-        self.repair.learn(context.now);
+        self.repair.record_update(context.now);
         let here = outside && record.health != NodeHealth::Suspect;
         self.note_change(node, &known, here, context.now);
         record.health == NodeHealth::Suspect
@@ -232,20 +239,21 @@
 
     /// Tells a node what is known of it, when it is behind its own news.
     fn correct(&self, node: NodeId, context: &mut Context<'_>) {
-        let news = self.batch(&[NewsKey::Node(node)]);
-        context.send(node, MembershipMessage::News(news));
+        let news = self.batch(&[UpdateKey::Node(node)]);
+        context.send(node, MembershipMessage::Updates(news));
     }
 
-    fn merge_marks(&mut self, from: NodeId, news: &NewsBatch, context: &mut Context<'_>) {
+    fn merge_marks(&mut self, from: NodeId, news: &UpdateBatch, context: &mut Context<'_>) {
         let outside = self.is_outside(from);
         for upstream_news in &news.1 {
             let (new, change) = self.upstreams.merge(*upstream_news);
             if new {
-                self.repair.learn(context.now);
+                self.repair.record_update(context.now);
                 let after = self.telling_time(context.now);
                 self.note_upstream(upstream_news.0, outside, after);
             } else if !outside {
-                self.outbox.told(NewsKey::Upstream(upstream_news.0));
+                self.outbox
+                    .mark_group_informed(UpdateKey::Upstream(upstream_news.0));
             }
             raise_change(change, context);
         }
@@ -254,21 +262,21 @@
         }
         for zone_news in &news.2 {
             if self.zones.merge(*zone_news) {
-                self.repair.learn(context.now);
-                let key = NewsKey::Zone(zone_news.0);
-                self.outbox.add(key, NewsAudience::default(), context.now);
+                self.repair.record_update(context.now);
+                let key = UpdateKey::Zone(zone_news.0);
+                self.outbox.add(key, UpdateAudience::default(), context.now);
                 self.dirty = true;
             }
         }
     }
 
     fn note_upstream(&mut self, upstream: UpstreamId, here: bool, after: Duration) {
-        let audience = NewsAudience {
+        let audience = UpdateAudience {
             group: here,
-            world: self.tells_world(),
+            other_zones: self.tells_world(),
         };
         self.outbox
-            .add(NewsKey::Upstream(upstream), audience, after);
+            .add(UpdateKey::Upstream(upstream), audience, after);
     }
 
     /// Tells everyone of a change that was found out here.
@@ -286,7 +294,7 @@
     }
 
     /// An upstream said whether it leaves.
-    pub(super) fn upstream_report(
+    pub(super) fn apply_report(
         &mut self,
         upstream: UpstreamId,
         leaving: bool,
@@ -300,9 +308,9 @@
     /// The link to a node was made.
     pub(super) fn link_up(&mut self, node: NodeId) {
         if let Some(row) = self.rows.get_mut(node)
-            && row.doubt == Some(LocalDoubt::LinkDown)
+            && row.local_suspicion == Some(LocalSuspicion::LinkDown)
         {
-            row.doubt = None;
+            row.local_suspicion = None;
             self.dirty = true;
         }
     }
--- a/kernel/src/membership/hosts.rs
+++ b/kernel/src/membership/hosts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::ids::{NodeId, ZoneId};
-use crate::membership::outbox::{NewsAudience, NewsKey};
+use crate::membership::outbox::{UpdateAudience, UpdateKey};
 use crate::membership::table::NodeRow;
 use crate::membership::{HostEntry, HostRole, MembershipTable};
 use crate::plugin::Context;
@@ -26,8 +26,8 @@
         self.unlist(&listed);
         self.dirty = true;
         let zones: Vec<ZoneId> = self.rows.rows().values().map(|row| row.zone).collect();
-        self.zones.name(zones.into_iter());
-        for change in self.upstreams.list(hosts) {
+        self.zones.set_zones(zones.into_iter());
+        for change in self.upstreams.apply_host_list(hosts) {
             self.upstream_changed(change, context);
         }
         if self.started.is_none() {
@@ -84,18 +84,18 @@
             .is_some_and(|row| node != self.node && !row.listed && !row.is_serving());
         if gone {
             self.rows.remove(node);
-            self.prober.clear(node);
+            self.prober.clear_suspicion(node);
             self.dirty = true;
         }
     }
 
     fn start(&mut self, context: &mut Context<'_>) {
         self.started = Some(context.now);
-        let audience = NewsAudience {
+        let audience = UpdateAudience {
             group: true,
-            world: false,
+            other_zones: false,
         };
-        let key = NewsKey::Node(self.node);
+        let key = UpdateKey::Node(self.node);
         self.outbox.add(key, audience, context.now);
     }
 }
--- a/kernel/src/membership/message.rs
+++ b/kernel/src/membership/message.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{NodeId, UpstreamId, ZoneId};
-use crate::membership::record::NodeNews;
+use crate::membership::record::NodeUpdate;
 
 /// Overhead of one message besides its CBOR, in bytes: IPv4 (20), TCP with timestamps (32), and a
 /// masked WebSocket header (6; RFC 6455).
@@ -16,21 +16,21 @@
 /// Whether an upstream is leaving: upstream, version, flags (1: leaving, 2: reported by the
 /// upstream itself).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UpstreamNews(pub UpstreamId, pub u32, pub u8);
+pub struct UpstreamUpdate(pub UpstreamId, pub u32, pub u8);
 
 /// Whether the sender's zone considers another zone lost: zone, version, lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ZoneNews(pub ZoneId, pub u32, pub bool);
+pub struct ZoneUpdate(pub ZoneId, pub u32, pub bool);
 
 /// Membership updates about nodes, upstreams and zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NewsBatch(
-    pub Vec<NodeNews>,
-    #[serde(default)] pub Vec<UpstreamNews>,
-    #[serde(default)] pub Vec<ZoneNews>,
+pub struct UpdateBatch(
+    pub Vec<NodeUpdate>,
+    #[serde(default)] pub Vec<UpstreamUpdate>,
+    #[serde(default)] pub Vec<ZoneUpdate>,
 );
 
-impl NewsBatch {
+impl UpdateBatch {
     /// Whether the batch contains no update.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty() && self.1.is_empty() && self.2.is_empty()
@@ -43,10 +43,10 @@
     /// Requests an [`MembershipMessage::Ack`]: sequence number, digest of the sender's records,
     /// updates.
     #[serde(rename = "p")]
-    Ping(u32, u32, NewsBatch),
+    Ping(u32, u32, UpdateBatch),
     /// Acknowledges a ping: its sequence number, digest of the sender's records, updates.
     #[serde(rename = "a")]
-    Ack(u32, u32, NewsBatch),
+    Ack(u32, u32, UpdateBatch),
     /// Requests that the receiver ping another node and report an acknowledgement: sequence number,
     /// node.
     #[serde(rename = "i")]
@@ -57,7 +57,7 @@
     Reached(u32),
     /// Updates that are sent without waiting for the next ping.
     #[serde(rename = "n")]
-    News(NewsBatch),
+    Updates(UpdateBatch),
     /// Requests the records of the zones whose digests differ: zone tags and digests, alternating.
     #[serde(rename = "z")]
     Compare(Vec<u32>),
--- a/kernel/src/membership/outbox.rs
+++ b/kernel/src/membership/outbox.rs
@@ -18,7 +18,7 @@
 
 /// What a piece of news is about; its content is looked up when it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum NewsKey {
+pub enum UpdateKey {
     /// A node.
     Node(NodeId),
     /// An upstream.
@@ -29,29 +29,29 @@
 
 /// Who is told at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct NewsAudience {
+pub struct UpdateAudience {
     /// The nodes that probe each other with this one.
     pub group: bool,
     /// A bridge in every other zone.
-    pub world: bool,
+    pub other_zones: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct PendingNews {
     rides: u8,
-    audience: NewsAudience,
+    audience: UpdateAudience,
     group_after: Duration,
 }
 
 /// News that is still to be told.
 #[derive(Debug)]
-pub struct NewsOutbox {
-    pending: BTreeMap<NewsKey, PendingNews>,
+pub struct UpdateOutbox {
+    pending: BTreeMap<UpdateKey, PendingNews>,
     tokens: f64,
     filled: Duration,
 }
 
-impl Default for NewsOutbox {
+impl Default for UpdateOutbox {
     fn default() -> Self {
         Self {
             pending: BTreeMap::new(),
@@ -61,7 +61,7 @@
     }
 }
 
-impl NewsOutbox {
+impl UpdateOutbox {
     /// Pieces of news that are still to be told.
     pub fn len(&self) -> usize {
         self.pending.len()
@@ -73,7 +73,7 @@
     }
 
     /// Notes news; the group is told of it at `group_after` or later.
-    pub fn add(&mut self, key: NewsKey, audience: NewsAudience, group_after: Duration) {
+    pub fn add(&mut self, key: UpdateKey, audience: UpdateAudience, group_after: Duration) {
         let entry = self.pending.entry(key).or_insert(PendingNews {
             rides: RIDES,
             audience,
@@ -82,19 +82,19 @@
         entry.rides = RIDES;
         entry.group_after = group_after;
         entry.audience.group |= audience.group;
-        entry.audience.world |= audience.world;
+        entry.audience.other_zones |= audience.other_zones;
     }
 
     /// Notes that another node told the group.
-    pub fn told(&mut self, key: NewsKey) {
+    pub fn mark_group_informed(&mut self, key: UpdateKey) {
         if let Some(news) = self.pending.get_mut(&key) {
             news.audience.group = false;
         }
     }
 
     /// News to go along with a probe.
-    pub fn ride(&mut self) -> Vec<NewsKey> {
-        let keys: Vec<NewsKey> = self
+    pub fn take_piggyback(&mut self) -> Vec<UpdateKey> {
+        let keys: Vec<UpdateKey> = self
             .pending
             .iter()
             .filter(|(_, news)| news.rides > 0)
@@ -111,7 +111,7 @@
     }
 
     /// News for the group, if `receivers` messages may be sent now.
-    pub fn take_group(&mut self, receivers: usize, now: Duration) -> Vec<NewsKey> {
+    pub fn take_group(&mut self, receivers: usize, now: Duration) -> Vec<UpdateKey> {
         self.take(receivers, now, |news| {
             let due = now >= news.group_after;
             due.then_some(&mut news.audience.group)
@@ -119,8 +119,8 @@
     }
 
     /// News for other zones, if `receivers` messages may be sent now.
-    pub fn take_world(&mut self, receivers: usize, now: Duration) -> Vec<NewsKey> {
-        self.take(receivers, now, |news| Some(&mut news.audience.world))
+    pub fn take_other_zones(&mut self, receivers: usize, now: Duration) -> Vec<UpdateKey> {
+        self.take(receivers, now, |news| Some(&mut news.audience.other_zones))
     }
 
     fn take(
@@ -128,7 +128,7 @@
         receivers: usize,
         now: Duration,
         flag: impl Fn(&mut PendingNews) -> Option<&mut bool>,
-    ) -> Vec<NewsKey> {
+    ) -> Vec<UpdateKey> {
         let wanted = self
             .pending
             .values_mut()
@@ -163,6 +163,6 @@
 
     fn drop_told(&mut self) {
         self.pending
-            .retain(|_, news| news.rides > 0 || news.audience != NewsAudience::default());
+            .retain(|_, news| news.rides > 0 || news.audience != UpdateAudience::default());
     }
 }
--- a/kernel/src/membership/probe.rs
+++ b/kernel/src/membership/probe.rs
@@ -12,10 +12,10 @@
 
 use crate::ids::NodeId;
 use crate::membership::MembershipTable;
-use crate::membership::message::{MembershipMessage, NewsBatch};
-use crate::membership::outbox::{NewsAudience, NewsKey};
+use crate::membership::message::{MembershipMessage, UpdateBatch};
+use crate::membership::outbox::{UpdateAudience, UpdateKey};
 use crate::membership::record::{NodeHealth, NodeRecord};
-use crate::membership::table::LocalDoubt;
+use crate::membership::table::LocalSuspicion;
 use crate::plugin::Context;
 
 /// Time between two probes of a node.
@@ -31,10 +31,10 @@
 /// The same, where the link to it broke as well.
 pub const BROKEN_LINK_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time that a suspect has where the suspicion came from another node.
-pub const TOLD_SUSPICION_TIMEOUT: Duration = Duration::from_secs(2);
+pub const REMOTE_SUSPICION_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time for which a node whose link broke is left alone. Then it is taken for reachable again, and
 /// the next message shows whether it is.
-pub const LINK_DOUBT_TIME: Duration = Duration::from_secs(5);
+pub const LINK_SUSPICION_TIME: Duration = Duration::from_secs(5);
 /// Time between two probes of nodes that are dead but listed.
 pub const DEAD_PROBE_PERIOD: Duration = Duration::from_secs(5);
 
@@ -80,20 +80,20 @@
     }
 
     /// Notes that a node of the group was heard.
-    pub fn hear(&mut self, now: Duration) {
+    pub fn record_contact(&mut self, now: Duration) {
         self.heard = now;
     }
 
     /// Notes a suspicion that another node told.
-    pub fn told(&mut self, node: NodeId, now: Duration) {
+    pub fn add_remote_suspicion(&mut self, node: NodeId, now: Duration) {
         self.suspicions.entry(node).or_insert(OpenSuspicion {
             began: now,
-            until: now + TOLD_SUSPICION_TIMEOUT,
+            until: now + REMOTE_SUSPICION_TIMEOUT,
         });
     }
 
     /// Forgets a suspicion.
-    pub fn clear(&mut self, node: NodeId) {
+    pub fn clear_suspicion(&mut self, node: NodeId) {
         self.suspicions.remove(&node);
     }
 
@@ -202,7 +202,7 @@
     /// off, and its word would only make all the others refute it later.
     fn lose(&mut self, node: NodeId) {
         if let Some(row) = self.rows.get_mut(node) {
-            row.doubt = Some(LocalDoubt::Lost);
+            row.local_suspicion = Some(LocalSuspicion::DeadWhileIsolated);
             self.dirty = true;
         }
     }
@@ -214,8 +214,8 @@
         if row.is_dead() {
             return;
         }
-        let timeout = match row.doubt {
-            Some(LocalDoubt::LinkDown) => BROKEN_LINK_TIMEOUT,
+        let timeout = match row.local_suspicion {
+            Some(LocalSuspicion::LinkDown) => BROKEN_LINK_TIMEOUT,
             _ => SUSPICION_TIMEOUT,
         };
         let now = context.now;
@@ -233,13 +233,13 @@
         }
         self.rows.set_record(node, record);
         self.outbox
-            .add(NewsKey::Node(node), NewsAudience::default(), now);
+            .add(UpdateKey::Node(node), UpdateAudience::default(), now);
         self.dirty = true;
         let mut told = self.helpers(node, context);
         told.push(node);
-        let news = self.batch(&[NewsKey::Node(node)]);
+        let news = self.batch(&[UpdateKey::Node(node)]);
         for receiver in told {
-            context.send(receiver, MembershipMessage::News(news.clone()));
+            context.send(receiver, MembershipMessage::Updates(news.clone()));
         }
     }
 
@@ -328,7 +328,7 @@
         &mut self,
         from: NodeId,
         sequence: u32,
-        news: &NewsBatch,
+        news: &UpdateBatch,
         context: &mut Context<'_>,
     ) {
         self.merge(from, news, context);
@@ -359,9 +359,9 @@
         let Some(row) = self.rows.get_mut(node) else {
             return;
         };
-        self.prober.doubts.insert(node, now + LINK_DOUBT_TIME);
-        if row.doubt.is_none() {
-            row.doubt = Some(LocalDoubt::LinkDown);
+        self.prober.doubts.insert(node, now + LINK_SUSPICION_TIME);
+        if row.local_suspicion.is_none() {
+            row.local_suspicion = Some(LocalSuspicion::LinkDown);
             self.dirty = true;
         }
     }
--- a/kernel/src/membership/record.rs
+++ b/kernel/src/membership/record.rs
@@ -35,7 +35,7 @@
 
 impl NodeRecord {
     /// A node that is listed but was never heard of: taken for live until a probe fails.
-    pub const UNHEARD: Self = Self {
+    pub const UNKNOWN: Self = Self {
         epoch: 0,
         incarnation: Incarnation(0),
         health: NodeHealth::Live,
@@ -47,7 +47,7 @@
         Self {
             epoch: incarnation.0.max(1),
             incarnation,
-            ..Self::UNHEARD
+            ..Self::UNKNOWN
         }
     }
 
@@ -63,14 +63,14 @@
 
     /// Whether other groups need this record: what is not known to be dead or leaving is taken for
     /// live, so a record that says no more than that need not leave its group.
-    pub fn is_notable(&self) -> bool {
+    pub fn is_fleet_wide(&self) -> bool {
         self.health == NodeHealth::Dead || self.leaving
     }
 
     /// This record's part of the digest of all records; suspicions stay out of it, because they
     /// are told inside a group only.
     pub fn digest(&self, node: NodeId) -> u64 {
-        if self.epoch == 0 && !self.is_notable() {
+        if self.epoch == 0 && !self.is_fleet_wide() {
             return 0;
         }
         let flags = u8::from(self.health == NodeHealth::Dead) << 1 | u8::from(self.leaving);
@@ -86,9 +86,9 @@
 /// A record on its way: node, epoch, how far the epoch is ahead of the incarnation, flags.
 /// A tuple, because CBOR then carries no field names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NodeNews(pub NodeId, u64, u64, u8);
+pub struct NodeUpdate(pub NodeId, u64, u64, u8);
 
-impl NodeNews {
+impl NodeUpdate {
     /// The news that `node` has this record.
     pub fn new(node: NodeId, record: &NodeRecord) -> Self {
         let health = match record.health {
--- a/kernel/src/membership/sync.rs
+++ b/kernel/src/membership/sync.rs
@@ -8,9 +8,9 @@
 
 use crate::ids::NodeId;
 use crate::membership::MembershipTable;
-use crate::membership::message::{MembershipMessage, NewsBatch};
+use crate::membership::message::{MembershipMessage, UpdateBatch};
 use crate::membership::probe::jitter;
-use crate::membership::record::{NodeNews, NodeRecord};
+use crate::membership::record::{NodeRecord, NodeUpdate};
 use crate::membership::zone::zone_tag;
 use crate::plugin::Context;
 
@@ -40,7 +40,7 @@
 
 impl RepairTimer {
     /// Records that new information arrived.
-    pub fn learn(&mut self, now: Duration) {
+    pub fn record_update(&mut self, now: Duration) {
         self.changed = now;
         self.gap = MIN_REPAIR_GAP;
         self.next = self.next.min(now + MIN_REPAIR_GAP);
@@ -76,7 +76,7 @@
         let mut digests: BTreeMap<u32, u32> = BTreeMap::new();
         for (zone, digest) in self.rows.digests() {
             let full = !self.group.zoned || (neighbour && *zone == self.zone);
-            let digest = if full { digest.full } else { digest.notable };
+            let digest = if full { digest.full } else { digest.fleet_wide };
             digests.insert(zone_tag(*zone), fold(digest));
         }
         digests.insert(UPSTREAM_TAG, fold(self.upstreams.digest()));
@@ -145,30 +145,34 @@
             .collect();
         let mut batch = self.records_of(&differing, context);
         if differing.contains(&UPSTREAM_TAG) {
-            batch.1 = self.upstreams.all_news().take(RECORDS_PER_REPAIR).collect();
+            batch.1 = self
+                .upstreams
+                .all_updates()
+                .take(RECORDS_PER_REPAIR)
+                .collect();
         }
         if differing.contains(&ZONE_MARK_TAG) {
-            batch.2 = self.zones.all_news();
+            batch.2 = self.zones.all_updates();
         }
         if !batch.is_empty() {
-            context.send(from, MembershipMessage::News(batch));
+            context.send(from, MembershipMessage::Updates(batch));
         }
     }
 
-    fn records_of(&self, differing: &BTreeSet<u32>, context: &mut Context<'_>) -> NewsBatch {
-        let mut news: Vec<NodeNews> = self
+    fn records_of(&self, differing: &BTreeSet<u32>, context: &mut Context<'_>) -> UpdateBatch {
+        let mut news: Vec<NodeUpdate> = self
             .rows
             .rows()
             .iter()
-            .filter(|(_, row)| row.record != NodeRecord::UNHEARD)
+            .filter(|(_, row)| row.record != NodeRecord::UNKNOWN)
             .filter(|(_, row)| differing.contains(&zone_tag(row.zone)))
-            .map(|(node, row)| NodeNews::new(*node, &row.record))
+            .map(|(node, row)| NodeUpdate::new(*node, &row.record))
             .collect();
         if news.len() > RECORDS_PER_REPAIR {
             let start = context.random.random_range(0..news.len());
             news.rotate_left(start);
             news.truncate(RECORDS_PER_REPAIR);
         }
-        NewsBatch(news, Vec::new(), Vec::new())
+        UpdateBatch(news, Vec::new(), Vec::new())
     }
 }
--- a/kernel/src/membership/table.rs
+++ b/kernel/src/membership/table.rs
@@ -20,16 +20,16 @@
     /// Whether the host list says that the run in `record` is leaving.
     pub list_leaving: bool,
     /// What this node alone holds against it.
-    pub doubt: Option<LocalDoubt>,
+    pub local_suspicion: Option<LocalSuspicion>,
 }
 
 /// What a node holds against another without telling anyone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LocalDoubt {
+pub enum LocalSuspicion {
     /// Its own link to the other is down.
     LinkDown,
     /// It gave the other up at a time when it heard from nobody.
-    Lost,
+    DeadWhileIsolated,
 }
 
 impl NodeRow {
@@ -38,16 +38,17 @@
         Self {
             zone: ZoneId::named(&host.zone),
             host: host.clone(),
-            record: NodeRecord::UNHEARD,
+            record: NodeRecord::UNKNOWN,
             listed: true,
             list_leaving: false,
-            doubt: None,
+            local_suspicion: None,
         }
     }
 
     /// Whether nobody expects it to answer.
     pub fn is_dead(&self) -> bool {
-        self.doubt == Some(LocalDoubt::Lost) || self.record.health == NodeHealth::Dead
+        self.local_suspicion == Some(LocalSuspicion::DeadWhileIsolated)
+            || self.record.health == NodeHealth::Dead
     }
 
     /// Whether it may serve others: not dead and not leaving.
@@ -63,7 +64,7 @@
         if self.record.leaving || self.list_leaving {
             return NodeState::Leaving;
         }
-        if self.doubt.is_some() || self.record.health == NodeHealth::Suspect {
+        if self.local_suspicion.is_some() || self.record.health == NodeHealth::Suspect {
             return NodeState::Suspect;
         }
         NodeState::Live
@@ -89,15 +90,15 @@
     /// Of all records, for nodes of the same group.
     pub full: u64,
     /// Of the records that other groups need.
-    pub notable: u64,
+    pub fleet_wide: u64,
 }
 
 impl ZoneDigest {
     fn toggle(&mut self, node: NodeId, record: &NodeRecord) {
         let digest = record.digest(node);
         self.full ^= digest;
-        if record.is_notable() {
-            self.notable ^= digest;
+        if record.is_fleet_wide() {
+            self.fleet_wide ^= digest;
         }
     }
 }
--- a/kernel/src/membership/upstream.rs
+++ b/kernel/src/membership/upstream.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::ids::UpstreamId;
-use crate::membership::message::UpstreamNews;
+use crate::membership::message::UpstreamUpdate;
 use crate::membership::{HostEntry, HostRole};
 
 /// How long an upstream that said itself that it leaves must say the contrary to be believed.
@@ -61,16 +61,16 @@
     }
 
     /// The news of a mark.
-    pub fn news(&self, id: UpstreamId) -> Option<UpstreamNews> {
+    pub fn update(&self, id: UpstreamId) -> Option<UpstreamUpdate> {
         let mark = self.marks.get(&id)?;
-        Some(UpstreamNews(id, mark.version, mark.flags))
+        Some(UpstreamUpdate(id, mark.version, mark.flags))
     }
 
     /// All marks.
-    pub fn all_news(&self) -> impl Iterator<Item = UpstreamNews> + '_ {
+    pub fn all_updates(&self) -> impl Iterator<Item = UpstreamUpdate> + '_ {
         self.marks
             .iter()
-            .map(|(id, mark)| UpstreamNews(*id, mark.version, mark.flags))
+            .map(|(id, mark)| UpstreamUpdate(*id, mark.version, mark.flags))
     }
 
     fn is_leaving(&self, id: UpstreamId) -> bool {
@@ -127,7 +127,7 @@
     }
 
     /// Takes in the host list; one without a single upstream is taken for a fault of the platform.
-    pub fn list(&mut self, hosts: &[HostEntry]) -> Vec<UpstreamChange> {
+    pub fn apply_host_list(&mut self, hosts: &[HostEntry]) -> Vec<UpstreamChange> {
         let listed: BTreeMap<UpstreamId, bool> = hosts
             .iter()
             .filter(|host| host.role == HostRole::Upstream)
@@ -161,8 +161,8 @@
     }
 
     /// Takes in another node's news; tells whether it was news, and what changed.
-    pub fn merge(&mut self, news: UpstreamNews) -> (bool, Option<UpstreamChange>) {
-        let UpstreamNews(id, version, flags) = news;
+    pub fn merge(&mut self, news: UpstreamUpdate) -> (bool, Option<UpstreamChange>) {
+        let UpstreamUpdate(id, version, flags) = news;
         let known = self.marks.get(&id).copied().unwrap_or_default();
         if (version, flags) <= (known.version, known.flags) {
             return (false, None);
--- a/kernel/src/membership/zone.rs
+++ b/kernel/src/membership/zone.rs
@@ -10,8 +10,8 @@
 
 use crate::ids::{NodeId, ZoneId};
 use crate::membership::MembershipTable;
-use crate::membership::message::{MembershipMessage, ZoneNews};
-use crate::membership::outbox::{NewsAudience, NewsKey};
+use crate::membership::message::{MembershipMessage, ZoneUpdate};
+use crate::membership::outbox::{UpdateAudience, UpdateKey};
 use crate::membership::probe::jitter;
 use crate::plugin::Context;
 
@@ -65,21 +65,21 @@
     }
 
     /// Names the zones that exist.
-    pub fn name(&mut self, zones: impl Iterator<Item = ZoneId>) {
+    pub fn set_zones(&mut self, zones: impl Iterator<Item = ZoneId>) {
         self.tags = zones.map(|zone| (zone_tag(zone), zone)).collect();
     }
 
     /// The news of a mark.
-    pub fn news(&self, zone: ZoneId) -> Option<ZoneNews> {
+    pub fn update(&self, zone: ZoneId) -> Option<ZoneUpdate> {
         let mark = self.marks.get(&zone)?;
-        Some(ZoneNews(zone, mark.version, mark.lost))
+        Some(ZoneUpdate(zone, mark.version, mark.lost))
     }
 
     /// All marks.
-    pub fn all_news(&self) -> Vec<ZoneNews> {
+    pub fn all_updates(&self) -> Vec<ZoneUpdate> {
         self.marks
             .iter()
-            .map(|(zone, mark)| ZoneNews(*zone, mark.version, mark.lost))
+            .map(|(zone, mark)| ZoneUpdate(*zone, mark.version, mark.lost))
             .collect()
     }
 
@@ -92,8 +92,8 @@
     }
 
     /// Takes in another node's mark; tells whether it was news.
-    pub fn merge(&mut self, news: ZoneNews) -> bool {
-        let ZoneNews(zone, version, lost) = news;
+    pub fn merge(&mut self, news: ZoneUpdate) -> bool {
+        let ZoneUpdate(zone, version, lost) = news;
         let mark = self.marks.entry(zone).or_default();
         if (version, lost) <= (mark.version, mark.lost) {
             return false;
@@ -201,11 +201,12 @@
             };
             if lost != self.zones.is_lost(zone) {
                 self.zones.set(zone, lost);
-                let audience = NewsAudience {
+                let audience = UpdateAudience {
                     group: true,
-                    world: false,
+                    other_zones: false,
                 };
-                self.outbox.add(NewsKey::Zone(zone), audience, context.now);
+                self.outbox
+                    .add(UpdateKey::Zone(zone), audience, context.now);
                 self.dirty = true;
             }
         }
--- a/kernel/src/placement.rs
+++ b/kernel/src/placement.rs
@@ -67,7 +67,7 @@
 
 impl PoolDemand {
     /// Records the current ratio of running and queued work to slots.
-    pub fn see(&mut self, pressure: f64, now: Duration) {
+    pub fn update(&mut self, pressure: f64, now: Duration) {
         self.high_since = (pressure >= HIGH).then(|| self.high_since.unwrap_or(now));
         self.low_since = (pressure <= LOW).then(|| self.low_since.unwrap_or(now));
     }
@@ -174,7 +174,7 @@
         self.demand.retain(|pool, _| pools.contains(pool));
         for pool in pools {
             let pressure = self.pressure(pool);
-            self.demand.entry(pool).or_default().see(pressure, now);
+            self.demand.entry(pool).or_default().update(pressure, now);
         }
     }
 
--- a/kernel/src/record.rs
+++ b/kernel/src/record.rs
@@ -32,7 +32,7 @@
     }
 
     /// Whether the ticket was issued for this owner.
-    pub fn is_of(self, owner: AppendOwner) -> bool {
+    pub fn belongs_to(self, owner: AppendOwner) -> bool {
         self.0 >> 56 == owner as u64
     }
 }
@@ -163,7 +163,7 @@
 
 /// The result of a folded change, retained to answer repeats of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct SeenChange {
+pub struct FoldedChange {
     /// Identifier of the change.
     pub id: Box<str>,
     /// Offset of its first record.
@@ -188,7 +188,7 @@
     /// Documents in this part.
     pub documents: Vec<VersionedDocument>,
     /// Results of recently folded changes in this part.
-    pub seen: Vec<SeenChange>,
+    pub seen: Vec<FoldedChange>,
     /// The newest valid lease record; `None` if there is none.
     pub lease: Option<LeaseHead>,
 }
--- a/kernel/src/routing.rs
+++ b/kernel/src/routing.rs
@@ -118,7 +118,7 @@
             self.settle(repeat, origin, outcome, context);
         }
         if !matches!(outcome, CallOutcome::Whole { .. }) {
-            context.act(Action::ForgetAnswer(call));
+            context.act(Action::DiscardAnswer(call));
         }
     }
 
--- a/kernel/src/routing/watch.rs
+++ b/kernel/src/routing/watch.rs
@@ -47,7 +47,7 @@
             context.send(owner, WorkMessage::Ask(attempts));
         }
         for call in self.memory.forget(context.now) {
-            context.act(Action::ForgetAnswer(call));
+            context.act(Action::DiscardAnswer(call));
         }
     }
 
--- a/kernel/src/transfer.rs
+++ b/kernel/src/transfer.rs
@@ -7,22 +7,22 @@
 
 /// Minimum mean transfer rate of a response, in bytes per second: a tenth of a 10 Mbit/s link, the
 /// slowest of any host, so that ten transfers can share it.
-pub const LEAST_PACE: f64 = 125_000.0;
+pub const MIN_TRANSFER_RATE: f64 = 125_000.0;
 
 /// Time that `bytes` take at the minimum transfer rate.
-pub fn longest_time(bytes: usize) -> Duration {
-    Duration::from_secs_f64(bytes as f64 / LEAST_PACE)
+pub fn max_transfer_time(bytes: usize) -> Duration {
+    Duration::from_secs_f64(bytes as f64 / MIN_TRANSFER_RATE)
 }
 
 /// Timeout state of a response body that is being received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TransferPace {
+pub struct TransferMonitor {
     silence: Duration,
     began: Duration,
     received: usize,
 }
 
-impl TransferPace {
+impl TransferMonitor {
     /// Starts at `now`; `silence` is the longest pause between two chunks.
     pub fn new(silence: Duration, now: Duration) -> Self {
         Self {
@@ -33,7 +33,7 @@
     }
 
     /// Records a received chunk of this many bytes.
-    pub fn piece_came(&mut self, bytes: usize) {
+    pub fn record_chunk(&mut self, bytes: usize) {
         self.received += bytes;
     }
 
@@ -45,7 +45,7 @@
     /// Time until the next chunk is due: at most one idle timeout, and less if the transfer would
     /// otherwise fall below the minimum rate, counted from one idle timeout after its start.
     pub fn time_left(&self, now: Duration) -> Duration {
-        let earned = self.began + self.silence + longest_time(self.received);
+        let earned = self.began + self.silence + max_transfer_time(self.received);
         earned.saturating_sub(now).min(self.silence)
     }
 }
--- a/kernel/tests/calls/trace.rs
+++ b/kernel/tests/calls/trace.rs
@@ -31,7 +31,7 @@
             (*call, format!("attaches to call {}", original.sequence))
         }
         Action::FinishCall { call, outcome } => (*call, format!("finishes {outcome:?}")),
-        Action::ForgetAnswer(call) => (*call, "forgets the answer".to_owned()),
+        Action::DiscardAnswer(call) => (*call, "forgets the answer".to_owned()),
         _ => return None,
     })
 }
--- a/kernel/tests/configuration/placement.rs
+++ b/kernel/tests/configuration/placement.rs
@@ -35,7 +35,7 @@
 fn demand(chat: f64, tags: f64) -> BTreeMap<PoolId, PoolDemand> {
     let state = |pressure| {
         let mut state = PoolDemand::default();
-        state.see(pressure, Duration::ZERO);
+        state.update(pressure, Duration::ZERO);
         state
     };
     let pools = [("chat", chat), ("tags", tags)];
--- a/kernel/tests/configuration/publish.rs
+++ b/kernel/tests/configuration/publish.rs
@@ -1,7 +1,7 @@
 //! Publishing through a node: answers, races, lost responses.
 
 use monsoonbank_kernel::config::DocumentKey;
-use monsoonbank_kernel::configuration::reach::PublishProgress;
+use monsoonbank_kernel::configuration::rollout::PublishProgress;
 use monsoonbank_kernel::record::{PublishResult, Record};
 
 use crate::support::{Fleet, base_change, set_workspace};
--- a/kernel/tests/configuration/support.rs
+++ b/kernel/tests/configuration/support.rs
@@ -6,7 +6,7 @@
 use monsoonbank_kernel::config::{Config, ConfigFile, Document, DocumentList, WorkspaceSpec};
 use monsoonbank_kernel::configuration::ConfigurationMessage;
 use monsoonbank_kernel::configuration::publish::RequestTicket;
-use monsoonbank_kernel::configuration::reach::PublishProgress;
+use monsoonbank_kernel::configuration::rollout::PublishProgress;
 use monsoonbank_kernel::event::{Action, Event};
 use monsoonbank_kernel::ids::{Incarnation, NodeId, ZoneId};
 use monsoonbank_kernel::kernel::Kernel;
--- a/kernel/tests/transfer.rs
+++ b/kernel/tests/transfer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use monsoonbank_kernel::transfer::TransferPace;
+use monsoonbank_kernel::transfer::TransferMonitor;
 
 const SILENCE: Duration = Duration::from_millis(500);
 
@@ -14,12 +14,12 @@
 /// began at 1 s.
 fn arrives(pieces: &[(u64, usize)]) -> bool {
     let began = ms(1000);
-    let mut pace = TransferPace::new(SILENCE, began);
+    let mut pace = TransferMonitor::new(SILENCE, began);
     let mut now = began;
     pieces.iter().all(|(at, bytes)| {
         let at = began + ms(*at);
         let in_time = at <= now + pace.time_left(now);
-        pace.piece_came(*bytes);
+        pace.record_chunk(*bytes);
         now = at;
         in_time
     })
