--- a/kernel/src/config.rs
+++ b/kernel/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration that operators publish: tiers, classes, workspaces, pools, upstreams, rules.
+//! The configuration that operators publish: tiers, classes, workspaces, pools, upstreams and
+//! rules.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,72 +24,73 @@
     TierSpec, UpstreamSpec, WorkspaceSpec,
 };
 
-/// An upstream with its names resolved.
+/// An upstream with resolved names.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upstream {
-    /// As published.
+    /// The published document.
     pub spec: UpstreamSpec,
     /// The pool that it serves now: its own, or the one that it was placed in.
     pub pool: PoolId,
-    /// The availability zone.
+    /// Identifier of its availability zone.
     pub zone: ZoneId,
 }
 
-/// Where an upstream was placed.
+/// The placement of an upstream in a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacedUpstream {
-    /// The pool's name.
+    /// Name of the pool.
     pub pool: Box<str>,
-    /// The version of the document.
+    /// Version of the placement document.
     pub version: u64,
 }
 
-/// The whole configuration in force, names resolved. Shared and never changed in place. Each part
-/// is shared with the configuration before, unless it changed.
+/// A whole configuration with resolved names. The one in force is shared and never modified in
+/// place. Each part is shared with the previous configuration unless it changed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Config {
-    /// Offset of the log record that it was last changed by, plus one; 0 before the first.
+    /// Offset, plus one, of the log record that last changed it; 0 before the first change.
     pub version: u64,
-    /// Floors by tier.
+    /// Guaranteed share of each pool's slots by tier, from 0 to 1.
     pub tiers: BTreeMap<Tier, f64>,
-    /// Classes.
+    /// Request classes by identifier.
     pub classes: Arc<BTreeMap<ClassId, Arc<ClassSpec>>>,
-    /// Workspaces.
+    /// Workspaces by identifier.
     pub workspaces: Arc<BTreeMap<WorkspaceId, Arc<WorkspaceSpec>>>,
     /// Workspaces by the SHA-256 of their token, in hexadecimal.
     pub tokens: Arc<BTreeMap<Box<str>, WorkspaceId>>,
-    /// Pools.
+    /// Pools by identifier.
     pub pools: Arc<BTreeMap<PoolId, Arc<PoolSpec>>>,
-    /// Upstreams.
+    /// Upstreams by identifier.
     pub upstreams: Arc<BTreeMap<UpstreamId, Arc<Upstream>>>,
-    /// Upstreams by pool.
+    /// Upstreams of each pool, in order of identifier. A pool without upstreams is absent.
     pub members: Arc<BTreeMap<PoolId, Vec<UpstreamId>>>,
-    /// Upstreams by address.
+    /// Upstreams by IP address and port.
     pub addresses: Arc<BTreeMap<Box<str>, UpstreamId>>,
-    /// Upstreams placed in a pool; one that its specification does not allow has no effect.
+    /// Placements by upstream. A placement that the upstream's specification does not allow has no
+    /// effect.
     pub placements: Arc<BTreeMap<UpstreamId, PlacedUpstream>>,
-    /// The ordered rule list.
+    /// The ordered rule list; the first match decides.
     pub rules: Arc<Vec<RuleSpec>>,
-    /// The index of the rule list.
+    /// Index of the rule list.
     pub index: Arc<RuleIndex>,
 }
 
-/// What the rules decided for a request.
+/// The rules' decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Classification {
-    /// Index of the rule in the list.
+    /// Position of the matching rule in the list, from 0.
     pub rule: usize,
-    /// The class.
+    /// Class of the request.
     pub class: ClassId,
-    /// The tier.
+    /// Tier of the request: the rule's, or else the class's.
     pub tier: Tier,
-    /// The pool.
+    /// Pool that serves the request: the rule's, or else the one that the caller named.
     pub pool: PoolId,
 }
 
 impl Config {
-    /// Resolves the names of a configuration file. Unknown names stay unresolved; checking a file
-    /// before it is accepted finds them.
+    /// Resolves the names of a configuration file. Unknown names are not reported here; validating
+    /// the file finds them.
     pub fn from_file(version: u64, file: &ConfigFile) -> Self {
         let mut config = Self::default();
         for document in document::split(file) {
@@ -98,7 +100,7 @@
         config
     }
 
-    /// Sets one document. Only the parts that hold it are copied.
+    /// Sets one document. Copies only the parts that contain it.
     pub fn put(&mut self, document: Document) {
         match document {
             Document::Tiers(tiers) => {
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Removes one document.
+    /// Removes one document, if it exists.
     pub fn remove(&mut self, key: &DocumentKey) {
         match key {
             DocumentKey::Tiers => self.tiers.clear(),
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Makes the maps by token and by address anew.
+    /// Rebuilds the maps by token and by address.
     pub fn reindex(&mut self) {
         let workspaces = self.workspaces.iter();
         let tokens = workspaces.map(|(id, workspace)| (workspace.token_sha256.clone(), *id));
@@ -184,7 +186,8 @@
         Arc::make_mut(&mut self.upstreams).insert(id, upstream);
     }
 
-    /// The pool that an upstream serves.
+    /// The pool that an upstream serves: the one that it was placed in if its specification allows
+    /// that, or else its own.
     fn pool_of(&self, id: UpstreamId, spec: &UpstreamSpec) -> PoolId {
         let placed = self.placements.get(&id);
         let allowed = placed.filter(|placed| spec.also.contains(&placed.pool));
@@ -208,7 +211,7 @@
         }
     }
 
-    /// Notes the version of a placement.
+    /// Sets the version of a placement. Does nothing for the key of any other document.
     pub fn set_placement_version(&mut self, key: &DocumentKey, version: u64) {
         let DocumentKey::Placement(name) = key else {
             return;
@@ -244,7 +247,7 @@
         self.rules = Arc::new(rules);
     }
 
-    /// The content of a document; none when it is absent.
+    /// The content of a document; `None` if it is absent.
     pub fn document(&self, key: &DocumentKey) -> Option<Document> {
         match key {
             DocumentKey::Tiers if self.tiers.is_empty() => None,
@@ -284,7 +287,8 @@
         }
     }
 
-    /// The first matching rule's decision; none when no rule matches or it names what is unknown.
+    /// The decision of the first matching rule; `None` if no rule matches, or if the rule refers to
+    /// an unknown class or pool.
     pub fn classify(&self, facts: &RequestFacts<'_>) -> Option<Classification> {
         let rule = self.index.first_match(&self.rules, facts)?;
         let spec = &self.rules[rule];
--- a/kernel/src/config/check.rs
+++ b/kernel/src/config/check.rs
@@ -1,4 +1,5 @@
-//! Checking documents: what the log's fold refuses, and what `monsoon check` tells.
+//! Validates documents. Folding the log refuses changes that fail; `monsoon check` reports the
+//! errors.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,19 +16,19 @@
 };
 use crate::ids::{ClassId, PoolId, UpstreamId, WorkspaceId};
 
-/// The longest name, in bytes.
+/// Maximum length of a name, in bytes.
 const MAX_NAME: usize = 128;
 
-/// The most tiers.
+/// Maximum number of tiers.
 const MAX_TIERS: usize = 8;
 
-/// Something that is wrong with a field.
+/// A validation error.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{path}: {message}")]
 pub struct ConfigFault {
-    /// The field.
+    /// Path of the field; empty for an error of the whole document.
     pub path: FieldPath,
-    /// What was found and what was expected.
+    /// Description of the found and the expected value.
     pub message: Box<str>,
 }
 
@@ -299,7 +300,8 @@
     check_name(&pool.name, faults);
 }
 
-/// What is wrong with one document of a configuration, names that it refers to included.
+/// Validates one document of a configuration, including the names that it refers to; returns all
+/// errors found.
 pub fn check_document(config: &Config, document: &Document) -> Vec<ConfigFault> {
     let mut faults = FaultList::default();
     match document {
@@ -314,7 +316,7 @@
     faults.0
 }
 
-/// What is wrong with the documents that refer to one that was set or removed.
+/// Validates the documents that refer to one that was set or removed; returns all errors found.
 pub fn check_dependents(config: &Config, key: &DocumentKey, removed: bool) -> Vec<ConfigFault> {
     let mut faults = FaultList::default();
     let tiers = *key == DocumentKey::Tiers;
--- a/kernel/src/config/document.rs
+++ b/kernel/src/config/document.rs
@@ -1,4 +1,4 @@
-//! Documents: the parts of the configuration that are versioned and replaced one by one.
+//! Documents: the parts of the configuration that are versioned and replaced individually.
 
 use std::str::FromStr;
 
@@ -10,34 +10,34 @@
     ClassSpec, ConfigFile, PlacementSpec, PoolSpec, RuleSpec, TierSpec, UpstreamSpec, WorkspaceSpec,
 };
 
-/// Names a document; written as `class/NAME`, `tiers` and so on.
+/// Key of a document; written as `class/NAME`, `tiers` and so on.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub enum DocumentKey {
-    /// The list of tiers.
+    /// The tier list.
     #[display("tiers")]
     Tiers,
-    /// A class.
+    /// A class, by name.
     #[display("class/{_0}")]
     Class(Box<str>),
-    /// A workspace.
+    /// A workspace, by name.
     #[display("workspace/{_0}")]
     Workspace(Box<str>),
-    /// A pool.
+    /// A pool, by name.
     #[display("pool/{_0}")]
     Pool(Box<str>),
-    /// An upstream.
+    /// An upstream, by name.
     #[display("upstream/{_0}")]
     Upstream(Box<str>),
     /// The ordered rule list.
     #[display("rules")]
     Rules,
-    /// The placement of an upstream.
+    /// The placement of an upstream, by the upstream's name.
     #[display("placement/{_0}")]
     Placement(Box<str>),
 }
 
-/// A text that names no document.
+/// Error for a text that is no document key; holds the text.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error(
     "`{0}` names no document; expected tiers, rules, class/NAME, workspace/NAME, pool/NAME or \
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Document {
-    /// The list of tiers.
+    /// The tier list.
     Tiers(Vec<TierSpec>),
     /// A class.
     Class(ClassSpec),
@@ -97,7 +97,7 @@
 }
 
 impl Document {
-    /// The key that the document stands under.
+    /// The key of the document.
     pub fn key(&self) -> DocumentKey {
         match self {
             Self::Tiers(_) => DocumentKey::Tiers,
@@ -111,25 +111,25 @@
     }
 }
 
-/// A document with the version that set it.
+/// A document with its version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VersionedDocument {
-    /// Offset of the record that set it, plus one.
+    /// Offset, plus one, of the log record that set the document.
     pub version: u64,
-    /// The content.
+    /// The document itself.
     pub content: Document,
 }
 
-/// Every document in force, as a node tells its operators.
+/// All documents in force, as reported to operators.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DocumentList {
     /// Version of the configuration as a whole.
     pub version: u64,
-    /// The documents.
+    /// The documents, ordered by key.
     pub documents: Vec<VersionedDocument>,
 }
 
-/// The documents that a configuration file holds. Lists that are absent or empty give none.
+/// Splits a configuration file into documents. An absent or empty list yields none.
 pub fn split(file: &ConfigFile) -> Vec<Document> {
     let mut documents = Vec::new();
     if !file.tiers.is_empty() {
@@ -145,7 +145,7 @@
     documents
 }
 
-/// The configuration file that holds the documents.
+/// Joins documents into a configuration file. Placements are left out.
 pub fn join(documents: impl IntoIterator<Item = Document>) -> ConfigFile {
     let mut file = ConfigFile::default();
     for document in documents {
@@ -156,7 +156,7 @@
             Document::Pool(pool) => file.pools.push(pool),
             Document::Upstream(upstream) => file.upstreams.push(upstream),
             Document::Rules(rules) => file.rules = rules,
-            // Not the operators' to write.
+            // Nodes write placements, operators do not.
             Document::Placement(_) => {}
         }
     }
--- a/kernel/src/config/file_check.rs
+++ b/kernel/src/config/file_check.rs
@@ -1,4 +1,4 @@
-//! Checking a whole configuration: everything in it, and what stands twice or is never reached.
+//! Validates a whole configuration file: every document, duplicate names and unreachable rules.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,8 @@
 use crate::config::locate::FieldPath;
 use crate::config::spec::{ConfigFile, RuleSpec};
 
-/// Rules that no request can reach, because one before matches everything that they match.
+/// Positions of unreachable rules, each with the position of an earlier rule that matches
+/// everything it matches.
 pub fn unreachable_rules(rules: &[RuleSpec]) -> Vec<(usize, usize)> {
     rules
         .iter()
@@ -43,7 +44,7 @@
     }
 }
 
-/// What is wrong with a whole configuration.
+/// Validates a whole configuration file; returns all errors found.
 pub fn check_file(file: &ConfigFile) -> Vec<ConfigFault> {
     let config = Config::from_file(1, file);
     let mut faults = Vec::new();
--- a/kernel/src/config/locate.rs
+++ b/kernel/src/config/locate.rs
@@ -1,39 +1,39 @@
-//! Where in a YAML text a field stands.
+//! Finds the position of a field in a YAML text.
 
 use std::fmt;
 
 use derive_more::Display;
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 
-/// One step on the way to a field.
+/// One step of a field path.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PathStep {
-    /// A field of a mapping.
+    /// A field of a mapping, by name.
     Field(Box<str>),
-    /// An item of a list, from 0.
+    /// An item of a list, by position from 0.
     Item(usize),
 }
 
-/// The way to a field from the top of a document; shown as `rules[3].then.class`.
+/// Path of a field from the top of a document; displayed as `rules[3].then.class`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FieldPath(pub Vec<PathStep>);
 
 impl FieldPath {
-    /// This path with a field behind it.
+    /// Appends a field to the path.
     #[must_use]
     pub fn field(mut self, name: &str) -> Self {
         self.0.push(PathStep::Field(name.into()));
         self
     }
 
-    /// This path with an item behind it.
+    /// Appends a list item to the path.
     #[must_use]
     pub fn item(mut self, position: usize) -> Self {
         self.0.push(PathStep::Item(position));
         self
     }
 
-    /// This path with another behind it.
+    /// Appends another path to this one.
     #[must_use]
     pub fn join(mut self, rest: &Self) -> Self {
         self.0.extend(rest.0.iter().cloned());
@@ -54,17 +54,18 @@
     }
 }
 
-/// A place in a text; lines and columns count from 1.
+/// A position in a text. Both parts are 0 if the position is unknown.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord)]
 #[display("{line}:{column}")]
 pub struct TextPosition {
-    /// The line.
+    /// Line number, from 1.
     pub line: usize,
-    /// The column.
+    /// Column number, from 1.
     pub column: usize,
 }
 
-/// The place of a field, or of the innermost part of its path that the text has.
+/// Position of a field, or of the innermost part of its path that exists in the text; `None` if the
+/// text cannot be parsed up to there.
 pub fn locate(text: &str, path: &FieldPath) -> Option<TextPosition> {
     let mut steps = path.0.as_slice();
     loop {
@@ -76,7 +77,8 @@
     }
 }
 
-/// The parser knows places only in its errors, so the walk ends in one at the field looked for.
+/// Position of the field at exactly this path. The parser reports positions only in its errors, so
+/// the visitor fails on purpose at the target field.
 fn locate_exactly(text: &str, steps: &[PathStep]) -> Option<TextPosition> {
     let walk = PathWalk { steps };
     let error = walk
--- a/kernel/src/config/rules.rs
+++ b/kernel/src/config/rules.rs
@@ -1,4 +1,4 @@
-//! Matching a request against the ordered rule list.
+//! Matches requests against the ordered rule list.
 
 use std::collections::BTreeMap;
 
@@ -6,18 +6,18 @@
 
 use crate::config::spec::{RuleMatch, RuleSpec};
 
-/// The facts of a request that rules look at.
+/// The attributes of a request that rules can match.
 #[derive(Clone, Debug, Default)]
 pub struct RequestFacts<'a> {
-    /// The workspace's name.
+    /// Name of the workspace.
     pub workspace: &'a str,
-    /// The path.
+    /// Path of the request.
     pub path: &'a str,
     /// The HTTP method, in capitals.
     pub method: &'a str,
-    /// The model or service that the caller named.
+    /// The model or service that the caller specified.
     pub model: &'a str,
-    /// Headers, names in lower case.
+    /// Header names, in lower case, and values.
     pub headers: &'a [(&'a str, &'a str)],
     /// The declared body size, in bytes.
     pub bytes: u64,
@@ -25,73 +25,73 @@
     pub streamed: bool,
 }
 
-/// Why a rule did not match a request: the first field that did not hold.
+/// Why a rule did not match a request: the first condition that did not hold.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum RuleMismatch {
-    /// The workspace is none of the rule's.
+    /// The workspace is not in the rule's list.
     #[display("workspace is `{found}`, expected {expected}")]
     Workspace {
-        /// The request's.
+        /// Value of the request.
         found: Box<str>,
-        /// The rule's.
+        /// Value that the rule requires.
         expected: Box<str>,
     },
-    /// The model or service is none of the rule's.
+    /// The model or service is not in the rule's list.
     #[display("model is `{found}`, expected {expected}")]
     Model {
-        /// The request's.
+        /// Value of the request.
         found: Box<str>,
-        /// The rule's.
+        /// Value that the rule requires.
         expected: Box<str>,
     },
-    /// The path begins otherwise.
+    /// The path does not begin with the rule's prefix.
     #[display("path is `{found}`, expected it to begin with `{expected}`")]
     Path {
-        /// The request's.
+        /// Value of the request.
         found: Box<str>,
-        /// The rule's.
+        /// Value that the rule requires.
         expected: Box<str>,
     },
-    /// Another method.
+    /// The method differs from the rule's.
     #[display("method is `{found}`, expected `{expected}`")]
     Method {
-        /// The request's.
+        /// Value of the request.
         found: Box<str>,
-        /// The rule's.
+        /// Value that the rule requires.
         expected: Box<str>,
     },
     /// The body is too small.
     #[display("size is {found} bytes, expected at least {expected}")]
     TooSmall {
-        /// The request's, in bytes.
+        /// Size of the request body, in bytes.
         found: u64,
-        /// The rule's, in bytes.
+        /// Size that the rule requires, in bytes.
         expected: u64,
     },
     /// The body is too large.
     #[display("size is {found} bytes, expected at most {expected}")]
     TooLarge {
-        /// The request's, in bytes.
+        /// Size of the request body, in bytes.
         found: u64,
-        /// The rule's, in bytes.
+        /// Size that the rule requires, in bytes.
         expected: u64,
     },
-    /// Streamed, and the rule asks for whole answers, or the other way round.
+    /// The answer is streamed and the rule requires that it is not, or vice versa.
     #[display("streamed is {found}, expected {expected}")]
     Streamed {
-        /// The request's.
+        /// Value of the request.
         found: bool,
-        /// The rule's.
+        /// Value that the rule requires.
         expected: bool,
     },
-    /// A header is absent or has another value.
+    /// A required header is absent or has another value.
     #[display("header `{name}` is {found}, expected `{expected}`")]
     Header {
-        /// The header's name.
+        /// Name of the header.
         name: Box<str>,
-        /// The request's value, quoted, or `absent`.
+        /// Value in the request, quoted, or `absent`.
         found: Box<str>,
-        /// The rule's value.
+        /// Value that the rule requires.
         expected: Box<str>,
     },
 }
@@ -114,7 +114,7 @@
 }
 
 impl RuleMatch {
-    /// Whether every given field holds for the request.
+    /// Whether every given condition holds for the request.
     pub fn matches(&self, facts: &RequestFacts<'_>) -> bool {
         among(&self.workspaces, facts.workspace)
             && among(&self.models, facts.model)
@@ -123,7 +123,7 @@
             && self.matches_rest(facts)
     }
 
-    /// Whether the fields that [`RuleIndex`] does not cover hold.
+    /// Whether the conditions that [`RuleIndex`] does not cover hold.
     fn matches_rest(&self, facts: &RequestFacts<'_>) -> bool {
         self.path_prefix
             .as_deref()
@@ -138,7 +138,7 @@
             })
     }
 
-    /// The first field that does not hold; none when the rule matches.
+    /// The first condition that does not hold; `None` if the rule matches.
     pub fn mismatch(&self, facts: &RequestFacts<'_>) -> Option<RuleMismatch> {
         if !among(&self.workspaces, facts.workspace) {
             return Some(RuleMismatch::Workspace {
@@ -201,7 +201,8 @@
         })
     }
 
-    /// Whether every request that `other` matches is matched by this one too.
+    /// Whether this match accepts every request that `other` accepts. May be false although it
+    /// does.
     pub fn covers(&self, other: &Self) -> bool {
         let names = |wide: &[Box<str>], narrow: &[Box<str>]| {
             wide.is_empty() || (!narrow.is_empty() && narrow.iter().all(|name| wide.contains(name)))
@@ -225,14 +226,16 @@
     }
 }
 
-/// The first rule that matches, looked for one by one: the definition that [`RuleIndex`] keeps to.
+/// Position of the first matching rule, found by linear search. Defines the result that
+/// [`RuleIndex`] must reproduce.
 pub fn first_match(rules: &[RuleSpec], facts: &RequestFacts<'_>) -> Option<usize> {
     rules.iter().position(|rule| rule.when.matches(facts))
 }
 
 type RuleSet = Box<[u64]>;
 
-/// Which rules may match, by one field: those that name the value, and those that name none.
+/// For each value of one field, the rules that may match: those that list the value, and those that
+/// list none.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct FieldIndex {
     any: RuleSet,
@@ -266,7 +269,8 @@
     rules[position / 64] |= 1 << (position % 64);
 }
 
-/// Finds the first matching rule without looking at each: one bit a rule and field value.
+/// Bitmap index that finds the first matching rule without evaluating each: one bit per rule and
+/// field value.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RuleIndex {
     rules: usize,
@@ -277,7 +281,7 @@
 }
 
 impl RuleIndex {
-    /// The index of a rule list.
+    /// Builds the index of a rule list.
     pub fn new(rules: &[RuleSpec]) -> Self {
         let streamed = [false, true].map(|streamed| {
             let mut set_of = vec![0; rules.len().div_ceil(64)].into_boxed_slice();
@@ -297,7 +301,7 @@
         }
     }
 
-    /// The first rule that matches. `rules` is the list that the index was made of.
+    /// Position of the first matching rule. `rules` must be the list that the index was built from.
     pub fn first_match(&self, rules: &[RuleSpec], facts: &RequestFacts<'_>) -> Option<usize> {
         if self.rules != rules.len() {
             return first_match(rules, facts);
--- a/kernel/src/config/spec.rs
+++ b/kernel/src/config/spec.rs
@@ -1,4 +1,4 @@
-//! The parts of a configuration as operators write them.
+//! The parts of a configuration, in the form in which operators write them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TierSpec {
-    /// The tier's number; 0 is the most urgent.
+    /// Number of the tier; 0 is the most urgent.
     pub tier: Tier,
-    /// Share of each pool's slots, from 0 to 1, that the tier gets while it has work waiting,
-    /// however much work the tiers above have.
+    /// Share of each pool's slots, from 0 to 1, that is guaranteed to the tier while it has queued
+    /// work, regardless of the load of the tiers above.
     pub floor: f64,
 }
 
@@ -23,21 +23,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// The class's name.
+    /// Name of the class.
     pub name: Box<str>,
-    /// The tier.
+    /// Tier of its calls, unless a rule sets another one.
     pub tier: Tier,
-    /// Target for the first token, or for the whole answer of a plain service.
+    /// Target time to the first token, or to the whole answer of a plain service.
     #[serde(with = "humantime_serde")]
     pub target: Duration,
-    /// Target for the time between two tokens; none when it does not matter.
+    /// Target time between two tokens; `None` for no target.
     #[serde(
         default,
         with = "humantime_serde",
         skip_serializing_if = "Option::is_none"
     )]
     pub token_target: Option<Duration>,
-    /// Whether running a call twice does no harm.
+    /// Whether a call of this class is safe to run more than once.
     pub repeatable: bool,
 }
 
@@ -45,17 +45,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkspaceSpec {
-    /// The workspace's name.
+    /// Name of the workspace.
     pub name: Box<str>,
-    /// SHA-256 of the bearer token of its callers, in hexadecimal.
+    /// SHA-256 of its callers' bearer token, in lower-case hexadecimal.
     pub token_sha256: Box<str>,
-    /// Share relative to other workspaces of the same tier.
+    /// Weight relative to other workspaces within a tier; 1 by default.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Most calls a second, over the whole fleet; no limit when absent.
+    /// Limit on calls per second across the whole fleet; `None` for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub calls_per_second: Option<f64>,
-    /// Most calls at a time, over the whole fleet; no limit when absent.
+    /// Limit on concurrent calls across the whole fleet; `None` for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub concurrent_calls: Option<u32>,
 }
@@ -64,7 +64,7 @@
     1
 }
 
-/// What the upstreams of a pool are.
+/// Kind of the upstreams of a pool.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PoolKind {
@@ -80,9 +80,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolSpec {
-    /// The pool's name: what callers name as the model or the service.
+    /// Name of the pool, which callers specify as the model or the service.
     pub name: Box<str>,
-    /// What its upstreams are.
+    /// Kind of its upstreams.
     pub kind: PoolKind,
 }
 
@@ -90,52 +90,53 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamSpec {
-    /// The upstream's name.
+    /// Name of the upstream.
     pub name: Box<str>,
-    /// The pool that it serves.
+    /// Name of the pool that it serves unless it is placed in another one.
     pub pool: Box<str>,
-    /// The availability zone that it stands in.
+    /// Name of its availability zone.
     pub zone: Box<str>,
-    /// IP number and port of its HTTP interface.
+    /// IP address and port of its HTTP interface.
     pub address: Box<str>,
-    /// Requests that it serves at a time.
+    /// Number of requests that it serves concurrently.
     pub slots: u32,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether it rejects an order with an outdated fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Other pools that it may be made to serve when their demand is high and its own pool's low.
+    /// Names of other pools that it may be placed in while their demand is high and that of its
+    /// current pool is low.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub also: Vec<Box<str>>,
 }
 
-/// The pool that an upstream serves now, of those that its specification allows. Written by the
+/// The pool that an upstream serves now, one of those that its specification allows. Written by
 /// nodes, not by operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlacementSpec {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: Box<str>,
-    /// The pool.
+    /// Name of the pool.
     pub pool: Box<str>,
 }
 
-/// What a request must be for a rule to match; every field that is given must hold.
+/// Conditions of a rule. Every given condition must hold; an absent or empty one always holds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RuleMatch {
-    /// One of these workspaces.
+    /// The workspace is one of these.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub workspaces: Vec<Box<str>>,
-    /// The path begins with this.
+    /// The path begins with this prefix.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub path_prefix: Option<Box<str>>,
-    /// The HTTP method.
+    /// The HTTP method is this one, in capitals.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub method: Option<Box<str>>,
-    /// One of these models or services.
+    /// The model or service that the caller specified is one of these.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub models: Vec<Box<str>>,
-    /// Each of these headers has this value; names in lower case.
+    /// Each of these headers has the given value. Names are in lower case.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub headers: BTreeMap<Box<str>, Box<str>>,
     /// The declared body size is at least this, in bytes.
@@ -144,35 +145,35 @@
     /// The declared body size is at most this, in bytes.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_bytes: Option<u64>,
-    /// Whether the answer is streamed.
+    /// The answer is streamed, or is not.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub streamed: Option<bool>,
 }
 
-/// What a rule decides for the requests that it matches.
+/// Decision of a rule for the requests that it matches.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RuleTarget {
-    /// The class.
+    /// Name of the class.
     pub class: Box<str>,
-    /// A tier other than the class's own.
+    /// Tier that overrides the class's; `None` keeps the class's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tier: Option<Tier>,
-    /// The pool; the one that the caller named when absent.
+    /// Name of the pool; `None` selects the one that the caller specified.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pool: Option<Box<str>>,
 }
 
-/// A when-then rule.
+/// A rule that assigns class, tier and pool to matching requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RuleSpec {
-    /// The rule's name.
+    /// Name of the rule.
     pub name: Box<str>,
-    /// When it matches.
+    /// Conditions of the rule.
     #[serde(default)]
     pub when: RuleMatch,
-    /// What it decides.
+    /// Decision of the rule.
     pub then: RuleTarget,
 }
 
@@ -180,19 +181,19 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ConfigFile {
-    /// Tiers.
+    /// Service tiers.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub tiers: Vec<TierSpec>,
-    /// Classes.
+    /// Request classes.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub classes: Vec<ClassSpec>,
-    /// Workspaces.
+    /// Workspaces with their tokens, weights and limits.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub workspaces: Vec<WorkspaceSpec>,
-    /// Pools.
+    /// Pools of interchangeable upstreams.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub pools: Vec<PoolSpec>,
-    /// Upstreams.
+    /// Model engines and instances of plain services.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub upstreams: Vec<UpstreamSpec>,
     /// The ordered rule list; the first match decides.
--- a/kernel/src/config/text.rs
+++ b/kernel/src/config/text.rs
@@ -1,4 +1,4 @@
-//! Reading and checking configuration texts; faults name the place in the text.
+//! Parses and validates configuration texts. Errors state the position in the text.
 
 use thiserror::Error;
 
@@ -7,22 +7,22 @@
 use crate::config::locate::{PathStep, TextPosition, locate};
 use crate::config::spec::ConfigFile;
 
-/// Something that is wrong in a file.
+/// An error in a configuration file.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{file}:{position}: {field}: {message}")]
 pub struct FileFault {
-    /// The file.
+    /// Name of the file.
     pub file: Box<str>,
-    /// The place in the file.
+    /// Position in the file.
     pub position: TextPosition,
-    /// The field.
+    /// Path of the field.
     pub field: Box<str>,
-    /// What was found and what was expected.
+    /// Description of the found and the expected value.
     pub message: Box<str>,
 }
 
-/// Reads a configuration from a YAML text; an error names the place, the field and what was
-/// expected.
+/// Parses a configuration from a YAML text without validating it. An error states the position, the
+/// field and the expected value.
 pub fn parse(file: &str, text: &str) -> Result<ConfigFile, FileFault> {
     let deserializer = serde_yaml_ng::Deserializer::from_str(text);
     serde_path_to_error::deserialize(deserializer).map_err(|error| {
@@ -45,7 +45,7 @@
     })
 }
 
-/// The parser's message without the place and path, which are told apart.
+/// Strips the position and the path from the parser's message; both are reported separately.
 fn without_place(message: &str) -> &str {
     let message = message
         .rsplit_once(" at line ")
@@ -56,12 +56,12 @@
     }
 }
 
-/// Reads and checks a configuration that is given as one YAML text.
+/// Parses and validates a configuration given as one YAML text.
 pub fn check_text(file: &str, text: &str) -> Result<ConfigFile, Vec<FileFault>> {
     check_texts(&[(file, text)])
 }
 
-/// Reads and checks a configuration that is given as several YAML texts, each with part of it.
+/// Parses and validates a configuration given as several YAML texts, each with a part of it.
 pub fn check_texts(texts: &[(&str, &str)]) -> Result<ConfigFile, Vec<FileFault>> {
     let mut faults = Vec::new();
     let mut files = Vec::new();
@@ -111,7 +111,7 @@
     }
 }
 
-/// Names the file, and the place in it, of a fault in the merged configuration.
+/// Maps an error in the merged configuration to its file and the position in it.
 fn place(fault: &ConfigFault, files: &[(&str, &str, ConfigFile)]) -> FileFault {
     let mut path = fault.path.clone();
     let mut home = files.first();
--- a/kernel/src/configuration.rs
+++ b/kernel/src/configuration.rs
@@ -1,5 +1,5 @@
-//! The plug-in that folds the log's records into the configuration in force, keeps the fold in
-//! step with other nodes, and publishes operators' changes.
+//! The plug-in that folds the log's records into the configuration in force, synchronizes the
+//! folded state with other nodes, and publishes changes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,11 +35,11 @@
 
 pub use message::ConfigurationMessage;
 
-/// Starting nodes are given a checkpoint at most this often, so that many of them at once cannot
-/// take a node's time.
+/// Minimum time between two checkpoints that a node sends to other nodes, so that many starting
+/// nodes at once cannot overload it.
 const CHECKPOINT_PAUSE: Duration = Duration::from_millis(200);
 
-/// Keeps the configuration.
+/// The replicated configuration of one node.
 #[derive(Debug, Default)]
 pub struct ConfigurationStore {
     fold: ConfigFold,
@@ -60,7 +60,8 @@
 }
 
 impl ConfigurationStore {
-    /// Takes records from the log or from another node; keeps those that come before their turn.
+    /// Folds records from the log or from another node in order of offset, and buffers those that
+    /// arrive early.
     fn take(&mut self, records: &[LogRecord], context: &mut Context<'_>) {
         for entry in records {
             if entry.offset == self.fold.next() {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Counts the nodes on which an accepted change is in force.
+    /// Starts to count the nodes on which an accepted change is in force.
     fn count(&mut self, request: RequestTicket, result: &PublishResult, context: &mut Context<'_>) {
         if let PublishResult::Accepted { version } = result {
             self.reach
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Looks for checkpoints among records of the log, and starts from one that is ahead.
+    /// Assembles checkpoints from records of the log, and restores one that is ahead of this node.
     fn take_checkpoints(&mut self, records: &[LogRecord], context: &mut Context<'_>) {
         for entry in records {
             let Some(Record::Checkpoint(part)) = &entry.record else {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Goes on from a state that is ahead of this node's own; one that is not changes nothing.
+    /// Replaces this node's folded state by one that is ahead of it; does nothing otherwise.
     fn adopt(&mut self, fold: ConfigFold, context: &mut Context<'_>) {
         if fold.next() <= self.fold.next() {
             return;
@@ -169,8 +170,8 @@
         self.duty.truncated(first);
     }
 
-    /// The offset to read next: the one to fold next if the log still holds it; or else on from
-    /// the oldest that it holds, in search of a checkpoint.
+    /// The offset to read next: the next one to fold if the log retains it, or else the first
+    /// retained one that was not read yet, to find a checkpoint.
     fn next_read(&self) -> u64 {
         if self.fold.next() >= self.log_first {
             return self.fold.next();
@@ -257,8 +258,8 @@
         }
     }
 
-    /// Whether this node holds the newest state that the log or the other nodes can show. Stays
-    /// once it holds: the state only moves on.
+    /// Whether this node's folded state is the newest that the log or the other nodes are known to
+    /// have. Evaluated until it holds once, since the state never goes back.
     fn is_newest(&self, now: Duration) -> bool {
         let known = self.fold.config().version > 0 && self.fold.next() >= self.peers.newest();
         let log = self.log_end.is_some_and(|end| self.fold.next() >= end);
@@ -266,7 +267,8 @@
         known && self.peers.all_answered(now) && (log || peers)
     }
 
-    /// After every event: goes into force, announces and reads on.
+    /// Runs after every event: applies a new configuration, announces it, and starts the next read
+    /// of the log.
     fn settle(&mut self, context: &mut Context<'_>) {
         self.ready = self.ready || self.is_newest(context.now);
         if self.ready && self.fold.config().version > self.in_force.version {
--- a/kernel/src/configuration/checkpoint.rs
+++ b/kernel/src/configuration/checkpoint.rs
@@ -1,4 +1,4 @@
-//! Checkpoints: the fold's state in parts small enough for one record or message each.
+//! Checkpoints: the folded state, divided into parts that fit one record or message each.
 
 use std::collections::BTreeMap;
 
@@ -9,13 +9,13 @@
 use crate::configuration::fold::ConfigFold;
 use crate::record::{CheckpointRecord, FoldedChange};
 
-/// The size that a part is filled up to, in bytes of JSON.
+/// Target size of a part, in bytes of JSON. Only a part with a single larger item exceeds it.
 pub const PART_BYTES: usize = 48 * 1024;
 
-/// Checkpoints that are put together at a time; the oldest gives way.
+/// Maximum number of incomplete checkpoints; beyond it the one with the lowest offset is evicted.
 const OPEN_CHECKPOINTS: usize = 4;
 
-/// The size of a value as JSON, in bytes.
+/// Size of a value encoded as JSON, in bytes.
 pub fn json_size(value: &impl Serialize) -> usize {
     serde_json::to_vec(value).map_or(0, |text| text.len())
 }
@@ -39,7 +39,7 @@
     chunks
 }
 
-/// The state as checkpoint parts. The same state gives the same parts.
+/// Encodes the state as checkpoint parts. The same state yields the same parts.
 pub fn parts(fold: &ConfigFold) -> Vec<CheckpointRecord> {
     let list = fold.documents();
     let seen: Vec<FoldedChange> = fold.seen().cloned().collect();
@@ -74,14 +74,14 @@
     parts
 }
 
-/// Puts checkpoints together from parts that come in any order, more than once, or never.
+/// Assembles checkpoints from parts that may arrive in any order, repeatedly, or not at all.
 #[derive(Clone, Debug, Default)]
 pub struct CheckpointAssembly {
     open: BTreeMap<(u64, u64), BTreeMap<u32, CheckpointRecord>>,
 }
 
 impl CheckpointAssembly {
-    /// Takes a part. The state, if it was the last one missing.
+    /// Adds a part; returns the state if the checkpoint is complete.
     pub fn take(&mut self, part: &CheckpointRecord) -> Option<ConfigFold> {
         let name = (part.through, part.digest);
         let parts = self.open.entry(name).or_default();
--- a/kernel/src/configuration/duty.rs
+++ b/kernel/src/configuration/duty.rs
@@ -1,4 +1,4 @@
-//! When to append a checkpoint: seldom, and by one node if all goes well.
+//! Decides when to append a checkpoint: rarely, and normally by one node only.
 
 use std::time::Duration;
 
@@ -15,25 +15,25 @@
 use crate::plugin::Context;
 use crate::record::{AppendOwner, AppendResult, AppendTicket, CheckpointRecord, Record};
 
-/// Changes since the last checkpoint, in bytes of JSON, that are worth a new one however small the
-/// configuration is.
+/// Minimum size of the changes since the last checkpoint, in bytes of JSON, before a new one is
+/// appended. A larger configuration raises the threshold to its own size.
 const LEAST_BYTES: usize = 64 * 1024;
 
-/// A checkpoint is repeated after this long, so that the log's retention never takes the last one.
-/// The log must keep records for at least twice this long.
+/// Age at which a checkpoint is repeated, so that the log's retention never removes the last one.
+/// The log must retain records for at least twice this time.
 const REPEAT_AFTER: Duration = Duration::from_hours(6);
 
-/// How long an appended checkpoint has to be read back before it is repeated.
+/// Timeout for reading back an appended checkpoint, after which it is appended again.
 const READ_BACK: Duration = Duration::from_secs(30);
 
-/// How much longer each further node waits for the one before it.
+/// Additional delay per rank: each node waits this much longer than the one before it.
 const RANK_DELAY: Duration = Duration::from_secs(2);
 
-/// The most nodes that are waited for.
+/// Highest rank that the delay takes into account.
 const MAX_RANK: u32 = 30;
 
-/// Where a node stands among the live nodes for one occasion: 0 for the one that acts first.
-/// Rendezvous hashing spreads the occasions over the nodes.
+/// Rank of a node among the live nodes for one occasion; rank 0 acts first. Rendezvous hashing
+/// spreads the occasions over the nodes.
 pub fn rank(view: &MemberView, node: NodeId, occasion: u64) -> u32 {
     let weight = |node: NodeId| xxh3_64_with_seed(&node.0.to_le_bytes(), occasion);
     let own = weight(node);
@@ -42,7 +42,7 @@
         .count() as u32
 }
 
-/// Decides when this node appends a checkpoint, and appends its parts one after another.
+/// Decides when this node appends a checkpoint, and appends its parts in sequence.
 #[derive(Clone, Debug, Default)]
 pub struct CheckpointDuty {
     covered: u64,
@@ -59,17 +59,17 @@
 }
 
 impl CheckpointDuty {
-    /// The newest checkpoint seen whole on the log holds every record before this offset.
+    /// Offset before which the newest complete checkpoint on the log covers every record.
     pub fn covered(&self) -> u64 {
         self.covered
     }
 
-    /// A change of this size was folded.
+    /// Records that a change of this size, in bytes of JSON, was folded.
     pub fn record_change(&mut self, bytes: usize) {
         self.bytes += bytes;
     }
 
-    /// A whole checkpoint was seen on the log.
+    /// Records that a complete checkpoint up to this offset was read from the log.
     pub fn record_checkpoint(&mut self, through: u64, now: Duration) {
         if through < self.covered {
             return;
@@ -82,7 +82,7 @@
         self.ticket = None;
     }
 
-    /// The log told its oldest offset.
+    /// Records the oldest offset that the log retains.
     pub fn truncated(&mut self, first: u64) {
         self.log_first = self.log_first.max(first);
     }
@@ -94,7 +94,7 @@
         fold.next() > self.covered && fold.config().version > 0 && (grown || old || lost)
     }
 
-    /// Does what is due.
+    /// Appends the next part of an open checkpoint, or starts a checkpoint that is due.
     pub fn tick(&mut self, fold: &ConfigFold, view: &MemberView, context: &mut Context<'_>) {
         if !self.parts.is_empty() {
             self.append(context);
@@ -133,7 +133,7 @@
         context.act(Action::Append { ticket, record });
     }
 
-    /// An append was answered. A part may stand on the log twice: that does no harm.
+    /// Handles the result of an append. A part that is on the log twice is harmless.
     pub fn appended(
         &mut self,
         ticket: AppendTicket,
--- a/kernel/src/configuration/fold.rs
+++ b/kernel/src/configuration/fold.rs
@@ -1,4 +1,4 @@
-//! The fold of the log's records: a pure function of the records in order of offset.
+//! The folded state of the log: a pure function of the records in order of offset.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -11,41 +11,41 @@
     Record,
 };
 
-/// Changes whose identifiers are remembered. A change that is older and is sent again conflicts
-/// with its own first record, since that one raised the versions.
+/// Maximum number of changes whose results are retained. An older change that is sent again
+/// conflicts with its own first record, because that one raised the versions.
 pub const RETAINED_CHANGES: usize = 1_024;
 
-/// Refused and skipped records that the state dump shows.
+/// Maximum number of refused and skipped records in the state dump.
 const SHOWN_REFUSALS: usize = 32;
 
-/// The longest identifier of a change, in bytes.
+/// Maximum length of a change identifier, in bytes.
 const MAX_ID: usize = 64;
 
-/// A record that was folded without effect.
+/// A record that had no effect.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RefusedRecord {
-    /// The offset.
+    /// Offset of the record.
     pub offset: u64,
-    /// The change's identifier; none for a record of unknown shape.
+    /// Identifier of the change; `None` for a record that could not be decoded.
     pub id: Option<Box<str>>,
-    /// Why.
+    /// Why the record had no effect.
     pub reason: Box<str>,
 }
 
-/// What a record came to.
+/// Effect of folding one record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FoldOutcome {
-    /// The configuration changed.
+    /// The change with this identifier was applied.
     Changed(Box<str>),
-    /// A change was refused.
+    /// The change with this identifier was refused.
     Refused(Box<str>),
-    /// The lease moved on.
+    /// The record is the newest valid lease record.
     Leased(LeaseHead),
-    /// Nothing.
+    /// Neither the configuration nor the lease changed, and no change was refused.
     Unchanged,
 }
 
-/// The state after all records before an offset.
+/// The folded state of all records before an offset.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigFold {
     next: u64,
@@ -58,7 +58,7 @@
 }
 
 impl ConfigFold {
-    /// The state that a checkpoint holds.
+    /// Restores the state from the content of a checkpoint.
     pub fn restore(
         next: u64,
         version: u64,
@@ -84,42 +84,43 @@
         fold
     }
 
-    /// Every record before this offset is folded.
+    /// The next offset to fold; every record before it is folded.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// The configuration. A clone shares its parts.
+    /// The folded configuration. A clone shares its parts.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// The newest valid lease.
+    /// The newest valid lease record; `None` if there is none.
     pub fn lease(&self) -> Option<&LeaseHead> {
         self.lease.as_ref()
     }
 
-    /// The changes that are remembered, oldest first.
+    /// The retained results of changes, oldest first.
     pub fn seen(&self) -> impl Iterator<Item = &FoldedChange> {
         self.seen.iter().filter_map(|id| self.results.get(id))
     }
 
-    /// What became of a change; none when its record was not folded, or long ago.
+    /// The result of a change; `None` if its record was not folded or its result is no longer
+    /// retained.
     pub fn result(&self, id: &str) -> Option<&PublishResult> {
         self.results.get(id).map(|change| &change.result)
     }
 
-    /// Refused and unknown records, oldest first.
+    /// Refused and undecodable records, oldest first.
     pub fn refused(&self) -> impl Iterator<Item = &RefusedRecord> {
         self.refused.iter()
     }
 
-    /// The version of a document; 0 when it is absent.
+    /// The version of a document; 0 if it is absent.
     pub fn version_of(&self, key: &DocumentKey) -> u64 {
         self.versions.get(key).copied().unwrap_or_default()
     }
 
-    /// Every document with its version, in the order of their keys.
+    /// All documents with their versions, ordered by key.
     pub fn documents(&self) -> DocumentList {
         let documents = self.versions.iter().filter_map(|(key, version)| {
             Some(VersionedDocument {
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Folds the next record. One with another offset than the next is not folded.
+    /// Folds the next record. A record with any other offset is ignored.
     pub fn apply(&mut self, entry: &LogRecord) -> FoldOutcome {
         if entry.offset != self.next {
             return FoldOutcome::Unchanged;
@@ -184,8 +185,8 @@
         step
     }
 
-    /// What refuses the change for good, whatever is folded before it: its shape, or a version in
-    /// force that is newer than the one that it replaces.
+    /// The refusal of a change that cannot be accepted whatever is folded before it: its shape is
+    /// invalid, or it replaces a version older than the one in force. `None` if it may be accepted.
     pub fn preview(&self, change: &ChangeRecord) -> Option<PublishResult> {
         if let Some(reason) = wrong_shape(change) {
             return Some(PublishResult::Invalid { reason });
@@ -232,7 +233,7 @@
         Some(PublishResult::Invalid { reason })
     }
 
-    /// Sets or removes a document and gives the content before.
+    /// Sets or removes a document; returns its previous content.
     fn set(&mut self, version: u64, change: &DocumentChange) -> Option<Document> {
         let before = self.config.document(&change.key);
         if let Some(content) = &change.content {
--- a/kernel/src/configuration/message.rs
+++ b/kernel/src/configuration/message.rs
@@ -1,4 +1,4 @@
-//! Messages about configuration between nodes.
+//! Messages that replicate the configuration between nodes.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,52 +6,52 @@
 use crate::ids::NodeId;
 use crate::record::{CheckpointRecord, LogRecord};
 
-/// Configuration records passed between nodes.
+/// A message that replicates the configuration between nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigurationMessage {
-    /// "I have everything before this offset."
+    /// Advertises that the sender has every record before an offset.
     Have {
-        /// The offset.
+        /// The first offset that the sender lacks.
         next: u64,
-        /// Whether the sender takes calls with it.
+        /// Whether the sender accepts calls with this configuration.
         ready: bool,
     },
-    /// The same, and the receiver is to answer with its own.
+    /// Like [`ConfigurationMessage::Have`], and requests the same from the receiver.
     Ask {
-        /// The offset.
+        /// The first offset that the sender lacks.
         next: u64,
-        /// Whether the sender takes calls with it.
+        /// Whether the sender accepts calls with this configuration.
         ready: bool,
     },
-    /// "Send me the records from this offset on."
+    /// Requests the records from an offset on.
     Want {
-        /// The offset.
+        /// The first offset requested.
         from: u64,
     },
     /// Records that the receiver does not have yet.
     Records(Vec<LogRecord>),
-    /// A part of a checkpoint, when records that the receiver lacks are kept no longer.
+    /// A part of a checkpoint, sent if the sender no longer retains the requested records.
     Checkpoint {
-        /// The newest checkpoint on the log holds every record before this offset.
+        /// Offset before which the newest checkpoint on the log covers every record.
         covered: u64,
-        /// The part.
+        /// The part of the sender's state.
         part: Box<CheckpointRecord>,
     },
-    /// "Count the nodes at or past this version: yourself and these."
+    /// Requests a count of the nodes at or past a version, among the receiver and `nodes`.
     Count {
-        /// The count.
+        /// Identifier of the count.
         id: CountId,
-        /// The version.
+        /// The version to reach.
         version: u64,
-        /// The other nodes.
+        /// Nodes that the receiver counts besides itself.
         nodes: Vec<NodeId>,
     },
-    /// The count so far.
+    /// Reports the count so far.
     Counted {
-        /// The count.
+        /// Identifier of the count.
         id: CountId,
-        /// Nodes at or past the version.
+        /// Number of nodes at or past the version.
         nodes: u32,
     },
 }
--- a/kernel/src/configuration/peers.rs
+++ b/kernel/src/configuration/peers.rs
@@ -1,9 +1,11 @@
-//! Passing records between nodes, so that an outage of the log neither splits nor stops the fleet.
+//! Replicates records between nodes, so that an outage of the log neither splits nor stops the
+//! fleet.
 //!
-//! A change is announced by its offset to a few neighbours, which announce it on: the neighbours
-//! of all nodes form a circulant graph, so the links are few and stay the same. Records themselves
-//! go only to a node that still lacks them after a while, since the log brings them to most. A
-//! slow comparison with one other node at a time (anti-entropy) mends whatever was lost.
+//! A node announces the offset of a change to a few neighbours, which announce it in turn. The
+//! neighbours of all nodes form a circulant graph, so the links are few and stable. Records
+//! themselves are sent only to a node that still lacks them after a delay, because most nodes read
+//! them from the log. Lost announcements are repaired by a slow periodic comparison with one other
+//! node at a time (anti-entropy).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,23 +21,24 @@
 /// Time between two comparisons with another node.
 const COMPARE_EVERY: Duration = Duration::from_secs(4);
 
-/// How long the log has to bring records that another node is known to have.
+/// Time to wait for the log to deliver records that another node is known to have, before
+/// requesting them from that node.
 const LOG_GRACE: Duration = Duration::from_millis(300);
 
-/// After this long without an answer another node is asked for the records.
+/// Time without an answer after which another node is asked.
 const ANSWER_WAIT: Duration = Duration::from_secs(1);
 
-/// Nodes that a starting node asks.
+/// Number of nodes that a starting node asks in one round.
 const FIRST_ASKED: usize = 5;
 
-/// What another node said of itself.
+/// Last advertised state of another node.
 #[derive(Clone, Copy, Debug)]
 struct PeerOffset {
     next: u64,
     ready: bool,
 }
 
-/// What the other nodes have, and which of them is asked for what.
+/// Offsets that other nodes advertise, and the open requests to them.
 #[derive(Clone, Debug, Default)]
 pub struct PeerExchange {
     view: Arc<MemberView>,
@@ -48,7 +51,7 @@
     last_asked: Option<Duration>,
 }
 
-/// The node's neighbours among the live nodes, at growing distances in the order of identifiers.
+/// Neighbours of a node among the live nodes, at increasing distances in the order of identifiers.
 pub fn neighbours(view: &MemberView, node: NodeId) -> Vec<NodeId> {
     let live: Vec<NodeId> = live_nodes(view).collect();
     let count = live.len();
@@ -65,7 +68,7 @@
         .collect()
 }
 
-/// The nodes that answer, in the order of identifiers.
+/// The nodes that are live or leaving, in the order of identifiers.
 pub fn live_nodes(view: &MemberView) -> impl Iterator<Item = NodeId> + '_ {
     view.members
         .iter()
@@ -74,8 +77,8 @@
 }
 
 impl PeerExchange {
-    /// Takes the newest view of which nodes live. What a node told is forgotten when it is gone, or
-    /// runs anew with nothing kept.
+    /// Updates the membership view. Removes the advertised offset of a node that is gone, or that
+    /// restarted and so lost its state.
     pub fn update_view(&mut self, view: &Arc<MemberView>) {
         let run = |view: &MemberView, node: &NodeId| {
             let member = view.members.get(node);
@@ -88,19 +91,19 @@
         self.view = Arc::clone(view);
     }
 
-    /// The view of which nodes live.
+    /// The current membership view.
     pub fn view(&self) -> &MemberView {
         &self.view
     }
 
-    /// Another node said how far it is.
+    /// Records the offset that another node advertises.
     pub fn record_offset(&mut self, from: NodeId, next: u64, ready: bool) {
         let told = self.told.entry(from).or_insert(PeerOffset { next, ready });
         told.next = told.next.max(next);
         told.ready |= ready;
     }
 
-    /// The newest offset that a live node has told.
+    /// The highest offset that a live node advertises; 0 if there is none.
     pub fn newest(&self) -> u64 {
         self.told
             .values()
@@ -109,7 +112,7 @@
             .unwrap_or_default()
     }
 
-    /// Whether every node that was asked at the start has answered, or had the time to.
+    /// Whether every node that was asked at the start has answered or timed out.
     pub fn all_answered(&self, now: Duration) -> bool {
         let Some(asked_at) = self.asked_at else {
             return false;
@@ -120,7 +123,7 @@
         (asked && all) || now.saturating_sub(asked_at) > ANSWER_WAIT * 2
     }
 
-    /// Whether a node that takes calls itself has told how far it is.
+    /// Whether some node has advertised that it accepts calls.
     pub fn any_ready(&self) -> bool {
         self.told.values().any(|told| told.ready)
     }
@@ -134,12 +137,13 @@
         }
     }
 
-    /// Something that was asked for has come.
+    /// Records that requested data arrived.
     pub fn received(&mut self) {
         self.wanted = None;
     }
 
-    /// Does what is due: asks at the start, compares now and then, wants what is missing.
+    /// Sends what is due: the questions of a starting node, the periodic comparison, and requests
+    /// for missing records.
     pub fn tick(&mut self, next: u64, ready: bool, log_out: bool, context: &mut Context<'_>) {
         if !ready {
             self.ask_first(next, context);
@@ -184,7 +188,8 @@
         context.send(node, ConfigurationMessage::Ask { next, ready });
     }
 
-    /// Mostly a neighbour, since the link to it exists; now and then any node.
+    /// Selects the node to compare with: three times out of four a neighbour, because the link to
+    /// it exists already, otherwise any node.
     fn partner(&self, context: &mut Context<'_>) -> Option<NodeId> {
         let own = context.profile.node;
         let near = neighbours(&self.view, own);
@@ -198,7 +203,8 @@
         Some(others[context.random.random_range(0..others.len())])
     }
 
-    /// Asks one node for records that it has and this one lacks.
+    /// Requests records from one of the nodes that are ahead of this one. Unless `at_once` is set,
+    /// the log gets some time to deliver them first.
     pub fn request_missing(&mut self, next: u64, at_once: bool, context: &mut Context<'_>) {
         let ahead: Vec<NodeId> = self
             .told
--- a/kernel/src/configuration/publish.rs
+++ b/kernel/src/configuration/publish.rs
@@ -1,4 +1,4 @@
-//! Changes that operators publish through this node, until their records are read back.
+//! Tracks the changes that are published through this node until their records are read back.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,26 +13,26 @@
 use crate::plugin::Context;
 use crate::record::{AppendOwner, AppendResult, AppendTicket, ChangeRecord, PublishResult, Record};
 
-/// Changes under way at a time; more are told to come again.
+/// Maximum number of open changes; further ones are answered as unavailable.
 const MAX_OPEN: usize = 256;
 
-/// How long a change is tried before its publisher is told to send it again.
+/// Time after which an open change is abandoned and answered as unavailable.
 const PATIENCE: Duration = Duration::from_secs(10);
 
-/// How long an appended record has to be read back before it is appended again.
+/// Timeout for reading back an appended record, after which it is appended again.
 const READ_BACK: Duration = Duration::from_secs(3);
 
-/// Names a request of the process to its kernel until it is answered.
+/// Identifies a request of the process to its kernel until it is answered.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[display("{_0}")]
 pub struct RequestTicket(pub u64);
 
-/// What became of a change, and how far it has come, as a node tells its operators.
+/// Result and rollout of a change, as reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeStatus {
-    /// What became of it.
+    /// Whether the change was accepted, and if not, why.
     pub result: PublishResult,
-    /// How far it has come; none until a node was counted.
+    /// Rollout of the change; `None` until a node was counted.
     pub progress: Option<PublishProgress>,
 }
 
@@ -46,7 +46,7 @@
     give_up: Duration,
 }
 
-/// Changes under way, by identifier.
+/// Open changes by identifier.
 #[derive(Clone, Debug, Default)]
 pub struct PublishTracker {
     open: BTreeMap<Box<str>, OpenChange>,
@@ -62,8 +62,8 @@
 }
 
 impl PublishTracker {
-    /// Takes a change; answers at once, and gives the answer, if it is known already or can never
-    /// be accepted.
+    /// Opens a change. If its result is known already, or it can never be accepted, or too many
+    /// changes are open, answers at once and returns the answer.
     pub fn request(
         &mut self,
         request: RequestTicket,
@@ -97,7 +97,8 @@
         None
     }
 
-    /// An append was answered. Only reading the record back tells what became of it.
+    /// Handles the result of an append. The result of the change itself is known only when its
+    /// record is read back.
     pub fn appended(
         &mut self,
         ticket: AppendTicket,
@@ -118,7 +119,7 @@
         };
     }
 
-    /// A record with this identifier was folded. The requests that this answered.
+    /// Answers the requests for a change whose record was folded; returns these requests.
     pub fn folded(
         &mut self,
         id: &str,
@@ -136,7 +137,7 @@
         requests
     }
 
-    /// Appends what is due, and gives up what took too long.
+    /// Appends the records that are due, and abandons changes that timed out.
     pub fn tick(&mut self, context: &mut Context<'_>) {
         let now = context.now;
         for (id, open) in self.open.extract_if(.., |_, open| now >= open.give_up) {
@@ -155,12 +156,12 @@
         }
     }
 
-    /// Changes under way.
+    /// Number of open changes.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether none is under way.
+    /// Whether no change is open.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
--- a/kernel/src/configuration/reader.rs
+++ b/kernel/src/configuration/reader.rs
@@ -1,26 +1,27 @@
-//! Reading the log: one read at a time, with backoff and jitter when it fails.
+//! Reads the log: one read at a time, with backoff and jitter after failures.
 
 use std::time::Duration;
 
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// The first delay after a failed read; doubles with each further one.
+/// Delay after the first failed read; doubles with each further failure.
 const FIRST_DELAY: Duration = Duration::from_millis(200);
 
-/// The longest delay after failed reads.
+/// Maximum delay after failed reads.
 const LONGEST_DELAY: Duration = Duration::from_secs(5);
 
-/// The delay after an empty read that the log answered at once instead of waiting for news.
+/// Delay after an empty read that the log answered at once instead of waiting for new records.
 const EMPTY_DELAY: Duration = Duration::from_millis(200);
 
-/// An empty read that took less than this was no long poll.
+/// Minimum duration of a long poll; a shorter empty read was answered at once.
 const SHORT_POLL: Duration = Duration::from_millis(100);
 
-/// A first read that takes longer than this counts as an outage.
+/// Duration after which an unanswered first read counts as an outage.
 pub const SLOW_READ: Duration = Duration::from_secs(1);
 
-/// The delay before try number `failures`: exponential, with full jitter above one half.
+/// Delay after the given number of consecutive failures: exponential, with jitter between half the
+/// delay and the whole.
 pub fn backoff(failures: u32, random: &mut Pcg64Mcg) -> Duration {
     let doubled = FIRST_DELAY * 2_u32.pow(failures.saturating_sub(1).min(8));
     doubled
@@ -28,7 +29,7 @@
         .mul_f64(random.random_range(0.5..1.0))
 }
 
-/// Keeps exactly one read of the log under way.
+/// Schedules the reads of the log, one at a time.
 #[derive(Clone, Debug, Default)]
 pub struct LogReader {
     since: Option<Duration>,
@@ -38,7 +39,7 @@
 }
 
 impl LogReader {
-    /// Whether to send a read now; it then counts as under way.
+    /// Whether to start a read now. If so, the read counts as pending.
     pub fn poll(&mut self, now: Duration) -> bool {
         if self.since.is_some() || now < self.not_before {
             return false;
@@ -47,7 +48,7 @@
         true
     }
 
-    /// The read under way was answered.
+    /// Records that the pending read was answered.
     pub fn succeeded(&mut self, now: Duration, empty: bool) {
         let took = self
             .since
@@ -59,14 +60,14 @@
         self.not_before = now + if pause { EMPTY_DELAY } else { Duration::ZERO };
     }
 
-    /// The read under way failed.
+    /// Records that the pending read failed.
     pub fn failed(&mut self, now: Duration, random: &mut Pcg64Mcg) {
         self.since = None;
         self.failures += 1;
         self.not_before = now + backoff(self.failures, random);
     }
 
-    /// Whether the log has not shown anything lately, or has never answered in a reasonable time.
+    /// Whether the last read failed, or the first one is unanswered for longer than [`SLOW_READ`].
     pub fn is_unavailable(&self, now: Duration) -> bool {
         let slow = self
             .since
--- a/kernel/src/configuration/rollout.rs
+++ b/kernel/src/configuration/rollout.rs
@@ -1,5 +1,5 @@
-//! Counting the nodes on which a version is in force: one message to a node of each availability
-//! zone, which counts its own zone.
+//! Counts the nodes on which a version is in force. One node of each availability zone is asked and
+//! counts its own zone.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,30 +14,30 @@
 use crate::membership::MemberView;
 use crate::plugin::Context;
 
-/// How long a count goes on.
+/// Time after which a count ends even if it is incomplete.
 const COUNT_FOR: Duration = Duration::from_secs(30);
 
-/// Time between two questions to nodes that have not reached the version.
+/// Time between two requests to nodes that have not reached the version.
 const ASK_AGAIN: Duration = Duration::from_secs(1);
 
-/// Counts that a node takes part in at a time.
+/// Maximum number of counts that a node takes part in at a time.
 const MAX_COUNTS: usize = 64;
 
-/// Names a count.
+/// Identifies a count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CountId {
-    /// The node that counts.
+    /// The node that started the count.
     pub node: NodeId,
-    /// Numbers that node's counts.
+    /// Sequence number among the counts of that node.
     pub sequence: u64,
 }
 
-/// How far an accepted change has come.
+/// Rollout progress of an accepted change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishProgress {
-    /// Nodes on which it is known to be in force.
+    /// Number of nodes on which the change is known to be in force.
     pub in_force: u32,
-    /// Nodes known to live.
+    /// Number of nodes that were live when the count started.
     pub of: u32,
 }
 
@@ -60,7 +60,7 @@
     expires: Duration,
 }
 
-/// Counts under way.
+/// The counts that this node takes part in.
 #[derive(Clone, Debug, Default)]
 pub struct RolloutCounter {
     counts: BTreeMap<CountId, NodeCount>,
@@ -85,7 +85,7 @@
 }
 
 impl RolloutCounter {
-    /// Counts the nodes at or past a version for a publisher.
+    /// Starts a count of the nodes at or past a version for a publisher.
     pub fn start(
         &mut self,
         request: RequestTicket,
@@ -114,7 +114,7 @@
         );
     }
 
-    /// Another node counts.
+    /// Handles the request of another node to take part in its count.
     pub fn asked(
         &mut self,
         id: CountId,
@@ -158,7 +158,7 @@
         self.counts.insert(id, count);
     }
 
-    /// A node that was asked has counted.
+    /// Records the count that an asked node reported.
     pub fn reached(&mut self, id: CountId, from: NodeId, nodes: u32) {
         let Some(count) = self.counts.get_mut(&id) else {
             return;
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Asks what is due, tells news, and ends what is complete or old. `version` is the one in
-    /// force here.
+    /// Sends due requests, reports changed counts, and ends counts that are complete or expired.
+    /// `version` is the one in force here.
     pub fn tick(&mut self, version: u64, context: &mut Context<'_>) {
         let mut done = BTreeSet::new();
         for (id, count) in &mut self.counts {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Asks another node of a group in place of one that has not answered at all.
+    /// Replaces each asked node that has not answered at all by another one of its zone.
     fn replace_silent(&mut self) {
         let silent: Vec<NodeId> = self
             .asked
--- a/kernel/src/configuration/tail.rs
+++ b/kernel/src/configuration/tail.rs
@@ -1,20 +1,20 @@
-//! The newest records, kept for other nodes, and records that came before their turn.
+//! Buffers of records: the newest folded ones, for other nodes, and those that arrived early.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::configuration::checkpoint::{PART_BYTES, json_size};
 use crate::record::LogRecord;
 
-/// Folded records kept for other nodes.
+/// Maximum number of folded records retained for other nodes.
 const KEPT_RECORDS: usize = 4_096;
 
-/// Folded records kept for other nodes, in bytes of JSON.
+/// Maximum total size of the folded records retained for other nodes, in bytes of JSON.
 const KEPT_BYTES: usize = 2 * 1024 * 1024;
 
-/// Records kept that came before their turn.
+/// Maximum number of early records in the buffer.
 const EARLY_RECORDS: usize = 8_192;
 
-/// Records without gaps, up to the last one folded.
+/// The last folded records, without gaps.
 #[derive(Clone, Debug, Default)]
 pub struct RecordTail {
     records: VecDeque<(LogRecord, usize)>,
@@ -22,7 +22,7 @@
 }
 
 impl RecordTail {
-    /// Adds a folded record and gives its size in bytes.
+    /// Appends a folded record; returns its size in bytes of JSON.
     pub fn push(&mut self, entry: LogRecord) -> usize {
         let size = json_size(&entry);
         self.bytes += size;
@@ -36,23 +36,23 @@
         size
     }
 
-    /// Forgets every record: the ones to come do not follow on them.
+    /// Removes all records, because the next ones do not follow on them.
     pub fn clear(&mut self) {
         self.records.clear();
         self.bytes = 0;
     }
 
-    /// Records kept.
+    /// Number of records retained.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether none is kept.
+    /// Whether no record is retained.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// One message's worth of records from an offset on; none when the offset is not kept.
+    /// The records from an offset on that fit one message; `None` if the offset is not retained.
     pub fn page(&self, from: u64) -> Option<Vec<LogRecord>> {
         let first = self.records.front()?.0.offset;
         let skipped = usize::try_from(from.checked_sub(first)?).ok()?;
@@ -69,14 +69,14 @@
     }
 }
 
-/// Records that cannot be folded until earlier ones arrive.
+/// Buffer of records that cannot be folded until earlier ones arrive.
 #[derive(Clone, Debug, Default)]
 pub struct ReorderBuffer {
     records: BTreeMap<u64, LogRecord>,
 }
 
 impl ReorderBuffer {
-    /// Keeps a record for later; the oldest gives way when there are too many.
+    /// Inserts a record. If the buffer is full, evicts the record with the lowest offset.
     pub fn keep(&mut self, entry: LogRecord) {
         self.records.insert(entry.offset, entry);
         if self.records.len() > EARLY_RECORDS {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Takes the record of this offset, and forgets all before it.
+    /// Removes and returns the record at this offset, and drops all before it.
     pub fn take(&mut self, offset: u64) -> Option<LogRecord> {
         while let Some(entry) = self.records.first_entry() {
             if *entry.key() >= offset {
@@ -95,12 +95,12 @@
         self.records.remove(&offset)
     }
 
-    /// The oldest offset kept.
+    /// The lowest buffered offset; `None` if the buffer is empty.
     pub fn first(&self) -> Option<u64> {
         self.records.keys().next().copied()
     }
 
-    /// The offset after the newest one kept.
+    /// The offset after the highest buffered one; `None` if the buffer is empty.
     pub fn end(&self) -> Option<u64> {
         self.records.keys().next_back().map(|offset| offset + 1)
     }
--- a/kernel/src/membership/gossip.rs
+++ b/kernel/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! Telling news and taking it in.
+//! Sending and merging membership updates.
 
 use std::time::Duration;
 
@@ -12,15 +12,16 @@
 use crate::membership::upstream::UpstreamChange;
 use crate::plugin::Context;
 
-/// How long the second bridge of a zone waits for the first to tell the zone what came from
-/// another one.
+/// Time that a bridge other than the first waits for the first one to send updates from another
+/// zone to its own zone.
 const SECOND_BRIDGE_WAIT: Duration = Duration::from_millis(300);
 
-/// Bridges of a zone that pass its news on at once; the others help in repairs.
+/// Number of bridges per zone that propagate its updates at once; the others take part in repairs
+/// only.
 const TELLING_BRIDGES: usize = 2;
 
 impl MembershipTable {
-    /// The present content of news.
+    /// The updates with these keys, with their current content.
     pub(super) fn batch(&self, keys: &[UpdateKey]) -> UpdateBatch {
         let mut batch = UpdateBatch::default();
         for key in keys {
@@ -38,8 +39,8 @@
         batch
     }
 
-    /// News that goes along with a probe of `peer`; what is held against the peer itself always
-    /// does, so that it can refute.
+    /// Updates to piggyback on a probe of `peer`. A suspicion of the peer itself is always
+    /// included, so that the peer can refute it.
     pub(super) fn riding_news(&mut self, peer: NodeId) -> UpdateBatch {
         let mut keys = self.outbox.take_piggyback();
         let doubted = self
@@ -52,7 +53,7 @@
         self.batch(&keys)
     }
 
-    /// Tells news at once, as far as the allowance reaches.
+    /// Sends queued updates as far as the rate limit permits.
     pub(super) fn tick_news(&mut self, context: &mut Context<'_>) {
         let keys = self.outbox.take_group(self.group.ring.len(), context.now);
         if !keys.is_empty() {
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Notes that a node's record changed; `here` when it was found out here or came from another
-    /// zone, so that this node tells its group.
+    /// Queues the changed record of a node. `here` is set if the change was detected here or came
+    /// from another zone, so that this node sends it to its group.
     pub(super) fn note_change(
         &mut self,
         node: NodeId,
@@ -102,7 +103,7 @@
         self.forget_if_gone(node);
     }
 
-    /// When this node tells its group what came from another zone.
+    /// When this node sends an update from another zone to its group.
     fn telling_time(&self, now: Duration) -> Duration {
         match self.group.rank {
             None | Some(0) => now,
@@ -118,8 +119,8 @@
         self.group.zoned && self.rows.get(from).is_none_or(|row| row.zone != self.zone)
     }
 
-    /// Takes in news that came without a probe. A suspect that is first heard of this way is asked
-    /// at once, so that it learns of the suspicion by more than one way.
+    /// Merges updates that arrived outside a probe. Each node newly suspected by them is pinged at
+    /// once, so that it learns of the suspicion by more than one path.
     pub(super) fn take_news(
         &mut self,
         from: NodeId,
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Takes in news; gives back the nodes that became suspects by it.
+    /// Merges updates; returns the nodes that became suspect by them.
     pub(super) fn merge(
         &mut self,
         from: NodeId,
@@ -155,7 +156,7 @@
         suspects
     }
 
-    /// Gets past news of this node that is newer than its own: it raises its epoch above it.
+    /// Refutes a record of this node that is newer than its own, by raising its epoch above it.
     fn refute(&mut self, told: &NodeRecord, now: Duration) {
         let Some(row) = self.rows.get(self.node) else {
             return;
@@ -172,7 +173,7 @@
         self.note_change(self.node, &before, true, now);
     }
 
-    /// Says that this node leaves; sticky for this run.
+    /// Announces that this node is leaving. Irrevocable for this run.
     pub(super) fn leave(&mut self, now: Duration) {
         let Some(row) = self.rows.get(self.node) else {
             return;
@@ -237,7 +238,7 @@
         record.health == NodeHealth::Suspect
     }
 
-    /// Tells a node what is known of it, when it is behind its own news.
+    /// Sends a node the newer record that the fleet has of it.
     fn correct(&self, node: NodeId, context: &mut Context<'_>) {
         let news = self.batch(&[UpdateKey::Node(node)]);
         context.send(node, MembershipMessage::Updates(news));
@@ -279,21 +280,21 @@
             .add(UpdateKey::Upstream(upstream), audience, after);
     }
 
-    /// Tells everyone of a change that was found out here.
+    /// Propagates and raises a change of an upstream that was detected here.
     pub(super) fn upstream_changed(&mut self, change: UpstreamChange, context: &mut Context<'_>) {
         let (UpstreamChange::Leaving(upstream) | UpstreamChange::Returned(upstream)) = change;
         self.note_upstream(upstream, true, context.now);
         raise_change(Some(change), context);
     }
 
-    /// An operator wants an upstream to get nothing new.
+    /// Marks an upstream as leaving on an operator's request.
     pub(super) fn drain_upstream(&mut self, upstream: UpstreamId, context: &mut Context<'_>) {
         if let Some(change) = self.upstreams.drain(upstream) {
             self.upstream_changed(change, context);
         }
     }
 
-    /// An upstream said whether it leaves.
+    /// Applies an upstream's own report whether it is leaving.
     pub(super) fn apply_report(
         &mut self,
         upstream: UpstreamId,
@@ -305,7 +306,7 @@
         }
     }
 
-    /// The link to a node was made.
+    /// Clears the suspicion of a broken link to this node.
     pub(super) fn link_up(&mut self, node: NodeId) {
         if let Some(row) = self.rows.get_mut(node)
             && row.local_suspicion == Some(LocalSuspicion::LinkDown)
--- a/kernel/src/membership/group.rs
+++ b/kernel/src/membership/group.rs
@@ -1,4 +1,4 @@
-//! Which nodes probe each other, and which of them speak for their zone.
+//! Groups of nodes that probe each other, and the bridges of each zone.
 
 use std::collections::BTreeMap;
 
@@ -8,29 +8,30 @@
 use crate::membership::table::NodeTable;
 use crate::plugin::NodeProfile;
 
-/// Fleets of up to this many nodes are one group; in larger ones each availability zone is one.
+/// Largest fleet, in nodes, that forms a single group. In a larger fleet each availability zone is
+/// a group.
 pub const SMALL_FLEET: usize = 40;
 
-/// Nodes of a zone that talk to other zones.
+/// Number of nodes per zone that exchange messages with other zones.
 pub const ZONE_BRIDGES: usize = 3;
 
-/// The nodes around this one, worked out from the table whenever that changes.
+/// The group of this node, recomputed from the table whenever that changes.
 #[derive(Debug, Default)]
 pub struct PeerGroup {
-    /// Whether the fleet is more than one group.
+    /// Whether the fleet consists of more than one group.
     pub zoned: bool,
-    /// Nodes of the group that are not dead, in order of identifier, without this one.
+    /// Nodes of the group that are not dead, in order of identifier, excluding this one.
     pub ring: Vec<NodeId>,
-    /// Nodes of the group that are dead but listed: tried now and then.
+    /// Nodes of the group that are dead but still listed; probed at a low rate.
     pub dead: Vec<NodeId>,
-    /// Bridges of each zone, in order of rank. Empty in a fleet of one group.
+    /// Bridges of each zone, in order of rank. Empty if the fleet is one group.
     pub bridges: BTreeMap<ZoneId, Vec<NodeId>>,
-    /// This node's rank among the bridges of its zone.
+    /// Rank of this node among the bridges of its zone; `None` if it is no bridge.
     pub rank: Option<usize>,
 }
 
 impl PeerGroup {
-    /// The group of the node in `profile`.
+    /// Computes the group of the node in `profile`.
     pub fn of(table: &NodeTable, profile: &NodeProfile) -> Self {
         let zoned = table.rows().len() > SMALL_FLEET;
         let mut group = Self {
@@ -57,13 +58,14 @@
         group
     }
 
-    /// The node that this one watches: the next on the ring.
+    /// The next node after `node` on the ring, which `node` probes regularly; `None` if the ring is
+    /// empty.
     pub fn successor(&self, node: NodeId) -> Option<NodeId> {
         let next = self.ring.partition_point(|other| *other < node);
         self.ring.get(next).or(self.ring.first()).copied()
     }
 
-    /// One bridge in every other zone, of the same rank where there is one.
+    /// One bridge of every other zone: the one with this node's rank, or else the last one.
     pub fn counterparts(&self, zone: ZoneId) -> Vec<NodeId> {
         let rank = self.rank.unwrap_or_default();
         self.bridges
--- a/kernel/src/membership/hosts.rs
+++ b/kernel/src/membership/hosts.rs
@@ -1,4 +1,4 @@
-//! What the platform's host list changes: who exists, and who is told to leave.
+//! Applies the platform's host list: which nodes exist, and which are marked as leaving.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::plugin::Context;
 
 impl MembershipTable {
-    /// Takes in the host list.
+    /// Applies the host list, unless it is unchanged.
     pub(super) fn list(&mut self, hosts: &[HostEntry], context: &mut Context<'_>) {
         if self.started.is_some() && hosts == &*self.hosts {
             return;
@@ -43,7 +43,7 @@
             return;
         };
         row.listed = true;
-        // The flag rises for the run that is known now; a later run begins without it.
+        // The flag applies to the currently known run; a later run starts without it.
         if host.leaving != row.host.leaving {
             row.list_leaving = host.leaving && node != self.node;
         }
@@ -57,8 +57,9 @@
         row.host = host.clone();
     }
 
-    /// A node that the list no longer shows is forgotten once it is dead, or leaves. While it
-    /// answers it stays: a list that lost rows must not take down the fleet.
+    /// Marks nodes that the list no longer contains. Such a node is removed once it is dead or
+    /// leaving. A node that still responds is retained, so that an incomplete list cannot take down
+    /// the fleet.
     fn unlist(&mut self, listed: &BTreeMap<NodeId, &HostEntry>) {
         let own = self.node;
         let missing: Vec<NodeId> = self
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Drops a row that is neither listed nor alive.
+    /// Removes the row of a node that is unlisted and either dead or leaving.
     pub(super) fn forget_if_gone(&mut self, node: NodeId) {
         let gone = self
             .rows
--- a/kernel/src/membership/outbox.rs
+++ b/kernel/src/membership/outbox.rs
@@ -1,38 +1,38 @@
-//! News that is still to be told: at once to a group or to other zones, and along with probes.
+//! Updates to be sent: at once to the group or to other zones, and piggybacked on probes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::ids::{NodeId, UpstreamId, ZoneId};
 
-/// How often a piece of news rides along with a probe or its answer.
+/// Number of probes and acknowledgements that carry each update.
 const RIDES: u8 = 4;
-/// Most pieces of news in one probe.
+/// Maximum number of updates in one probe or acknowledgement.
 const RIDES_PER_PROBE: usize = 6;
-/// Most pieces of news in one message.
+/// Maximum number of updates in one separate message.
 const NEWS_PER_MESSAGE: usize = 32;
-/// Messages that may be sent at once after a quiet time.
+/// Capacity of the token bucket, in messages.
 const BURST_MESSAGES: f64 = 128.0;
-/// Messages a second that may be sent in the long run.
+/// Refill rate of the token bucket, in messages per second.
 const MESSAGES_PER_SECOND: f64 = 10.0;
 
-/// What a piece of news is about; its content is looked up when it is sent.
+/// Subject of an update. Its content is looked up when it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UpdateKey {
-    /// A node.
+    /// The record of a node.
     Node(NodeId),
-    /// An upstream.
+    /// The mark on an upstream.
     Upstream(UpstreamId),
-    /// A zone.
+    /// The mark on a zone.
     Zone(ZoneId),
 }
 
-/// Who is told at once.
+/// Receivers of an update that is sent at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpdateAudience {
-    /// The nodes that probe each other with this one.
+    /// All nodes of this node's group.
     pub group: bool,
-    /// A bridge in every other zone.
+    /// One bridge of every other zone.
     pub other_zones: bool,
 }
 
@@ -43,7 +43,7 @@
     group_after: Duration,
 }
 
-/// News that is still to be told.
+/// Queue of updates to be sent, with a rate limit on separate messages.
 #[derive(Debug)]
 pub struct UpdateOutbox {
     pending: BTreeMap<UpdateKey, PendingNews>,
@@ -62,17 +62,17 @@
 }
 
 impl UpdateOutbox {
-    /// Pieces of news that are still to be told.
+    /// Number of updates that are not fully sent.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether everything is told.
+    /// Whether all updates are fully sent.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Notes news; the group is told of it at `group_after` or later.
+    /// Queues an update; it is sent to the group at `group_after` or later.
     pub fn add(&mut self, key: UpdateKey, audience: UpdateAudience, group_after: Duration) {
         let entry = self.pending.entry(key).or_insert(PendingNews {
             rides: RIDES,
@@ -85,14 +85,14 @@
         entry.audience.other_zones |= audience.other_zones;
     }
 
-    /// Notes that another node told the group.
+    /// Records that another node sent this update to the group.
     pub fn mark_group_informed(&mut self, key: UpdateKey) {
         if let Some(news) = self.pending.get_mut(&key) {
             news.audience.group = false;
         }
     }
 
-    /// News to go along with a probe.
+    /// Takes updates to piggyback on one probe or acknowledgement.
     pub fn take_piggyback(&mut self) -> Vec<UpdateKey> {
         let keys: Vec<UpdateKey> = self
             .pending
@@ -110,7 +110,7 @@
         keys
     }
 
-    /// News for the group, if `receivers` messages may be sent now.
+    /// Takes updates for the group, if the rate limit permits `receivers` messages now.
     pub fn take_group(&mut self, receivers: usize, now: Duration) -> Vec<UpdateKey> {
         self.take(receivers, now, |news| {
             let due = now >= news.group_after;
@@ -118,7 +118,7 @@
         })
     }
 
-    /// News for other zones, if `receivers` messages may be sent now.
+    /// Takes updates for other zones, if the rate limit permits `receivers` messages now.
     pub fn take_other_zones(&mut self, receivers: usize, now: Duration) -> Vec<UpdateKey> {
         self.take(receivers, now, |news| Some(&mut news.audience.other_zones))
     }
--- a/kernel/src/membership/probe.rs
+++ b/kernel/src/membership/probe.rs
@@ -1,9 +1,10 @@
 //! Failure detection inside a group.
 //!
-//! After SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process
-//! Group Membership Protocol", 2002): a probe a period, indirect probes through others against one
-//! bad link, a suspicion that the suspect may refute. Unlike SWIM every second probe goes to the
-//! next node on a ring, so that the wait for the first probe of a dead node has a bound.
+//! Follows SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process
+//! Group Membership Protocol", 2002): one probe per period, indirect probes through other nodes to
+//! tolerate a single bad link, and a suspicion that the suspect may refute. Unlike SWIM, every
+//! second probe goes to the next node on a ring, which bounds the time until a dead node is first
+//! probed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,24 +19,24 @@
 use crate::membership::table::LocalSuspicion;
 use crate::plugin::Context;
 
-/// Time between two probes of a node.
+/// Time between two probes that a node sends.
 pub const PROBE_PERIOD: Duration = Duration::from_millis(400);
-/// Wait for the answer of a probe.
+/// Timeout of a direct probe, after which indirect probes start.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Wait for the answer of probes through other nodes.
+/// Timeout of indirect probes, after which the target becomes suspect.
 pub const INDIRECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Nodes that are asked to probe in this one's place.
+/// Number of nodes that send indirect probes on behalf of this one.
 pub const INDIRECT_PROBES: usize = 3;
-/// Time that a suspect has to refute.
+/// Time that a suspect has to refute a suspicion raised here.
 pub const SUSPICION_TIMEOUT: Duration = Duration::from_secs(1);
-/// The same, where the link to it broke as well.
+/// Time that a suspect has to refute a suspicion raised here if the link to it broke as well.
 pub const BROKEN_LINK_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time that a suspect has where the suspicion came from another node.
+/// Time that a suspect has to refute a suspicion raised by another node.
 pub const REMOTE_SUSPICION_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for which a node whose link broke is left alone. Then it is taken for reachable again, and
-/// the next message shows whether it is.
+/// Time for which a node whose link broke stays locally suspect. Afterwards the link is assumed to
+/// work again, and the next message shows whether it does.
 pub const LINK_SUSPICION_TIME: Duration = Duration::from_secs(5);
-/// Time between two probes of nodes that are dead but listed.
+/// Time between two probes of nodes that are dead but still listed.
 pub const DEAD_PROBE_PERIOD: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
@@ -58,7 +59,7 @@
     until: Duration,
 }
 
-/// Probes and suspicions that are not decided yet.
+/// Open probes and suspicions.
 #[derive(Debug, Default)]
 pub struct ProbeTable {
     sequence: u32,
@@ -74,17 +75,17 @@
 }
 
 impl ProbeTable {
-    /// Suspicions that are not decided yet.
+    /// Number of open suspicions.
     pub fn suspicions(&self) -> usize {
         self.suspicions.len()
     }
 
-    /// Notes that a node of the group was heard.
+    /// Records that a message of a node in the group arrived.
     pub fn record_contact(&mut self, now: Duration) {
         self.heard = now;
     }
 
-    /// Notes a suspicion that another node told.
+    /// Records a suspicion that another node reported.
     pub fn add_remote_suspicion(&mut self, node: NodeId, now: Duration) {
         self.suspicions.entry(node).or_insert(OpenSuspicion {
             began: now,
@@ -92,7 +93,7 @@
         });
     }
 
-    /// Forgets a suspicion.
+    /// Removes the suspicion of a node, if there is one.
     pub fn clear_suspicion(&mut self, node: NodeId) {
         self.suspicions.remove(&node);
     }
@@ -107,13 +108,13 @@
     }
 }
 
-/// A duration between 0.9 and 1.1 times `period`, so that nodes do not act in step.
+/// A random duration between 0.9 and 1.1 times `period`, so that nodes do not synchronize.
 pub fn jitter(period: Duration, context: &mut Context<'_>) -> Duration {
     period.mul_f64(context.random.random_range(0.9..1.1))
 }
 
 impl MembershipTable {
-    /// Does what is due in failure detection.
+    /// Expires probes and suspicions, and sends the probes that are due.
     pub(super) fn tick_probes(&mut self, context: &mut Context<'_>) {
         self.expire_probes(context);
         self.expire_suspicions(context);
@@ -198,8 +199,8 @@
         self.note_change(node, &before, true, now);
     }
 
-    /// Gives a node up without telling anyone: who hears from nobody may be the one that is cut
-    /// off, and its word would only make all the others refute it later.
+    /// Treats a node as dead locally without gossiping it. A node that receives no messages may
+    /// itself be isolated, and its reports would only force all other nodes to refute them later.
     fn lose(&mut self, node: NodeId) {
         if let Some(row) = self.rows.get_mut(node) {
             row.local_suspicion = Some(LocalSuspicion::DeadWhileIsolated);
@@ -295,7 +296,7 @@
         sequence
     }
 
-    /// Sends a ping whose answer nobody waits for.
+    /// Sends a ping without a timeout for its acknowledgement.
     pub(super) fn ping(&mut self, target: NodeId, context: &mut Context<'_>) -> u32 {
         let sequence = self.prober.number();
         let news = self.riding_news(target);
@@ -304,7 +305,8 @@
         sequence
     }
 
-    /// A broken link is a hint, not a proof: the node is probed at once, through others as well.
+    /// Probes a node at once, directly and indirectly, because its link broke. A broken link alone
+    /// does not prove that the node is dead.
     pub(super) fn link_down(&mut self, node: NodeId, context: &mut Context<'_>) {
         self.doubt_link(node, context.now);
         let watched = self.group.ring.binary_search(&node).is_ok();
@@ -323,7 +325,7 @@
         self.probe_indirectly(sequence, node, context);
     }
 
-    /// Answers a ping.
+    /// Merges the updates of a ping and acknowledges it.
     pub(super) fn answer_ping(
         &mut self,
         from: NodeId,
@@ -337,7 +339,8 @@
         context.send(from, MembershipMessage::Ack(sequence, digest, news));
     }
 
-    /// Takes in the answer of a ping.
+    /// Closes the probe that an acknowledgement belongs to, and reports it if the probe was on
+    /// behalf of another node.
     pub(super) fn take_ack(&mut self, sequence: u32, from: NodeId, context: &mut Context<'_>) {
         if let Some(relay) = self.prober.relays.remove(&sequence) {
             context.send(relay.origin, MembershipMessage::Reached(relay.sequence));
@@ -348,7 +351,8 @@
         }
     }
 
-    /// Another node reached the one that this node could not: it lives, but not for this node.
+    /// Closes a probe that only succeeded indirectly: the target is live, but the link to it is
+    /// suspect.
     pub(super) fn take_reached(&mut self, sequence: u32, now: Duration) {
         if let Some(probe) = self.prober.probes.remove(&sequence) {
             self.doubt_link(probe.target, now);
@@ -374,7 +378,7 @@
         }
     }
 
-    /// Pings a node in another one's place.
+    /// Pings a node on behalf of another one.
     pub(super) fn probe_for(
         &mut self,
         origin: NodeId,
@@ -392,7 +396,7 @@
     }
 }
 
-/// Moves a random choice of `count` nodes to the front (Fisher and Yates).
+/// Moves a random selection of `count` nodes to the front (Fisher–Yates shuffle).
 fn shuffle(nodes: &mut [NodeId], count: usize, context: &mut Context<'_>) {
     for index in 0..count.min(nodes.len()) {
         let other = context.random.random_range(index..nodes.len());
--- a/kernel/src/membership/record.rs
+++ b/kernel/src/membership/record.rs
@@ -1,40 +1,40 @@
-//! What the fleet says of one node, and the order of such news.
+//! The record of one node, and the order in which records supersede each other.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::ids::{Incarnation, NodeId};
 
-/// Whether a node answers.
+/// Result of failure detection for a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NodeHealth {
-    /// It answers.
+    /// The node is assumed to respond.
     Live,
-    /// It did not answer a probe, and may still refute that.
+    /// The node failed a probe and may still refute the suspicion.
     Suspect,
-    /// It did not refute in time.
+    /// The node did not refute the suspicion in time.
     Dead,
 }
 
-/// The newest news of one node.
+/// The newest known state of one node.
 ///
-/// The epoch orders a node's news. It begins with the run's incarnation, and only the node itself
-/// raises it: to refute a suspicion, to say that it leaves, and to get past news of an earlier run
-/// whose clock was ahead.
+/// The epoch orders the updates of a node. It starts at the incarnation of the run, and only the
+/// node itself increments it: to refute a suspicion, to announce that it is leaving, and to
+/// supersede updates of an earlier run whose clock was ahead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeRecord {
-    /// Orders the news; 0 for a node that is listed but was never heard of.
+    /// Orders the updates of the node; 0 for a node that is listed but has sent no record.
     pub epoch: u64,
-    /// The run that the news is of.
+    /// The run that the record describes.
     pub incarnation: Incarnation,
-    /// Whether it answers.
+    /// Result of failure detection.
     pub health: NodeHealth,
-    /// Whether that run is leaving.
+    /// Whether this run is leaving.
     pub leaving: bool,
 }
 
 impl NodeRecord {
-    /// A node that is listed but was never heard of: taken for live until a probe fails.
+    /// Record of a node that is listed but has sent no record: assumed live until a probe fails.
     pub const UNKNOWN: Self = Self {
         epoch: 0,
         incarnation: Incarnation(0),
@@ -42,7 +42,7 @@
         leaving: false,
     };
 
-    /// A node's own first record.
+    /// A node's first record of itself in a new run.
     pub fn started(incarnation: Incarnation) -> Self {
         Self {
             epoch: incarnation.0.max(1),
@@ -55,20 +55,20 @@
         (self.epoch, self.health, self.leaving, self.incarnation)
     }
 
-    /// Whether this is newer than `other`. A total order, so that every node ends with the same
-    /// record in whatever order the news arrives.
+    /// Whether this record is newer than `other`. The order is total, so that all nodes converge to
+    /// the same record whatever the order of arrival.
     pub fn supersedes(&self, other: &Self) -> bool {
         self.rank() > other.rank()
     }
 
-    /// Whether other groups need this record: what is not known to be dead or leaving is taken for
-    /// live, so a record that says no more than that need not leave its group.
+    /// Whether the record must be propagated beyond its group. Other groups assume a node live
+    /// unless they know it to be dead or leaving, so a record without either stays in its group.
     pub fn is_fleet_wide(&self) -> bool {
         self.health == NodeHealth::Dead || self.leaving
     }
 
-    /// This record's part of the digest of all records; suspicions stay out of it, because they
-    /// are told inside a group only.
+    /// Contribution of this record to the digest of all records. Suspicions do not contribute,
+    /// because they are gossiped inside a group only.
     pub fn digest(&self, node: NodeId) -> u64 {
         if self.epoch == 0 && !self.is_fleet_wide() {
             return 0;
@@ -83,13 +83,13 @@
     }
 }
 
-/// A record on its way: node, epoch, how far the epoch is ahead of the incarnation, flags.
-/// A tuple, because CBOR then carries no field names.
+/// A record in a message: node, epoch, lead of the epoch over the incarnation, flags. A tuple,
+/// because CBOR then encodes no field names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeUpdate(pub NodeId, u64, u64, u8);
 
 impl NodeUpdate {
-    /// The news that `node` has this record.
+    /// Encodes the record of `node`.
     pub fn new(node: NodeId, record: &NodeRecord) -> Self {
         let health = match record.health {
             NodeHealth::Live => 0,
@@ -105,7 +105,7 @@
         )
     }
 
-    /// The record; none when its flags are of no version that is known here.
+    /// Decodes the record; `None` if this version does not know its flags.
     pub fn record(&self) -> Option<NodeRecord> {
         let health = match self.3 >> 1 {
             0 => NodeHealth::Live,
--- a/kernel/src/membership/table.rs
+++ b/kernel/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The rows of all nodes, with digests that are kept up to date as rows change.
+//! The table of all nodes, with digests that are updated incrementally.
 
 use std::collections::BTreeMap;
 
@@ -6,34 +6,35 @@
 use crate::membership::record::{NodeHealth, NodeRecord};
 use crate::membership::{HostEntry, Member, NodeState};
 
-/// One node.
+/// Everything known of one node.
 #[derive(Clone, Debug)]
 pub struct NodeRow {
-    /// What the host list said last.
+    /// The node's last entry in the host list.
     pub host: HostEntry,
-    /// The availability zone.
+    /// Identifier of the availability zone.
     pub zone: ZoneId,
-    /// The newest news.
+    /// The newest record.
     pub record: NodeRecord,
-    /// Whether the host list shows it now.
+    /// Whether the current host list contains the node.
     pub listed: bool,
-    /// Whether the host list says that the run in `record` is leaving.
+    /// Whether the host list marks the run in `record` as leaving.
     pub list_leaving: bool,
-    /// What this node alone holds against it.
+    /// Suspicion of this node alone; `None` if there is none.
     pub local_suspicion: Option<LocalSuspicion>,
 }
 
-/// What a node holds against another without telling anyone.
+/// A node's suspicion of another one that it does not gossip.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalSuspicion {
-    /// Its own link to the other is down.
+    /// The link to the node is down.
     LinkDown,
-    /// It gave the other up at a time when it heard from nobody.
+    /// The suspicion timeout of the node expired while no other node of the group was heard from.
+    /// This node may be the isolated one.
     DeadWhileIsolated,
 }
 
 impl NodeRow {
-    /// A row for a host that was never heard of.
+    /// A row for a newly listed host.
     pub fn new(host: &HostEntry) -> Self {
         Self {
             zone: ZoneId::named(&host.zone),
@@ -45,18 +46,18 @@
         }
     }
 
-    /// Whether nobody expects it to answer.
+    /// Whether the node counts as dead, by its record or by local suspicion.
     pub fn is_dead(&self) -> bool {
         self.local_suspicion == Some(LocalSuspicion::DeadWhileIsolated)
             || self.record.health == NodeHealth::Dead
     }
 
-    /// Whether it may serve others: not dead and not leaving.
+    /// Whether the node is neither dead nor leaving.
     pub fn is_serving(&self) -> bool {
         !self.is_dead() && !self.record.leaving && !self.list_leaving
     }
 
-    /// The state that other plug-ins see; `zone_lost` when its whole zone is given up.
+    /// The node's state in the membership view; `zone_lost` if its whole zone is marked as lost.
     pub fn state(&self, zone_lost: bool) -> NodeState {
         if self.is_dead() || zone_lost {
             return NodeState::Dead;
@@ -70,7 +71,7 @@
         NodeState::Live
     }
 
-    /// The row as other plug-ins see it.
+    /// The node's entry in the membership view.
     pub fn member(&self, zone_lost: bool) -> Member {
         Member {
             name: self.host.name.clone(),
@@ -84,12 +85,12 @@
     }
 }
 
-/// Digests of the records of a zone.
+/// Digests of the records of one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneDigest {
-    /// Of all records, for nodes of the same group.
+    /// Digest of all records, for nodes of the same group.
     pub full: u64,
-    /// Of the records that other groups need.
+    /// Digest of the records that are propagated to other groups.
     pub fleet_wide: u64,
 }
 
@@ -103,7 +104,7 @@
     }
 }
 
-/// All nodes, this one included.
+/// Rows of all nodes, including this one.
 #[derive(Debug, Default)]
 pub struct NodeTable {
     rows: BTreeMap<NodeId, NodeRow>,
@@ -111,41 +112,42 @@
 }
 
 impl NodeTable {
-    /// The rows.
+    /// All rows by node.
     pub fn rows(&self) -> &BTreeMap<NodeId, NodeRow> {
         &self.rows
     }
 
-    /// A row.
+    /// The row of a node; `None` if the node is unknown.
     pub fn get(&self, node: NodeId) -> Option<&NodeRow> {
         self.rows.get(&node)
     }
 
-    /// Changes anything of a row but its record and zone.
+    /// Mutable access to a row. The record and the zone must not be changed this way, because the
+    /// digests depend on them.
     pub fn get_mut(&mut self, node: NodeId) -> Option<&mut NodeRow> {
         self.rows.get_mut(&node)
     }
 
-    /// Digests of the records of each zone.
+    /// Digests by zone.
     pub fn digests(&self) -> &BTreeMap<ZoneId, ZoneDigest> {
         &self.digests
     }
 
-    /// Adds or replaces a row.
+    /// Inserts or replaces a row.
     pub fn insert(&mut self, node: NodeId, row: NodeRow) {
         self.remove(node);
         self.toggle(row.zone, node, &row.record);
         self.rows.insert(node, row);
     }
 
-    /// Removes a row.
+    /// Removes the row of a node, if there is one.
     pub fn remove(&mut self, node: NodeId) {
         if let Some(row) = self.rows.remove(&node) {
             self.toggle(row.zone, node, &row.record);
         }
     }
 
-    /// Replaces a row's record.
+    /// Replaces the record of a node; does nothing if the node is unknown.
     pub fn set_record(&mut self, node: NodeId, record: NodeRecord) {
         let Some(row) = self.rows.get_mut(&node) else {
             return;
--- a/kernel/src/membership/upstream.rs
+++ b/kernel/src/membership/upstream.rs
@@ -1,4 +1,4 @@
-//! Which upstreams are leaving: told once, believed until the upstream is registered anew.
+//! Marks on leaving upstreams. A mark stands until the upstream is back in service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +9,8 @@
 use crate::membership::message::UpstreamUpdate;
 use crate::membership::{HostEntry, HostRole};
 
-/// How long an upstream that said itself that it leaves must say the contrary to be believed.
+/// Time for which an upstream that reported itself as leaving must report the contrary before its
+/// mark is cleared.
 const RETURN_AFTER: Duration = Duration::from_secs(10);
 
 const LEAVING: u8 = 1;
@@ -19,22 +20,22 @@
 struct UpstreamMark {
     version: u32,
     flags: u8,
-    /// The host list showed it leaving, or no longer showed it, since the mark was made.
+    /// Whether the host list showed the upstream as leaving, or not at all, since it was marked.
     seen_gone: bool,
-    /// Since when its own reports say that it stays.
+    /// Kernel time since which its own reports say that it is not leaving.
     staying_since: Option<Duration>,
 }
 
-/// A change that other plug-ins must hear of.
+/// A change to raise as an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamChange {
-    /// No new work.
+    /// The upstream is leaving and receives no new work.
     Leaving(UpstreamId),
-    /// It was registered anew.
+    /// The upstream is back in service.
     Returned(UpstreamId),
 }
 
-/// Marks on upstreams. A mark is a register with a version: the greater version wins.
+/// Marks on upstreams. A mark is a versioned register; on a merge the greater version wins.
 #[derive(Debug, Default)]
 pub struct UpstreamTable {
     marks: BTreeMap<UpstreamId, UpstreamMark>,
@@ -52,7 +53,7 @@
             .fold(0, |all, one| all ^ one)
     }
 
-    /// The upstreams that are leaving.
+    /// The upstreams marked as leaving.
     pub fn leaving(&self) -> impl Iterator<Item = UpstreamId> + '_ {
         self.marks
             .iter()
@@ -60,13 +61,13 @@
             .map(|(id, _)| *id)
     }
 
-    /// The news of a mark.
+    /// The mark on an upstream as an update; `None` if there is no mark.
     pub fn update(&self, id: UpstreamId) -> Option<UpstreamUpdate> {
         let mark = self.marks.get(&id)?;
         Some(UpstreamUpdate(id, mark.version, mark.flags))
     }
 
-    /// All marks.
+    /// All marks as updates.
     pub fn all_updates(&self) -> impl Iterator<Item = UpstreamUpdate> + '_ {
         self.marks
             .iter()
@@ -88,7 +89,7 @@
         };
     }
 
-    /// Marks an upstream as leaving.
+    /// Marks an upstream as leaving; `None` if it already was.
     pub fn drain(&mut self, id: UpstreamId) -> Option<UpstreamChange> {
         self.leave(id, LEAVING)
     }
@@ -101,7 +102,7 @@
         Some(UpstreamChange::Leaving(id))
     }
 
-    /// Takes in an upstream's own word.
+    /// Applies an upstream's own report whether it is leaving; returns the resulting change.
     pub fn report(
         &mut self,
         id: UpstreamId,
@@ -126,7 +127,8 @@
         Some(UpstreamChange::Returned(id))
     }
 
-    /// Takes in the host list; one without a single upstream is taken for a fault of the platform.
+    /// Applies the host list; returns the resulting changes. A list without any upstream is ignored
+    /// as a fault of the platform.
     pub fn apply_host_list(&mut self, hosts: &[HostEntry]) -> Vec<UpstreamChange> {
         let listed: BTreeMap<UpstreamId, bool> = hosts
             .iter()
@@ -160,7 +162,7 @@
         Some(UpstreamChange::Returned(id))
     }
 
-    /// Takes in another node's news; tells whether it was news, and what changed.
+    /// Merges another node's mark; returns whether it was newer, and the resulting change.
     pub fn merge(&mut self, news: UpstreamUpdate) -> (bool, Option<UpstreamChange>) {
         let UpstreamUpdate(id, version, flags) = news;
         let known = self.marks.get(&id).copied().unwrap_or_default();
--- a/kernel/src/membership/zone.rs
+++ b/kernel/src/membership/zone.rs
@@ -1,7 +1,7 @@
-//! Talk between zones: bridges compare digests and pass on a heartbeat of each zone.
+//! Gossip between zones: bridges compare digests and propagate a heartbeat counter of each zone.
 //!
-//! A zone that cannot be reached is marked as a whole. Records of its nodes stay as they are, so
-//! that its return costs one mark and not a refutation a node.
+//! An unreachable zone is marked as lost as a whole. The records of its nodes stay unchanged, so
+//! that its return costs one mark instead of one refutation per node.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,12 +15,12 @@
 use crate::membership::probe::jitter;
 use crate::plugin::Context;
 
-/// Time between two rounds of a bridge, each with one bridge of another zone.
+/// Time between two gossip rounds of a bridge, each with one bridge of another zone.
 pub const BRIDGE_PERIOD: Duration = Duration::from_secs(1);
-/// A zone whose heartbeat stands still for so long is given up.
+/// Time without a new heartbeat after which a zone is marked as lost.
 pub const ZONE_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Share of a bridge's rounds that goes to zones that are given up.
+/// Share of a bridge's rounds that goes to lost zones.
 const LOST_ZONE_SHARE: f64 = 0.25;
 
 #[derive(Clone, Copy, Debug)]
@@ -35,7 +35,7 @@
     lost: bool,
 }
 
-/// Heartbeats of zones, as bridges see them, and this zone's marks on other zones.
+/// Heartbeats of all zones as received by bridges, and this zone's marks on other zones.
 #[derive(Debug, Default)]
 pub struct ZoneTable {
     beats: BTreeMap<ZoneId, ZoneBeat>,
@@ -45,18 +45,18 @@
     bridge_since: Option<Duration>,
 }
 
-/// Short name of a zone in messages.
+/// Short identifier of a zone in messages.
 pub fn zone_tag(zone: ZoneId) -> u32 {
     zone.0 as u32
 }
 
 impl ZoneTable {
-    /// Whether the zone is given up.
+    /// Whether the zone is marked as lost.
     pub fn is_lost(&self, zone: ZoneId) -> bool {
         self.marks.get(&zone).is_some_and(|mark| mark.lost)
     }
 
-    /// The zones that are given up.
+    /// The zones marked as lost.
     pub fn lost(&self) -> impl Iterator<Item = ZoneId> + '_ {
         self.marks
             .iter()
@@ -64,18 +64,18 @@
             .map(|(zone, _)| *zone)
     }
 
-    /// Names the zones that exist.
+    /// Sets the zones that exist; heartbeats of others are ignored.
     pub fn set_zones(&mut self, zones: impl Iterator<Item = ZoneId>) {
         self.tags = zones.map(|zone| (zone_tag(zone), zone)).collect();
     }
 
-    /// The news of a mark.
+    /// The current mark on a zone as an update; `None` if there is no mark.
     pub fn update(&self, zone: ZoneId) -> Option<ZoneUpdate> {
         let mark = self.marks.get(&zone)?;
         Some(ZoneUpdate(zone, mark.version, mark.lost))
     }
 
-    /// All marks.
+    /// All marks as updates.
     pub fn all_updates(&self) -> Vec<ZoneUpdate> {
         self.marks
             .iter()
@@ -83,7 +83,7 @@
             .collect()
     }
 
-    /// Digest of the marks.
+    /// Digest of all marks.
     pub fn digest(&self) -> u64 {
         self.marks.iter().fold(0, |all, (zone, mark)| {
             let word = u64::from(mark.version) << 1 | u64::from(mark.lost);
@@ -91,7 +91,7 @@
         })
     }
 
-    /// Takes in another node's mark; tells whether it was news.
+    /// Merges another node's mark; returns whether it was newer.
     pub fn merge(&mut self, news: ZoneUpdate) -> bool {
         let ZoneUpdate(zone, version, lost) = news;
         let mark = self.marks.entry(zone).or_default();
@@ -143,7 +143,7 @@
 }
 
 impl MembershipTable {
-    /// Does what is due between zones, if this node is a bridge.
+    /// Runs the periodic gossip between zones if this node is a bridge.
     pub(super) fn tick_zones(&mut self, context: &mut Context<'_>) {
         if self.group.rank.is_none() {
             self.zones.bridge_since = None;
@@ -163,8 +163,8 @@
         }
     }
 
-    /// A bridge of another zone. Zones that are given up get a share of the rounds only, so that
-    /// the zones on this side of a cut still hear of each other often.
+    /// A random bridge of another zone. Lost zones receive only a share of the rounds, so that the
+    /// zones on this side of a network partition still exchange heartbeats often.
     fn random_bridge(&self, context: &mut Context<'_>) -> Option<NodeId> {
         let own = context.profile.zone;
         let others = self.group.bridges.iter().filter(|(zone, _)| **zone != own);
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Takes in another zone's heartbeats, and answers if that is wanted.
+    /// Merges the heartbeats from another zone's bridge, and answers if requested.
     pub(super) fn take_bridge(
         &mut self,
         from: NodeId,
