--- a/kernel/src/configuration.rs
+++ b/kernel/src/configuration.rs
@@ -1,5 +1,5 @@
-//! The plug-in that folds the log's records into the configuration in force, keeps the fold in
-//! step with other nodes, and publishes operators' changes.
+//! The plug-in that folds the log's records into the configuration in force, synchronizes the
+//! folded state with other nodes, and publishes changes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 use crate::config::Config;
 use crate::configuration::checkpoint::CheckpointAssembly;
 use crate::configuration::duty::CheckpointDuty;
-use crate::configuration::fold::{ConfigFold, FoldStep, RefusedRecord};
+use crate::configuration::fold::{ConfigFold, FoldOutcome, RefusedRecord};
 use crate::configuration::peers::PeerExchange;
 use crate::configuration::publish::{PublishTracker, RequestTicket};
-use crate::configuration::reach::ReachCounter;
 use crate::configuration::reader::LogReader;
-use crate::configuration::tail::{EarlyRecords, RecordTail};
+use crate::configuration::rollout::RolloutCounter;
+use crate::configuration::tail::{RecordTail, ReorderBuffer};
 use crate::event::{Action, Event};
 use crate::ids::NodeId;
 use crate::plugin::{Context, GaugeSample, NodeProfile, Plugin, Registration};
@@ -29,17 +29,17 @@
 pub mod message;
 pub mod peers;
 pub mod publish;
-pub mod reach;
 pub mod reader;
+pub mod rollout;
 pub mod tail;
 
 pub use message::ConfigurationMessage;
 
-/// Starting nodes are given a checkpoint at most this often, so that many of them at once cannot
-/// take a node's time.
+/// Minimum time between two checkpoints that a node sends to other nodes, so that many starting
+/// nodes at once cannot overload it.
 const CHECKPOINT_PAUSE: Duration = Duration::from_millis(200);
 
-/// Keeps the configuration.
+/// The replicated configuration of one node.
 #[derive(Debug, Default)]
 pub struct ConfigurationStore {
     fold: ConfigFold,
@@ -50,17 +50,18 @@
     read_from: u64,
     reader: LogReader,
     tail: RecordTail,
-    early: EarlyRecords,
+    early: ReorderBuffer,
     assembly: CheckpointAssembly,
     duty: CheckpointDuty,
     peers: PeerExchange,
     publishes: PublishTracker,
-    reach: ReachCounter,
+    reach: RolloutCounter,
     checkpoint_sent: Option<Duration>,
 }
 
 impl ConfigurationStore {
-    /// Takes records from the log or from another node; keeps those that come before their turn.
+    /// Folds records from the log or from another node in order of offset, and buffers those that
+    /// arrive early.
     fn take(&mut self, records: &[LogRecord], context: &mut Context<'_>) {
         for entry in records {
             if entry.offset == self.fold.next() {
@@ -82,13 +83,13 @@
         let step = self.fold.apply(entry);
         let size = self.tail.push(entry.clone());
         match step {
-            FoldStep::Changed(id) => {
-                self.duty.grown(size);
+            FoldOutcome::Changed(id) => {
+                self.duty.record_change(size);
                 self.answer(&id, context);
             }
-            FoldStep::Refused(id) => self.answer(&id, context),
-            FoldStep::Leased(head) => context.raise(Event::LeaseSeen(head)),
-            FoldStep::Nothing => {}
+            FoldOutcome::Refused(id) => self.answer(&id, context),
+            FoldOutcome::Leased(head) => context.raise(Event::LeaseSeen(head)),
+            FoldOutcome::Unchanged => {}
         }
     }
 
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Counts the nodes on which an accepted change is in force.
+    /// Starts to count the nodes on which an accepted change is in force.
     fn count(&mut self, request: RequestTicket, result: &PublishResult, context: &mut Context<'_>) {
         if let PublishResult::Accepted { version } = result {
             self.reach
@@ -121,20 +122,20 @@
         }
     }
 
-    /// Looks for checkpoints among records of the log, and starts from one that is ahead.
+    /// Assembles checkpoints from records of the log, and restores one that is ahead of this node.
     fn take_checkpoints(&mut self, records: &[LogRecord], context: &mut Context<'_>) {
         for entry in records {
             let Some(Record::Checkpoint(part)) = &entry.record else {
                 continue;
             };
             if let Some(fold) = self.assembly.take(part) {
-                self.duty.seen(fold.next(), context.now);
+                self.duty.record_checkpoint(fold.next(), context.now);
                 self.adopt(fold, context);
             }
         }
     }
 
-    /// Goes on from a state that is ahead of this node's own; one that is not changes nothing.
+    /// Replaces this node's folded state by one that is ahead of it; does nothing otherwise.
     fn adopt(&mut self, fold: ConfigFold, context: &mut Context<'_>) {
         if fold.next() <= self.fold.next() {
             return;
@@ -169,8 +170,8 @@
         self.duty.truncated(first);
     }
 
-    /// The offset to read next: the one to fold next if the log still holds it; or else on from
-    /// the oldest that it holds, in search of a checkpoint.
+    /// The offset to read next: the next one to fold if the log retains it, or else the first
+    /// retained one that was not read yet, to find a checkpoint.
     fn next_read(&self) -> u64 {
         if self.fold.next() >= self.log_first {
             return self.fold.next();
@@ -192,7 +193,7 @@
             }
             ConfigurationMessage::Checkpoint { covered, part } => {
                 self.peers.received();
-                self.duty.seen(*covered, context.now);
+                self.duty.record_checkpoint(*covered, context.now);
                 if let Some(fold) = self.assembly.take(part) {
                     self.adopt(fold, context);
                 }
@@ -205,9 +206,10 @@
     }
 
     fn heard(&mut self, from: NodeId, next: u64, ready: bool, context: &mut Context<'_>) {
-        self.peers.hear(from, next, ready);
-        let at_once = !self.ready || self.reader.is_out(context.now);
-        self.peers.want(self.fold.next(), at_once, context);
+        self.peers.record_offset(from, next, ready);
+        let at_once = !self.ready || self.reader.is_unavailable(context.now);
+        self.peers
+            .request_missing(self.fold.next(), at_once, context);
     }
 
     fn tell(&self, to: NodeId, context: &mut Context<'_>) {
@@ -238,16 +240,16 @@
     }
 
     fn appended(&mut self, ticket: AppendTicket, result: AppendResult, context: &mut Context<'_>) {
-        if ticket.is_of(AppendOwner::Publish) {
+        if ticket.belongs_to(AppendOwner::Publish) {
             self.publishes.appended(ticket, result, context);
         }
-        if ticket.is_of(AppendOwner::Checkpoint) {
+        if ticket.belongs_to(AppendOwner::Checkpoint) {
             self.duty.appended(ticket, result, context);
         }
     }
 
     fn tick(&mut self, context: &mut Context<'_>) {
-        let log_out = self.reader.is_out(context.now);
+        let log_out = self.reader.is_unavailable(context.now);
         self.publishes.tick(context);
         self.peers
             .tick(self.fold.next(), self.ready, log_out, context);
@@ -256,16 +258,17 @@
         }
     }
 
-    /// Whether this node holds the newest state that the log or the other nodes can show. Stays
-    /// once it holds: the state only moves on.
+    /// Whether this node's folded state is the newest that the log or the other nodes are known to
+    /// have. Evaluated until it holds once, since the state never goes back.
     fn is_newest(&self, now: Duration) -> bool {
         let known = self.fold.config().version > 0 && self.fold.next() >= self.peers.newest();
         let log = self.log_end.is_some_and(|end| self.fold.next() >= end);
-        let peers = self.reader.is_out(now) && self.peers.have_shown();
-        known && self.peers.have_answered(now) && (log || peers)
+        let peers = self.reader.is_unavailable(now) && self.peers.any_ready();
+        known && self.peers.all_answered(now) && (log || peers)
     }
 
-    /// After every event: goes into force, announces and reads on.
+    /// Runs after every event: applies a new configuration, announces it, and starts the next read
+    /// of the log.
     fn settle(&mut self, context: &mut Context<'_>) {
         self.ready = self.ready || self.is_newest(context.now);
         if self.ready && self.fold.config().version > self.in_force.version {
@@ -295,7 +298,7 @@
                 from,
                 message: Message::Configuration(message),
             } => self.message(*from, message, context),
-            Event::MembersChanged(view) => self.peers.see(view),
+            Event::MembersChanged(view) => self.peers.update_view(view),
             Event::PublishRequested { request, record } => {
                 self.publish(*request, record, context);
             }
--- a/kernel/src/leases.rs
+++ b/kernel/src/leases.rs
@@ -260,7 +260,7 @@
                     .apply(head, node, incarnation, context.now, context.random);
                 self.give(context);
             }
-            Event::AppendDone { ticket, result } if ticket.is_of(AppendOwner::Lease) => {
+            Event::AppendDone { ticket, result } if ticket.belongs_to(AppendOwner::Lease) => {
                 self.appended(*result, context);
             }
             Event::OrderRequested(request) => self.want(request),
--- a/kernel/src/membership/news.rs
+++ b/kernel/src/membership/gossip.rs
@@ -1,58 +1,59 @@
-//! Telling news and taking it in.
+//! Sending and merging membership updates.
 
 use std::time::Duration;
 
 use crate::event::Event;
 use crate::ids::{NodeId, UpstreamId};
 use crate::membership::MembershipTable;
-use crate::membership::message::{MembershipMessage, NewsBatch};
-use crate::membership::outbox::{NewsAudience, NewsKey};
-use crate::membership::record::{NodeHealth, NodeNews, NodeRecord};
-use crate::membership::table::LocalDoubt;
+use crate::membership::message::{MembershipMessage, UpdateBatch};
+use crate::membership::outbox::{UpdateAudience, UpdateKey};
+use crate::membership::record::{NodeHealth, NodeRecord, NodeUpdate};
+use crate::membership::table::LocalSuspicion;
 use crate::membership::upstream::UpstreamChange;
 use crate::plugin::Context;
 
-/// How long the second bridge of a zone waits for the first to tell the zone what came from
-/// another one.
+/// Time that a bridge other than the first waits for the first one to send updates from another
+/// zone to its own zone.
 const SECOND_BRIDGE_WAIT: Duration = Duration::from_millis(300);
 
-/// Bridges of a zone that pass its news on at once; the others help in repairs.
+/// Number of bridges per zone that propagate its updates at once; the others take part in repairs
+/// only.
 const TELLING_BRIDGES: usize = 2;
 
 impl MembershipTable {
-    /// The present content of news.
-    pub(super) fn batch(&self, keys: &[NewsKey]) -> NewsBatch {
-        let mut batch = NewsBatch::default();
+    /// The updates with these keys, with their current content.
+    pub(super) fn batch(&self, keys: &[UpdateKey]) -> UpdateBatch {
+        let mut batch = UpdateBatch::default();
         for key in keys {
             match key {
-                NewsKey::Node(node) => {
+                UpdateKey::Node(node) => {
                     let row = self.rows.get(*node);
                     batch
                         .0
-                        .extend(row.map(|row| NodeNews::new(*node, &row.record)));
+                        .extend(row.map(|row| NodeUpdate::new(*node, &row.record)));
                 }
-                NewsKey::Upstream(upstream) => batch.1.extend(self.upstreams.news(*upstream)),
-                NewsKey::Zone(zone) => batch.2.extend(self.zones.news(*zone)),
+                UpdateKey::Upstream(upstream) => batch.1.extend(self.upstreams.update(*upstream)),
+                UpdateKey::Zone(zone) => batch.2.extend(self.zones.update(*zone)),
             }
         }
         batch
     }
 
-    /// News that goes along with a probe of `peer`; what is held against the peer itself always
-    /// does, so that it can refute.
-    pub(super) fn riding_news(&mut self, peer: NodeId) -> NewsBatch {
-        let mut keys = self.outbox.ride();
+    /// Updates to piggyback on a probe of `peer`. A suspicion of the peer itself is always
+    /// included, so that the peer can refute it.
+    pub(super) fn riding_news(&mut self, peer: NodeId) -> UpdateBatch {
+        let mut keys = self.outbox.take_piggyback();
         let doubted = self
             .rows
             .get(peer)
             .is_some_and(|row| row.record.health != NodeHealth::Live);
-        if doubted && !keys.contains(&NewsKey::Node(peer)) {
-            keys.push(NewsKey::Node(peer));
+        if doubted && !keys.contains(&UpdateKey::Node(peer)) {
+            keys.push(UpdateKey::Node(peer));
         }
         self.batch(&keys)
     }
 
-    /// Tells news at once, as far as the allowance reaches.
+    /// Sends queued updates as far as the rate limit permits.
     pub(super) fn tick_news(&mut self, context: &mut Context<'_>) {
         let keys = self.outbox.take_group(self.group.ring.len(), context.now);
         if !keys.is_empty() {
@@ -63,21 +64,21 @@
             return;
         }
         let receivers = self.group.counterparts(context.profile.zone);
-        let keys = self.outbox.take_world(receivers.len(), context.now);
+        let keys = self.outbox.take_other_zones(receivers.len(), context.now);
         if !keys.is_empty() {
             self.tell(&receivers, &keys, context);
         }
     }
 
-    fn tell(&self, receivers: &[NodeId], keys: &[NewsKey], context: &mut Context<'_>) {
+    fn tell(&self, receivers: &[NodeId], keys: &[UpdateKey], context: &mut Context<'_>) {
         let batch = self.batch(keys);
         for receiver in receivers {
-            context.send(*receiver, MembershipMessage::News(batch.clone()));
+            context.send(*receiver, MembershipMessage::Updates(batch.clone()));
         }
     }
 
-    /// Notes that a node's record changed; `here` when it was found out here or came from another
-    /// zone, so that this node tells its group.
+    /// Queues the changed record of a node. `here` is set if the change was detected here or came
+    /// from another zone, so that this node sends it to its group.
     pub(super) fn note_change(
         &mut self,
         node: NodeId,
@@ -90,19 +91,19 @@
             return;
         };
         let own = !self.group.zoned || row.zone == self.zone;
-        let notable = before.is_notable() || row.record.is_notable();
-        let audience = NewsAudience {
+        let notable = before.is_fleet_wide() || row.record.is_fleet_wide();
+        let audience = UpdateAudience {
             group: here && (own || notable),
-            world: own && notable && self.tells_world(),
+            other_zones: own && notable && self.tells_world(),
         };
         if own || notable {
             let after = if own { now } else { self.telling_time(now) };
-            self.outbox.add(NewsKey::Node(node), audience, after);
+            self.outbox.add(UpdateKey::Node(node), audience, after);
         }
         self.forget_if_gone(node);
     }
 
-    /// When this node tells its group what came from another zone.
+    /// When this node sends an update from another zone to its group.
     fn telling_time(&self, now: Duration) -> Duration {
         match self.group.rank {
             None | Some(0) => now,
@@ -118,20 +119,25 @@
         self.group.zoned && self.rows.get(from).is_none_or(|row| row.zone != self.zone)
     }
 
-    /// Takes in news that came without a probe. A suspect that is first heard of this way is asked
-    /// at once, so that it learns of the suspicion by more than one way.
-    pub(super) fn take_news(&mut self, from: NodeId, news: &NewsBatch, context: &mut Context<'_>) {
+    /// Merges updates that arrived outside a probe. Each node newly suspected by them is pinged at
+    /// once, so that it learns of the suspicion by more than one path.
+    pub(super) fn take_news(
+        &mut self,
+        from: NodeId,
+        news: &UpdateBatch,
+        context: &mut Context<'_>,
+    ) {
         let suspects = self.merge(from, news, context);
         for suspect in suspects {
             self.ping(suspect, context);
         }
     }
 
-    /// Takes in news; gives back the nodes that became suspects by it.
+    /// Merges updates; returns the nodes that became suspect by them.
     pub(super) fn merge(
         &mut self,
         from: NodeId,
-        news: &NewsBatch,
+        news: &UpdateBatch,
         context: &mut Context<'_>,
     ) -> Vec<NodeId> {
         let mut suspects = Vec::new();
@@ -150,7 +156,7 @@
         suspects
     }
 
-    /// Gets past news of this node that is newer than its own: it raises its epoch above it.
+    /// Refutes a record of this node that is newer than its own, by raising its epoch above it.
     fn refute(&mut self, told: &NodeRecord, now: Duration) {
         let Some(row) = self.rows.get(self.node) else {
             return;
@@ -167,7 +173,7 @@
         self.note_change(self.node, &before, true, now);
     }
 
-    /// Says that this node leaves; sticky for this run.
+    /// Announces that this node is leaving. Irrevocable for this run.
     pub(super) fn leave(&mut self, now: Duration) {
         let Some(row) = self.rows.get(self.node) else {
             return;
@@ -206,7 +212,7 @@
                 self.correct(node, context);
             }
             if !outside && known == record {
-                self.outbox.told(NewsKey::Node(node));
+                self.outbox.mark_group_informed(UpdateKey::Node(node));
             }
             return false;
         }
@@ -216,36 +222,39 @@
             row.list_leaving &= known.epoch == 0;
         }
         if record.health == NodeHealth::Live {
-            row.doubt = row.doubt.filter(|doubt| *doubt != LocalDoubt::Lost);
+            row.local_suspicion = row
+                .local_suspicion
+                .filter(|doubt| *doubt != LocalSuspicion::DeadWhileIsolated);
         }
         self.rows.set_record(node, record);
         if record.health == NodeHealth::Suspect {
-            self.prober.told(node, context.now);
+            self.prober.add_remote_suspicion(node, context.now);
         } else {
-            self.prober.clear(node);
+            self.prober.clear_suspicion(node);
         }
-        self.repair.learn(context.now);
+        self.repair.record_update(context.now);
         let here = outside && record.health != NodeHealth::Suspect;
         self.note_change(node, &known, here, context.now);
         record.health == NodeHealth::Suspect
     }
 
-    /// Tells a node what is known of it, when it is behind its own news.
+    /// Sends a node the newer record that the fleet has of it.
     fn correct(&self, node: NodeId, context: &mut Context<'_>) {
-        let news = self.batch(&[NewsKey::Node(node)]);
-        context.send(node, MembershipMessage::News(news));
+        let news = self.batch(&[UpdateKey::Node(node)]);
+        context.send(node, MembershipMessage::Updates(news));
     }
 
-    fn merge_marks(&mut self, from: NodeId, news: &NewsBatch, context: &mut Context<'_>) {
+    fn merge_marks(&mut self, from: NodeId, news: &UpdateBatch, context: &mut Context<'_>) {
         let outside = self.is_outside(from);
         for upstream_news in &news.1 {
             let (new, change) = self.upstreams.merge(*upstream_news);
             if new {
-                self.repair.learn(context.now);
+                self.repair.record_update(context.now);
                 let after = self.telling_time(context.now);
                 self.note_upstream(upstream_news.0, outside, after);
             } else if !outside {
-                self.outbox.told(NewsKey::Upstream(upstream_news.0));
+                self.outbox
+                    .mark_group_informed(UpdateKey::Upstream(upstream_news.0));
             }
             raise_change(change, context);
         }
@@ -254,39 +263,39 @@
         }
         for zone_news in &news.2 {
             if self.zones.merge(*zone_news) {
-                self.repair.learn(context.now);
-                let key = NewsKey::Zone(zone_news.0);
-                self.outbox.add(key, NewsAudience::default(), context.now);
+                self.repair.record_update(context.now);
+                let key = UpdateKey::Zone(zone_news.0);
+                self.outbox.add(key, UpdateAudience::default(), context.now);
                 self.dirty = true;
             }
         }
     }
 
     fn note_upstream(&mut self, upstream: UpstreamId, here: bool, after: Duration) {
-        let audience = NewsAudience {
+        let audience = UpdateAudience {
             group: here,
-            world: self.tells_world(),
+            other_zones: self.tells_world(),
         };
         self.outbox
-            .add(NewsKey::Upstream(upstream), audience, after);
+            .add(UpdateKey::Upstream(upstream), audience, after);
     }
 
-    /// Tells everyone of a change that was found out here.
+    /// Propagates and raises a change of an upstream that was detected here.
     pub(super) fn upstream_changed(&mut self, change: UpstreamChange, context: &mut Context<'_>) {
         let (UpstreamChange::Leaving(upstream) | UpstreamChange::Returned(upstream)) = change;
         self.note_upstream(upstream, true, context.now);
         raise_change(Some(change), context);
     }
 
-    /// An operator wants an upstream to get nothing new.
+    /// Marks an upstream as leaving on an operator's request.
     pub(super) fn drain_upstream(&mut self, upstream: UpstreamId, context: &mut Context<'_>) {
         if let Some(change) = self.upstreams.drain(upstream) {
             self.upstream_changed(change, context);
         }
     }
 
-    /// An upstream said whether it leaves.
-    pub(super) fn upstream_report(
+    /// Applies an upstream's own report whether it is leaving.
+    pub(super) fn apply_report(
         &mut self,
         upstream: UpstreamId,
         leaving: bool,
@@ -297,12 +306,12 @@
         }
     }
 
-    /// The link to a node was made.
+    /// Clears the suspicion of a broken link to this node.
     pub(super) fn link_up(&mut self, node: NodeId) {
         if let Some(row) = self.rows.get_mut(node)
-            && row.doubt == Some(LocalDoubt::LinkDown)
+            && row.local_suspicion == Some(LocalSuspicion::LinkDown)
         {
-            row.doubt = None;
+            row.local_suspicion = None;
             self.dirty = true;
         }
     }
--- a/kernel/src/membership/hosts.rs
+++ b/kernel/src/membership/hosts.rs
@@ -1,15 +1,15 @@
-//! What the platform's host list changes: who exists, and who is told to leave.
+//! Applies the platform's host list: which nodes exist, and which are marked as leaving.
 
 use std::collections::BTreeMap;
 
 use crate::ids::{NodeId, ZoneId};
-use crate::membership::outbox::{NewsAudience, NewsKey};
+use crate::membership::outbox::{UpdateAudience, UpdateKey};
 use crate::membership::table::NodeRow;
 use crate::membership::{HostEntry, HostRole, MembershipTable};
 use crate::plugin::Context;
 
 impl MembershipTable {
-    /// Takes in the host list.
+    /// Applies the host list, unless it is unchanged.
     pub(super) fn list(&mut self, hosts: &[HostEntry], context: &mut Context<'_>) {
         if self.started.is_some() && hosts == &*self.hosts {
             return;
@@ -26,8 +26,8 @@
         self.unlist(&listed);
         self.dirty = true;
         let zones: Vec<ZoneId> = self.rows.rows().values().map(|row| row.zone).collect();
-        self.zones.name(zones.into_iter());
-        for change in self.upstreams.list(hosts) {
+        self.zones.set_zones(zones.into_iter());
+        for change in self.upstreams.apply_host_list(hosts) {
             self.upstream_changed(change, context);
         }
         if self.started.is_none() {
@@ -43,7 +43,7 @@
             return;
         };
         row.listed = true;
-        // The flag rises for the run that is known now; a later run begins without it.
+        // The flag applies to the currently known run; a later run starts without it.
         if host.leaving != row.host.leaving {
             row.list_leaving = host.leaving && node != self.node;
         }
@@ -57,8 +57,9 @@
         row.host = host.clone();
     }
 
-    /// A node that the list no longer shows is forgotten once it is dead, or leaves. While it
-    /// answers it stays: a list that lost rows must not take down the fleet.
+    /// Marks nodes that the list no longer contains. Such a node is removed once it is dead or
+    /// leaving. A node that still responds is retained, so that an incomplete list cannot take down
+    /// the fleet.
     fn unlist(&mut self, listed: &BTreeMap<NodeId, &HostEntry>) {
         let own = self.node;
         let missing: Vec<NodeId> = self
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Drops a row that is neither listed nor alive.
+    /// Removes the row of a node that is unlisted and either dead or leaving.
     pub(super) fn forget_if_gone(&mut self, node: NodeId) {
         let gone = self
             .rows
@@ -84,18 +85,18 @@
             .is_some_and(|row| node != self.node && !row.listed && !row.is_serving());
         if gone {
             self.rows.remove(node);
-            self.prober.clear(node);
+            self.prober.clear_suspicion(node);
             self.dirty = true;
         }
     }
 
     fn start(&mut self, context: &mut Context<'_>) {
         self.started = Some(context.now);
-        let audience = NewsAudience {
+        let audience = UpdateAudience {
             group: true,
-            world: false,
+            other_zones: false,
         };
-        let key = NewsKey::Node(self.node);
+        let key = UpdateKey::Node(self.node);
         self.outbox.add(key, audience, context.now);
     }
 }
