--- a/daemon/src/gateway.rs
+++ b/daemon/src/gateway.rs
@@ -1,22 +1,22 @@
 //! A node that passes calls on unchanged: everything it holds, and how it starts and stops.
 //!
-//! A call is read by `listener`, matched by `intake`, sent by `relay` through `channels`, and its
-//! stream is passed on by `stream`; `notices` takes in what answers say of upstreams. `follow` reads the
-//! platform's store, `peers` talks with the other nodes, `desk` answers lookups and checks, `caches` asks
+//! A call is read by `listener`, matched by `admission`, sent by `relay` through `connections`, and its
+//! stream is passed on by `stream`; `notices` takes in what answers say of upstreams. `sync` reads the
+//! platform's store, `peers` talks with the other nodes, `endpoints` answers lookups and checks, `caches` asks
 //! engines what they keep.
 
+pub mod admission;
 pub mod caches;
-pub mod channels;
+pub mod connections;
 pub mod decisions;
-pub mod desk;
 pub mod duties;
+pub mod endpoints;
 pub mod events;
-pub mod exchange;
-pub mod follow;
+pub mod fetch;
 pub mod frame;
-pub mod intake;
 pub mod limits;
 pub mod listener;
+pub mod liveness;
 pub mod metrics;
 pub mod notices;
 pub mod patch;
@@ -27,11 +27,11 @@
 pub mod reports;
 pub mod scaling;
 pub mod settings;
-pub mod silence;
 pub mod stream;
+pub mod sync;
+pub mod tracker;
 pub mod usage;
 pub mod waiting;
-pub mod watch;
 pub mod work;
 
 use std::cell::{Cell, RefCell};
@@ -56,23 +56,23 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::error::NodeError;
-use crate::gateway::channels::ChannelPool;
+use crate::gateway::admission::Call;
+use crate::gateway::connections::ConnectionPool;
 use crate::gateway::decisions::{Decision, DecisionLog};
 use crate::gateway::duties::DutyState;
-use crate::gateway::intake::Call;
 use crate::gateway::metrics::GatewayMetrics;
-use crate::gateway::patch::TextHistory;
+use crate::gateway::patch::ConfigurationHistory;
 use crate::gateway::settings::GatewaySettings;
 
 /// How well this node hears the store.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StoreView {
+pub struct StoreHealth {
     /// When the last call failed.
     pub failed_at: Option<Duration>,
     /// When the store was back after that.
-    pub returned_at: Duration,
+    pub recovered_at: Duration,
     /// Whether the registry has been read at all.
-    pub registry_known: bool,
+    pub registry_loaded: bool,
 }
 
 /// Everything that a node holds; one thread, so cells suffice.
@@ -84,7 +84,7 @@
     /// The configuration in force, ready for lookups.
     pub table: RefCell<Option<Rc<RuleTable>>>,
     /// The same as the operator wrote it, and what came before it, for other nodes.
-    pub texts: RefCell<TextHistory>,
+    pub texts: RefCell<ConfigurationHistory>,
     /// Upstreams.
     pub registry: RefCell<UpstreamRegistry>,
     /// Other nodes.
@@ -101,11 +101,11 @@
     /// Calls that wait for room.
     pub waiting: RefCell<WaitList>,
     /// Tells waiting calls that there may be room.
-    pub room_notice: tokio::sync::Notify,
+    pub capacity_notify: tokio::sync::Notify,
     /// Connections to upstreams.
-    pub channels: ChannelPool,
+    pub connections: ConnectionPool,
     /// How well the store is heard.
-    pub store: Cell<StoreView>,
+    pub store_health: Cell<StoreHealth>,
     /// Since when the node has been leaving.
     pub leaving_since: Cell<Option<Duration>>,
     /// Calls that have not ended.
@@ -117,15 +117,15 @@
     /// Counters and histograms.
     pub metrics: GatewayMetrics,
     /// Tells idle connections of callers that the node leaves.
-    pub leave_notice: tokio::sync::Notify,
+    pub shutdown_notify: tokio::sync::Notify,
     /// Wakes the reader of the registry before its next turn.
-    pub store_nudge: tokio::sync::Notify,
+    pub registry_notify: tokio::sync::Notify,
     /// Makes the reader of the configuration ask anew.
-    pub configuration_nudge: tokio::sync::Notify,
+    pub configuration_notify: tokio::sync::Notify,
     /// What other nodes have not been told and should know at once.
     pub news: Cell<SpreadNews>,
     /// Wakes what tells other nodes.
-    pub speak_notice: tokio::sync::Notify,
+    pub heartbeat_notify: tokio::sync::Notify,
     /// Whether something is being fetched from another node.
     pub fetching: Cell<bool>,
     /// Large answers that are being sent to other nodes.
@@ -150,7 +150,7 @@
     pub fn is_ready(&self) -> bool {
         self.leaving_since.get().is_none()
             && self.table.borrow().is_some()
-            && self.store.get().registry_known
+            && self.store_health.get().registry_loaded
     }
 
     /// How far the process is.
@@ -165,9 +165,9 @@
     }
 
     /// Has news told to other nodes at once.
-    pub fn tell(&self, news: SpreadNews) {
+    pub fn propagate(&self, news: SpreadNews) {
         self.news.set(self.news.get().max(news));
-        self.speak_notice.notify_one();
+        self.heartbeat_notify.notify_one();
     }
 
     /// Whether this node is a hub of its availability zone.
@@ -191,7 +191,7 @@
     }
 
     /// Takes in that a piece of something fetched from another node came.
-    pub fn piece_came(&self) {
+    pub fn record_fetch_progress(&self) {
         let mut lag = self.lag.get();
         lag.piece_came(self.now());
         self.lag.set(lag);
@@ -199,9 +199,9 @@
 
     /// Whether a call to the store failed lately, so that a read that is kept waiting may have
     /// been lost without a sign.
-    pub fn store_doubtful(&self) -> bool {
+    pub fn store_suspect(&self) -> bool {
         let trust = self.settings.times.trust;
-        self.store
+        self.store_health
             .get()
             .failed_at
             .is_some_and(|at| self.now() < at + trust)
@@ -227,30 +227,30 @@
 
     /// Takes in the store's era that an answer showed. When a new one begins, the store runs from a copy
     /// some seconds old: what it lacks proves nothing until it has been written again.
-    pub fn see_store_era(&self, era: u64) {
+    pub fn observe_store_era(&self, era: u64) {
         let known = self.store_era.get();
         if known.is_some_and(|known| known >= era) {
             return;
         }
         self.store_era.set(Some(era));
         if let Some(duties) = &self.duties {
-            duties.see_era(era, self.unix_now());
+            duties.observe_era(era, self.unix_now());
         }
         if known.is_none() {
             return;
         }
         let now = self.now();
-        let mut view = self.store.get();
+        let mut view = self.store_health.get();
         view.failed_at = Some(now);
-        view.returned_at = now;
-        self.store.set(view);
-        self.decisions.line(&Decision::StoreEraBegan { era });
-        self.store_nudge.notify_waiters();
-        self.configuration_nudge.notify_waiters();
+        view.recovered_at = now;
+        self.store_health.set(view);
+        self.decisions.record(&Decision::StoreEraBegan { era });
+        self.registry_notify.notify_waiters();
+        self.configuration_notify.notify_waiters();
     }
 
     /// Whether the node takes new calls: also for a while after it was told to stop.
-    pub fn takes_calls(&self) -> bool {
+    pub fn accepts_calls(&self) -> bool {
         self.leaving_since
             .get()
             .is_none_or(|since| self.now() < since + LINGER)
@@ -285,14 +285,14 @@
     let mut random = [0; 8];
     getrandom::fill(&mut random)?;
     let clock = MonotonicClock::new();
-    let incarnation = follow::start_time();
+    let incarnation = sync::start_time();
     let own = peers::own_card(&settings, incarnation);
     let duty_seed = u64::from_le_bytes(random).rotate_left(DUTY_STREAM);
     let duty_random = Pcg64Mcg::seed_from_u64(duty_seed);
     let gateway = Rc::new(Gateway {
         decisions: DecisionLog::start(clock, settings.name.clone()),
         metrics: GatewayMetrics::new(),
-        channels: ChannelPool::default(),
+        connections: ConnectionPool::default(),
         clock,
         table: RefCell::default(),
         texts: RefCell::default(),
@@ -303,16 +303,16 @@
         sent_parts: RefCell::default(),
         paces: RefCell::default(),
         waiting: RefCell::default(),
-        room_notice: tokio::sync::Notify::new(),
-        store: Cell::default(),
+        capacity_notify: tokio::sync::Notify::new(),
+        store_health: Cell::default(),
         leaving_since: Cell::new(None),
         open_calls: Cell::new(0),
         open_connections: Cell::new(0),
-        leave_notice: tokio::sync::Notify::new(),
-        store_nudge: tokio::sync::Notify::new(),
-        configuration_nudge: tokio::sync::Notify::new(),
+        shutdown_notify: tokio::sync::Notify::new(),
+        registry_notify: tokio::sync::Notify::new(),
+        configuration_notify: tokio::sync::Notify::new(),
         news: Cell::default(),
-        speak_notice: tokio::sync::Notify::new(),
+        heartbeat_notify: tokio::sync::Notify::new(),
         fetching: Cell::new(false),
         transfers: RefCell::default(),
         lag: Cell::default(),
@@ -324,12 +324,12 @@
             .map(|duties| DutyState::new(duties, &settings.name, incarnation, duty_random)),
         settings,
     });
-    gateway.decisions.line(&Decision::Started {
+    gateway.decisions.record(&Decision::Started {
         zone: &gateway.settings.zone,
     });
     listener::start(&gateway).await?;
     peers::start(&gateway).await?;
-    follow::start(&gateway, u64::from_le_bytes(random));
+    sync::start(&gateway, u64::from_le_bytes(random));
     caches::start(&gateway);
     duties::start(&gateway);
     quarantine::start(&gateway);
@@ -351,7 +351,7 @@
 fn reread(gateway: &Gateway) {
     let outcome = GatewaySettings::load(&gateway.settings.file);
     let error = outcome.err().map(|error| error.to_string());
-    gateway.decisions.line(&Decision::Reloaded {
+    gateway.decisions.record(&Decision::Reloaded {
         error: error.as_deref(),
     });
 }
@@ -359,9 +359,9 @@
 async fn leave(gateway: &Gateway) {
     let since = gateway.now();
     gateway.leaving_since.set(Some(since));
-    gateway.leave_notice.notify_waiters();
-    gateway.tell(SpreadNews::All);
-    gateway.decisions.line(&Decision::Leaving {
+    gateway.shutdown_notify.notify_waiters();
+    gateway.propagate(SpreadNews::All);
+    gateway.decisions.record(&Decision::Leaving {
         open_calls: gateway.open_calls.get(),
     });
     let last = since + gateway.settings.times.grace.mul_f64(GRACE_PART);
@@ -374,9 +374,9 @@
         tokio::time::sleep(pause).await;
     }
     // What was counted since the last heartbeat is told before the process ends.
-    gateway.speak_notice.notify_one();
+    gateway.heartbeat_notify.notify_one();
     tokio::time::sleep(pause).await;
-    gateway.decisions.line(&Decision::Left {
+    gateway.decisions.record(&Decision::Left {
         open_calls: gateway.open_calls.get(),
     });
     gateway.decisions.finish();
--- a/daemon/src/gateway/intake.rs
+++ b/daemon/src/gateway/admission.rs
@@ -99,7 +99,7 @@
         .unwrap_or_default();
     let rejected = |rejection: Rejection| {
         let version = gateway.rules().map_or(0, |rules| rules.version);
-        gateway.decisions.line(&Decision::Refused {
+        gateway.decisions.record(&Decision::Refused {
             call: &id,
             status: rejection.status.as_u16(),
             reason: &rejection.reason,
@@ -136,7 +136,7 @@
         class: rule.class.clone(),
         tier,
         workspace: workspace.map(|workspace| workspace.name.clone()),
-        headers: head::lasting_headers(&parts.headers),
+        headers: head::end_to_end_headers(&parts.headers),
         method: parts.method,
         target: parts.uri,
         body,
@@ -146,7 +146,7 @@
         pool,
         head,
     };
-    gateway.decisions.line(&Decision::Matched {
+    gateway.decisions.record(&Decision::Matched {
         call: &call.head.id,
         content: &call.content.to_string(),
         rule: &rule.name,
--- a/daemon/src/gateway/caches.rs
+++ b/daemon/src/gateway/caches.rs
@@ -16,7 +16,7 @@
 use monsoonbank_platform::cache::{self, CacheError};
 use thiserror::Error;
 
-use crate::gateway::channels::{self, ChannelError};
+use crate::gateway::connections::{self, ConnectionError};
 use crate::gateway::decisions::Decision;
 use crate::gateway::{Gateway, notices};
 
@@ -36,7 +36,7 @@
 #[derive(Debug, Error)]
 enum ListError {
     #[error("{0}")]
-    Channel(#[from] ChannelError),
+    Channel(#[from] ConnectionError),
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
     #[error("{0}")]
@@ -115,7 +115,7 @@
     for part in &parts {
         upstream.load.part_read(part.id, now);
     }
-    gateway.decisions.line(&Decision::CacheListed {
+    gateway.decisions.record(&Decision::CacheListed {
         upstream: &upstream.entry.id,
         parts: parts.len(),
         reason: reason.as_deref(),
@@ -123,16 +123,16 @@
 }
 
 async fn list(gateway: &Gateway, engine: EngineAddress) -> Result<Vec<PromptPart>, ListError> {
-    let mut channel = channels::open(engine.key, engine.address).await?;
+    let mut connection = connections::open(engine.key, engine.address).await?;
     gate::check(&gateway.registry.borrow(), engine.key, gateway.now())?;
     let request = cache::list_request(&engine.address.to_string())?;
-    let answer = tokio::time::timeout(ANSWER_TIME, channel.sender.send_request(request)).await;
+    let answer = tokio::time::timeout(ANSWER_TIME, connection.sender.send_request(request)).await;
     let answer = answer.map_err(|_| ListError::TimedOut)??;
     let said = answer::notices(answer.status(), answer.headers());
-    notices::take_notices(gateway, engine.key, said);
+    notices::apply(gateway, engine.key, said);
     if !answer.status().is_success() {
         return Err(ListError::Refused(answer.status()));
     }
-    let body = body::read_whole(answer.into_body(), ANSWER_TIME, |_| ()).await?;
+    let body = body::read_to_end(answer.into_body(), ANSWER_TIME, |_| ()).await?;
     Ok(cache::decode_list(&body)?)
 }
--- a/daemon/src/gateway/channels.rs
+++ b/daemon/src/gateway/connections.rs
@@ -33,7 +33,7 @@
 
 /// Why there is no connection.
 #[derive(Debug, Error)]
-pub enum ChannelError {
+pub enum ConnectionError {
     /// The upstream's host does not answer.
     #[error("no connection in time")]
     TimedOut,
@@ -47,27 +47,27 @@
 
 /// A connection in use. Dropped, it is closed, which makes the upstream drop its call.
 #[derive(Debug)]
-pub struct UpstreamChannel {
+pub struct UpstreamConnection {
     /// Sends requests.
     pub sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
     key: UpstreamKey,
 }
 
-impl Drop for UpstreamChannel {
+impl Drop for UpstreamConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
 #[derive(Debug)]
-struct IdleChannel {
-    channel: UpstreamChannel,
+struct IdleConnection {
+    connection: UpstreamConnection,
     since: Duration,
     announced: Option<Duration>,
 }
 
-impl IdleChannel {
+impl IdleConnection {
     fn usable(&self, safety: CallSafety, now: Duration) -> bool {
         let most = match safety {
             CallSafety::AtMostOnce => IDLE_AT_MOST_ONCE,
@@ -76,37 +76,44 @@
         let most = self.announced.map_or(most, |announced| {
             most.min(announced.mul_f64(ANNOUNCED_PART))
         });
-        now.saturating_sub(self.since) < most && self.channel.sender.is_ready()
+        now.saturating_sub(self.since) < most && self.connection.sender.is_ready()
     }
 }
 
 /// Idle connections, by upstream.
 #[derive(Debug, Default)]
-pub struct ChannelPool {
-    idle: RefCell<BTreeMap<UpstreamKey, Vec<IdleChannel>>>,
+pub struct ConnectionPool {
+    idle: RefCell<BTreeMap<UpstreamKey, Vec<IdleConnection>>>,
 }
 
-impl ChannelPool {
+impl ConnectionPool {
     /// An idle connection, the one that was used last.
-    pub fn take(
+    pub fn acquire(
         &self,
         key: UpstreamKey,
         safety: CallSafety,
         now: Duration,
-    ) -> Option<UpstreamChannel> {
+    ) -> Option<UpstreamConnection> {
         let mut idle = self.idle.borrow_mut();
-        let channels = idle.get_mut(&key)?;
-        channels.retain(|idle| idle.usable(CallSafety::Idempotent, now));
-        let position = channels.iter().rposition(|idle| idle.usable(safety, now))?;
-        Some(channels.remove(position).channel)
+        let connections = idle.get_mut(&key)?;
+        connections.retain(|idle| idle.usable(CallSafety::Idempotent, now));
+        let position = connections
+            .iter()
+            .rposition(|idle| idle.usable(safety, now))?;
+        Some(connections.remove(position).connection)
     }
 
     /// Keeps a connection whose answer was read whole.
-    pub fn keep(&self, channel: UpstreamChannel, announced: Option<Duration>, now: Duration) {
+    pub fn release(
+        &self,
+        connection: UpstreamConnection,
+        announced: Option<Duration>,
+        now: Duration,
+    ) {
         let mut idle = self.idle.borrow_mut();
-        let channels = idle.entry(channel.key).or_default();
-        channels.push(IdleChannel {
-            channel,
+        let connections = idle.entry(connection.key).or_default();
+        connections.push(IdleConnection {
+            connection,
             since: now,
             announced,
         });
@@ -119,16 +126,19 @@
 }
 
 /// Opens a connection.
-pub async fn open(key: UpstreamKey, address: SocketAddr) -> Result<UpstreamChannel, ChannelError> {
+pub async fn open(
+    key: UpstreamKey,
+    address: SocketAddr,
+) -> Result<UpstreamConnection, ConnectionError> {
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
-    let stream = connecting.await.map_err(|_| ChannelError::TimedOut)??;
-    tune(&stream)?;
+    let stream = connecting.await.map_err(|_| ConnectionError::TimedOut)??;
+    set_options(&stream)?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let task = tokio::task::spawn_local(async move {
         // What ends a connection is told to the call that waits on it.
         let _ = connection.await;
     });
-    Ok(UpstreamChannel {
+    Ok(UpstreamConnection {
         sender,
         task: task.abort_handle(),
         key,
@@ -136,7 +146,7 @@
 }
 
 /// Makes silence of the other end show as an error.
-pub fn tune(stream: &TcpStream) -> std::io::Result<()> {
+pub fn set_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(SILENCE_TIMEOUT))?;
--- a/daemon/src/gateway/decisions.rs
+++ b/daemon/src/gateway/decisions.rs
@@ -416,7 +416,7 @@
     }
 
     /// Takes a line in.
-    pub fn line(&self, decision: &Decision) {
+    pub fn record(&self, decision: &Decision) {
         let now = self.clock.now();
         let mut buffer = self.buffer.borrow_mut();
         if buffer.len() > MOST_BYTES {
--- a/daemon/src/gateway/duties.rs
+++ b/daemon/src/gateway/duties.rs
@@ -94,7 +94,7 @@
     }
 
     /// Takes in the store's era.
-    pub fn see_era(&self, era: u64, unix_now: Duration) {
+    pub fn observe_era(&self, era: u64, unix_now: Duration) {
         let window = self.ledger.borrow().window(unix_now) + 1;
         let now = self.clock.now();
         self.lease.borrow_mut().see_era(era, window, now);
@@ -174,7 +174,7 @@
     }
 
     /// Whether a call fits into the platform's rate now; it is counted then.
-    pub fn takes_call(&self, now: Duration) -> bool {
+    pub fn try_admit_call(&self, now: Duration) -> bool {
         if now < self.call_at.get() {
             return false;
         }
@@ -261,11 +261,13 @@
         match (token, duties.held_since.get()) {
             (Some(token), None) => {
                 duties.held_since.set(Some(self.gateway.unix_now()));
-                self.gateway.decisions.line(&Decision::DutiesHeld { token });
+                self.gateway
+                    .decisions
+                    .record(&Decision::DutiesHeld { token });
             }
             (None, Some(_)) => {
                 duties.held_since.set(None);
-                self.gateway.decisions.line(&Decision::DutiesLost);
+                self.gateway.decisions.record(&Decision::DutiesLost);
             }
             _ => {}
         }
@@ -273,7 +275,7 @@
 
     async fn read(&mut self, duties: &DutyState) {
         let read = self.client.newest(names::DUTY_TOPIC, STORE_PATIENCE).await;
-        self.gateway.see_store_era(self.client.era());
+        self.gateway.observe_store_era(self.client.era());
         let snapshot = match read {
             Ok(snapshot) => snapshot,
             Err(error) => return self.failed(&error).await,
@@ -302,7 +304,7 @@
     async fn failed(&self, error: &StoreError) {
         self.count("failed");
         let reason = error.to_string();
-        self.gateway.decisions.line(&Decision::StoreLost {
+        self.gateway.decisions.record(&Decision::StoreLost {
             reader: "duties",
             reason: &reason,
         });
@@ -329,13 +331,13 @@
             .client
             .append(names::DUTY_TOPIC, claim.at, &records, STORE_PATIENCE)
             .await;
-        self.gateway.see_store_era(self.client.era());
+        self.gateway.observe_store_era(self.client.era());
         match appended {
             Ok(place) => {
                 self.count("answered");
                 self.appended(duties, &claim, place.end, last);
             }
-            Err(StoreError::Elsewhere) => {
+            Err(StoreError::EndMismatch) => {
                 self.count("answered");
                 duties.lease.borrow_mut().refused();
             }
@@ -382,7 +384,7 @@
         let unix_now = self.gateway.unix_now();
         let ledger = duties.ledger.borrow();
         for last in last {
-            self.gateway.decisions.line(&Decision::UsageWritten {
+            self.gateway.decisions.record(&Decision::UsageWritten {
                 window: last.window,
                 workspaces: last.counts.len(),
                 calls: last.counts.values().sum(),
--- a/daemon/src/gateway/desk.rs
+++ b/daemon/src/gateway/endpoints.rs
@@ -53,7 +53,7 @@
 const NO_CONFIGURATION: &str = "no configuration yet";
 
 /// Accepts connections of those who ask.
-pub async fn accept(gateway: Rc<Gateway>, listener: TcpListener) {
+pub async fn serve(gateway: Rc<Gateway>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
--- a/daemon/src/gateway/events.rs
+++ b/daemon/src/gateway/events.rs
@@ -7,7 +7,7 @@
 
 /// A whole event, as it came.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WholeEvent {
+pub struct RawEvent {
     /// Its bytes, the blank line included.
     pub bytes: Bytes,
     /// Its id, if it has one.
@@ -28,15 +28,15 @@
     }
 
     /// The next whole event.
-    pub fn next_event(&mut self) -> Option<WholeEvent> {
+    pub fn next_event(&mut self) -> Option<RawEvent> {
         let end = event_end(&self.held)?;
         let bytes = self.held.split_to(end).freeze();
         let id = event_id(&bytes);
-        Some(WholeEvent { bytes, id })
+        Some(RawEvent { bytes, id })
     }
 
     /// Bytes after the last whole event.
-    pub fn rest(&mut self) -> Bytes {
+    pub fn remainder(&mut self) -> Bytes {
         self.held.split().freeze()
     }
 }
--- a/daemon/src/gateway/exchange.rs
+++ b/daemon/src/gateway/fetch.rs
@@ -24,8 +24,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::gateway::decisions::{Decision, millis};
-use crate::gateway::patch::{self, TextPatch};
-use crate::gateway::{Gateway, desk, follow, frame, quarantine};
+use crate::gateway::patch::{self, ConfigurationPatch};
+use crate::gateway::{Gateway, endpoints, frame, quarantine, sync};
 
 /// Time in which a node has to begin its answer, and longest pause within it. A weak host that takes in
 /// thousands of rules does nothing else for a third of a second.
@@ -107,9 +107,9 @@
 }
 
 fn lacks(gateway: &Gateway, heartbeat: &NodeHeartbeat) -> LackingPart {
-    let reads_itself = gateway.is_reader() && !gateway.store_doubtful();
+    let reads_itself = gateway.is_reader() && !gateway.store_suspect();
     let differs = heartbeat.registry_digest != gateway.registry.borrow().digest();
-    let unknown = !gateway.store.get().registry_known && heartbeat.registry_digest != 0;
+    let unknown = !gateway.store_health.get().registry_loaded && heartbeat.registry_digest != 0;
     let trusted = heartbeat.store_well && learns_from(gateway, heartbeat);
     let crash_digest = gateway.crashes.borrow().digest();
     LackingPart {
@@ -166,15 +166,15 @@
 async fn fetch_all(gateway: &Gateway, peer: &str, address: SocketAddr, lacking: LackingPart) {
     if lacking.crashes {
         let source = FetchSource::new(peer, address, FetchPart::Crashes);
-        let Some(reports) = fetch::<Vec<CrashReport>>(gateway, source, desk::CRASH_PATH).await
+        let Some(reports) = fetch::<Vec<CrashReport>>(gateway, source, endpoints::CRASH_PATH).await
         else {
             return;
         };
-        quarantine::receive(gateway, &reports, peer);
+        quarantine::merge_reports(gateway, &reports, peer);
     }
     if lacking.entries {
         let source = FetchSource::new(peer, address, FetchPart::Registry);
-        let target = desk::registry_target(&gateway.registry.borrow().bucket_digests());
+        let target = endpoints::registry_target(&gateway.registry.borrow().bucket_digests());
         let Some(entries) = fetch(gateway, source, &target).await else {
             return;
         };
@@ -183,7 +183,7 @@
     if lacking.rules {
         // Another may be in force by the time of the answer.
         let base = gateway.texts.borrow().newest().cloned();
-        let target = desk::patch_target(base.as_deref().map(patch::text_digest));
+        let target = endpoints::patch_target(base.as_deref().map(patch::text_digest));
         let source = FetchSource::new(peer, address, FetchPart::Configuration);
         let Some(patch) = fetch(gateway, source, &target).await else {
             return;
@@ -193,10 +193,10 @@
 }
 
 /// Takes in the configuration that a patch makes of `base`, and keeps the patch for others.
-fn take_patch(gateway: &Gateway, peer: &str, base: Option<&[u8]>, patch: TextPatch) {
+fn take_patch(gateway: &Gateway, peer: &str, base: Option<&[u8]>, patch: ConfigurationPatch) {
     match patch.apply(base) {
         Ok(text) => {
-            follow::take_configuration(gateway, &text, peer);
+            sync::apply_configuration(gateway, &text, peer);
             gateway.texts.borrow_mut().keep_patch(patch);
         }
         Err(error) => log::warn!("a patch of {peer} was not taken: {error}"),
@@ -218,10 +218,10 @@
             ..entry
         })
     };
-    follow::take_changes(gateway, entries.into_iter().map(change), true);
-    let mut view = gateway.store.get();
-    view.registry_known = true;
-    gateway.store.set(view);
+    sync::apply_changes(gateway, entries.into_iter().map(change), true);
+    let mut view = gateway.store_health.get();
+    view.registry_loaded = true;
+    gateway.store_health.set(view);
 }
 
 /// Where something is fetched from.
@@ -252,16 +252,16 @@
     let mut received = 0;
     let on_piece = |bytes| {
         received += bytes;
-        gateway.piece_came();
+        gateway.record_fetch_progress();
     };
     let fetched = exchange(source.address, target, on_piece).await;
     let fetched = fetched.and_then(|bytes| decode(&bytes));
     let outcome = if fetched.is_ok() { "used" } else { "wasted" };
-    gateway.metrics.count_learnt("nodes", outcome, received);
+    gateway.metrics.count_received("nodes", outcome, received);
     match fetched {
         Ok(value) => Some(value),
         Err(error) => {
-            gateway.decisions.line(&Decision::FetchFailed {
+            gateway.decisions.record(&Decision::FetchFailed {
                 peer: source.peer,
                 part: &source.part.to_string(),
                 received,
@@ -288,7 +288,7 @@
     if !response.status().is_success() {
         return Err(FetchError::Refused(response.status()));
     }
-    Ok(body::read_whole(response.into_body(), FETCH_SILENCE, on_piece).await?)
+    Ok(body::read_to_end(response.into_body(), FETCH_SILENCE, on_piece).await?)
 }
 
 /// Sends a request on a connection of its own, which ends when what is given with the answer is
--- a/daemon/src/gateway/limits.rs
+++ b/daemon/src/gateway/limits.rs
@@ -17,7 +17,7 @@
 const OWN_SOURCE: &str = "own";
 
 /// Takes in what an answer of an upstream says of its limit.
-pub fn answered(gateway: &Gateway, key: UpstreamKey, per_second: Option<f64>) {
+pub fn record_limit(gateway: &Gateway, key: UpstreamKey, per_second: Option<f64>) {
     let said = NamedLimit {
         per_second,
         at: gateway.now(),
@@ -26,7 +26,7 @@
 }
 
 /// Takes in what another node says of limits.
-pub fn take_reports(gateway: &Gateway, reports: &[LimitReport], source: &str) {
+pub fn merge_reports(gateway: &Gateway, reports: &[LimitReport], source: &str) {
     for report in reports {
         let key = gateway.registry.borrow().by_hash(report.run);
         if let Some(key) = key {
@@ -36,7 +36,7 @@
 }
 
 /// Reports for the next heartbeat: what upstreams said last.
-pub fn news(registry: &UpstreamRegistry, now: Duration) -> Vec<LimitReport> {
+pub fn recent_reports(registry: &UpstreamRegistry, now: Duration) -> Vec<LimitReport> {
     let report = |upstream: &Upstream| upstream.throttle.report(upstream.entry.run_hash(), now);
     let mut reports: Vec<LimitReport> = registry.newest().filter_map(report).collect();
     reports.sort_by_key(|report| Reverse(report.age_ms));
@@ -44,7 +44,7 @@
 }
 
 /// Sets this node's share of each limit by the nodes that it knows.
-pub fn share_out(gateway: &Gateway) {
+pub fn update_shares(gateway: &Gateway) {
     let now = gateway.now();
     let limited: Vec<UpstreamKey> = gateway
         .registry
@@ -85,12 +85,12 @@
     if !upstream.throttle.observe(said, now) {
         return;
     }
-    gateway.decisions.line(&Decision::LimitChanged {
+    gateway.decisions.record(&Decision::LimitChanged {
         upstream: &upstream.entry.id,
         per_second: said.per_second,
         source,
     });
     drop(registry);
-    gateway.tell(SpreadNews::All);
+    gateway.propagate(SpreadNews::All);
     set_share(gateway, key, now);
 }
--- a/daemon/src/gateway/listener.rs
+++ b/daemon/src/gateway/listener.rs
@@ -15,7 +15,7 @@
 
 use crate::error::NodeError;
 use crate::gateway::reply::{self, Reply};
-use crate::gateway::{Gateway, desk, intake, relay};
+use crate::gateway::{Gateway, admission, endpoints, relay};
 
 /// Descriptors that are kept for files, upstreams, peers and the store.
 const OTHER_DESCRIPTORS: usize = 1200;
@@ -39,7 +39,7 @@
     ];
     for (address, role) in desks {
         let listener = bind(address, role).await?;
-        tokio::task::spawn_local(desk::accept(gateway.clone(), listener));
+        tokio::task::spawn_local(endpoints::serve(gateway.clone(), listener));
     }
     Ok(())
 }
@@ -69,7 +69,7 @@
                 continue;
             }
         };
-        if !gateway.takes_calls() {
+        if !gateway.accepts_calls() {
             return;
         }
         if gateway.open_connections.get() >= most {
@@ -117,7 +117,7 @@
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
         ended = connection.as_mut() => return note_end(ended),
-        () = gateway.leave_notice.notified() => {}
+        () = gateway.shutdown_notify.notified() => {}
     }
     connection.as_mut().graceful_shutdown();
     note_end(connection.await);
@@ -131,8 +131,8 @@
 
 async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> Result<Reply, Infallible> {
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
-    let mut reply = match intake::admit(&gateway, request).await {
-        Ok(call) if gateway.takes_calls() => relay::carry(gateway.clone(), call).await,
+    let mut reply = match admission::admit(&gateway, request).await {
+        Ok(call) if gateway.accepts_calls() => relay::forward(gateway.clone(), call).await,
         Ok(_) => reply::not_run("the node is leaving", Duration::ZERO),
         Err(reply) => reply,
     };
--- a/daemon/src/gateway/silence.rs
+++ b/daemon/src/gateway/liveness.rs
@@ -12,8 +12,8 @@
 use monsoonbank_kernel::gateway::rules::CallSafety;
 
 use crate::gateway::Gateway;
-use crate::gateway::channels;
-use crate::gateway::intake::Call;
+use crate::gateway::admission::Call;
+use crate::gateway::connections;
 use crate::gateway::relay::FailedAttempt;
 
 /// Least silence after which a host is asked: a sound engine's pauses are below this, and each
@@ -24,7 +24,7 @@
 
 /// Waits until `waiting` is done or the call's deadline has passed. For a call that can go on at
 /// another upstream, the wait also ends when the upstream's host takes no more connections.
-pub async fn hear<T>(
+pub async fn wait<T>(
     gateway: &Gateway,
     call: &Call,
     key: UpstreamKey,
@@ -75,12 +75,12 @@
     };
     let opened = gateway
         .metrics
-        .channels_opened
+        .connections_opened
         .with_label_values(&[&*entry.pool]);
     opened.inc();
-    match channels::open(key, entry.address).await {
-        Ok(channel) => {
-            gateway.channels.keep(channel, None, gateway.now());
+    match connections::open(key, entry.address).await {
+        Ok(connection) => {
+            gateway.connections.release(connection, None, gateway.now());
             true
         }
         Err(error) => {
--- a/daemon/src/gateway/metrics.rs
+++ b/daemon/src/gateway/metrics.rs
@@ -27,11 +27,11 @@
     /// Calls to the store, by reader and outcome.
     pub store_calls: IntCounterVec,
     /// Bytes of configurations and registries received, by source and whether they were of use.
-    pub learnt_bytes: IntCounterVec,
+    pub received_bytes: IntCounterVec,
     /// Bytes of heartbeats that were sent to other nodes.
     pub heartbeat_bytes: IntCounter,
     /// Connections to upstreams that were opened, by pool.
-    pub channels_opened: IntCounterVec,
+    pub connections_opened: IntCounterVec,
     /// Version of the configuration in force.
     pub version: IntGauge,
     /// Calls that have not ended.
@@ -116,12 +116,12 @@
                 "Calls to the platform's store",
                 &["reader", "outcome"],
             ),
-            learnt_bytes: counter(
+            received_bytes: counter(
                 "monsoonbank_learnt_bytes_total",
                 "Bytes of configurations and registries received",
                 &["source", "outcome"],
             ),
-            channels_opened: counter(
+            connections_opened: counter(
                 "monsoonbank_upstream_connections_total",
                 "Connections to upstreams that were opened",
                 &["pool"],
@@ -133,8 +133,8 @@
     }
 
     /// Counts bytes that were received of `source`: the store, or other nodes.
-    pub fn count_learnt(&self, source: &str, outcome: &str, bytes: usize) {
-        self.learnt_bytes
+    pub fn count_received(&self, source: &str, outcome: &str, bytes: usize) {
+        self.received_bytes
             .with_label_values(&[source, outcome])
             .inc_by(bytes as u64);
     }
--- a/daemon/src/gateway/notices.rs
+++ b/daemon/src/gateway/notices.rs
@@ -6,42 +6,42 @@
 use monsoonbank_platform::answer::{AnswerHead, AnswerKind, UpstreamNotices};
 
 use crate::gateway::decisions::{Decision, millis};
-use crate::gateway::{Gateway, follow, limits};
+use crate::gateway::{Gateway, limits, sync};
 
 /// Takes in the head of an upstream's answer.
-pub fn take(gateway: &Gateway, key: UpstreamKey, head: &AnswerHead) {
+pub fn apply_head(gateway: &Gateway, key: UpstreamKey, head: &AnswerHead) {
     let limit = head.notices.rate_limit;
     match head.kind {
-        AnswerKind::Success | AnswerKind::Failure => limits::answered(gateway, key, limit),
+        AnswerKind::Success | AnswerKind::Failure => limits::record_limit(gateway, key, limit),
         // A refusal without a limit says nothing of it.
-        AnswerKind::NotRun if limit.is_some() => limits::answered(gateway, key, limit),
+        AnswerKind::NotRun if limit.is_some() => limits::record_limit(gateway, key, limit),
         AnswerKind::NotRun | AnswerKind::Moved | AnswerKind::Foreign => {}
     }
-    take_notices(gateway, key, head.notices);
+    apply(gateway, key, head.notices);
 }
 
 /// Takes in what an upstream says of itself.
-pub fn take_notices(gateway: &Gateway, key: UpstreamKey, notices: UpstreamNotices) {
+pub fn apply(gateway: &Gateway, key: UpstreamKey, notices: UpstreamNotices) {
     if notices.leaving {
         gateway.metrics.count_notice("leaving");
         let is_news = gateway.registry.borrow_mut().announced(key, gateway.now());
         if is_news {
-            follow::upstream_changed(gateway, key);
+            sync::upstream_changed(gateway, key);
         }
     }
     if let Some(pause) = notices.pause {
-        take_pause(gateway, key, pause);
+        apply_pause(gateway, key, pause);
     }
 }
 
-fn take_pause(gateway: &Gateway, key: UpstreamKey, pause: Duration) {
+fn apply_pause(gateway: &Gateway, key: UpstreamKey, pause: Duration) {
     gateway.metrics.count_notice("pause");
     let mut registry = gateway.registry.borrow_mut();
     let Some(upstream) = registry.get_mut(key) else {
         return;
     };
     upstream.pause.ask(pause, gateway.now());
-    gateway.decisions.line(&Decision::PauseAsked {
+    gateway.decisions.record(&Decision::PauseAsked {
         upstream: &upstream.entry.id,
         pause_ms: millis(pause),
     });
--- a/daemon/src/gateway/patch.rs
+++ b/daemon/src/gateway/patch.rs
@@ -44,13 +44,13 @@
 
 /// Makes a configuration's text from the one before it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TextPatch {
+pub struct ConfigurationPatch {
     base: Option<u64>,
     digest: u64,
     frame: Bytes,
 }
 
-impl TextPatch {
+impl ConfigurationPatch {
     /// What turns `base` into `text`; without a base, the whole.
     pub fn new(base: Option<&[u8]>, text: &[u8]) -> io::Result<Self> {
         let prefix = base.unwrap_or_default();
@@ -101,12 +101,12 @@
 
 /// The texts that were in force lately, the newest first, and patches to it.
 #[derive(Debug, Default)]
-pub struct TextHistory {
+pub struct ConfigurationHistory {
     texts: VecDeque<(u64, Bytes)>,
-    patches: BTreeMap<Option<u64>, TextPatch>,
+    patches: BTreeMap<Option<u64>, ConfigurationPatch>,
 }
 
-impl TextHistory {
+impl ConfigurationHistory {
     /// Takes in the text that is in force now.
     pub fn put(&mut self, text: Bytes) {
         self.texts.push_front((text_digest(&text), text));
@@ -121,7 +121,7 @@
 
     /// Keeps a patch that gave the text in force: another node that has its base needs the same, and
     /// making it takes this node up to 30 ms.
-    pub fn keep_patch(&mut self, patch: TextPatch) {
+    pub fn keep_patch(&mut self, patch: ConfigurationPatch) {
         let newest = self.texts.front().map(|(digest, _)| *digest);
         if newest == Some(patch.digest) {
             self.patches.insert(patch.base, patch);
@@ -130,7 +130,7 @@
 
     /// What makes the text in force of the one with this digest; the whole if that is not known here.
     /// None if there is no text.
-    pub fn patch_from(&mut self, base: Option<u64>) -> io::Result<Option<&TextPatch>> {
+    pub fn patch_from(&mut self, base: Option<u64>) -> io::Result<Option<&ConfigurationPatch>> {
         let Some((_, newest)) = self.texts.front() else {
             return Ok(None);
         };
@@ -139,7 +139,7 @@
         match self.patches.entry(base) {
             Entry::Occupied(entry) => Ok(Some(entry.into_mut())),
             Entry::Vacant(entry) => {
-                let patch = TextPatch::new(known.map(|(_, text)| &text[..]), newest)?;
+                let patch = ConfigurationPatch::new(known.map(|(_, text)| &text[..]), newest)?;
                 Ok(Some(entry.insert(patch)))
             }
         }
--- a/daemon/src/gateway/peers.rs
+++ b/daemon/src/gateway/peers.rs
@@ -17,7 +17,7 @@
 use crate::gateway::duties::host_time;
 use crate::gateway::settings::GatewaySettings;
 use crate::gateway::usage::UsageSender;
-use crate::gateway::{Gateway, exchange, follow, limits, quarantine, usage};
+use crate::gateway::{Gateway, fetch, limits, quarantine, sync, usage};
 
 /// Parts of prompts in one datagram, about 16 bytes each.
 const MOST_PARTS: usize = 48;
@@ -89,7 +89,7 @@
     let mut crashes = gateway.crashes.borrow_mut();
     let mut heartbeat = NodeHeartbeat {
         version: gateway.version(),
-        store_well: gateway.store.get().registry_known && !gateway.store_doubtful(),
+        store_well: gateway.store_health.get().registry_loaded && !gateway.store_suspect(),
         store_age_ms: answered_at.map(|at| millis(now.saturating_sub(at))),
         registry_digest: registry.digest(),
         seeking: spread::is_seeking(&fleet, now),
@@ -102,7 +102,7 @@
         work: Some(work),
         failing,
         departures: registry.departures(now),
-        limits: limits::news(&registry, now),
+        limits: limits::recent_reports(&registry, now),
         crashes: crashes.news(now),
         crash_digest: crashes.digest(),
         unix_ms: duties.map_or(0, |_| millis(host_time())),
@@ -182,7 +182,7 @@
         let now = gateway.now();
         gateway.fleet.borrow_mut().forget(now);
         gateway.compare_clocks();
-        limits::share_out(&gateway);
+        limits::update_shares(&gateway);
         let mut own = own_heartbeat(&gateway);
         let round = SpreadRound {
             busy: gateway.open_calls.get() > 0,
@@ -250,7 +250,7 @@
         gateway.decisions.flush();
         speaker.round().await;
         // A tick that passes and a notice both begin a round.
-        let _ = tokio::time::timeout(tick, gateway.speak_notice.notified()).await;
+        let _ = tokio::time::timeout(tick, gateway.heartbeat_notify.notified()).await;
     }
 }
 
@@ -283,23 +283,23 @@
     }
     let now = gateway.now();
     take_departures(gateway, &heartbeat, now);
-    limits::take_reports(gateway, &heartbeat.limits, &heartbeat.card.name);
-    quarantine::receive(gateway, &heartbeat.crashes, &heartbeat.card.name);
+    limits::merge_reports(gateway, &heartbeat.limits, &heartbeat.card.name);
+    quarantine::merge_reports(gateway, &heartbeat.crashes, &heartbeat.card.name);
     take_work(gateway, &heartbeat, now);
     if let Some(duties) = &gateway.duties {
-        usage::receive(gateway, duties, &mut heartbeat);
+        usage::merge(gateway, duties, &mut heartbeat);
     }
-    exchange::catch_up(gateway, &heartbeat);
-    gateway.room_notice.notify_waiters();
+    fetch::catch_up(gateway, &heartbeat);
+    gateway.capacity_notify.notify_waiters();
     let card = heartbeat.card.clone();
     let (seeking, answers) = (heartbeat.seeking, heartbeat.answers);
     let news = gateway.fleet.borrow_mut().heard(heartbeat, now);
     if news.left && gateway.is_hub() {
-        gateway.tell(SpreadNews::All);
+        gateway.propagate(SpreadNews::All);
     }
     if news.fresh {
-        gateway.speak_notice.notify_one();
-        gateway.decisions.line(&Decision::PeerHeard {
+        gateway.heartbeat_notify.notify_one();
+        gateway.decisions.record(&Decision::PeerHeard {
             peer: &card.name,
             zone: &card.zone,
         });
@@ -329,9 +329,9 @@
         let Some(key) = departed else {
             continue;
         };
-        follow::upstream_changed(gateway, key);
+        sync::upstream_changed(gateway, key);
         if gateway.is_hub() {
-            gateway.tell(SpreadNews::All);
+            gateway.propagate(SpreadNews::All);
         }
     }
 }
--- a/daemon/src/gateway/quarantine.rs
+++ b/daemon/src/gateway/quarantine.rs
@@ -14,8 +14,8 @@
 use thiserror::Error;
 
 use crate::gateway::Gateway;
+use crate::gateway::admission::Call;
 use crate::gateway::decisions::{Decision, millis};
-use crate::gateway::intake::Call;
 
 /// Time between two looks at what has to be read or written down.
 const TICK: Duration = Duration::from_millis(250);
@@ -59,7 +59,7 @@
         ContentVerdict::Trial => {
             let now = gateway.now();
             gateway.crashes.borrow_mut().begin_trial(call.content, now);
-            gateway.tell(SpreadNews::All);
+            gateway.propagate(SpreadNews::All);
             Ok(())
         }
         ContentVerdict::Quarantined { pause } => Err(refuse(gateway, call, pause)),
@@ -74,7 +74,7 @@
 
 fn refuse(gateway: &Gateway, call: &Call, pause: Duration) -> QuarantineError {
     gateway.metrics.quarantined_calls.inc();
-    gateway.decisions.line(&Decision::CallQuarantined {
+    gateway.decisions.record(&Decision::CallQuarantined {
         call: &call.head.id,
         content: &call.content.to_string(),
         crashes: gateway.crashes.borrow().crashes(call.content),
@@ -84,33 +84,33 @@
 }
 
 /// Takes in that the connection to a run of an upstream broke under a call.
-pub fn crashed(gateway: &Gateway, call: &Call, upstream: &str, run: u64) {
+pub fn record_crash(gateway: &Gateway, call: &Call, upstream: &str, run: u64) {
     let now = gateway.now();
     let news = gateway.crashes.borrow_mut().crashed(call.content, run, now);
     if news == CrashNews::Known {
         return;
     }
-    gateway.decisions.line(&Decision::UpstreamBroke {
+    gateway.decisions.record(&Decision::UpstreamBroke {
         call: &call.head.id,
         content: &call.content.to_string(),
         upstream,
         crashes: gateway.crashes.borrow().crashes(call.content),
     });
-    gateway.tell(SpreadNews::Calls);
+    gateway.propagate(SpreadNews::Calls);
     note(gateway, call.content, news, OWN_SOURCE);
 }
 
 /// Takes in that a call was answered well.
-pub fn answered(gateway: &Gateway, call: &Call) {
+pub fn record_success(gateway: &Gateway, call: &Call) {
     let now = gateway.now();
     if gateway.crashes.borrow_mut().answered(call.content, now) {
-        gateway.tell(SpreadNews::All);
+        gateway.propagate(SpreadNews::All);
         note(gateway, call.content, CrashNews::Cleared, OWN_SOURCE);
     }
 }
 
 /// Takes in what another node or the store knows.
-pub fn receive(gateway: &Gateway, reports: &[CrashReport], source: &str) {
+pub fn merge_reports(gateway: &Gateway, reports: &[CrashReport], source: &str) {
     let now = gateway.now();
     for report in reports {
         let news = gateway.crashes.borrow_mut().receive(report, now);
@@ -130,13 +130,13 @@
         .metrics
         .quarantined_contents
         .set(i64::try_from(ledger.quarantined()).unwrap_or(i64::MAX));
-    gateway.decisions.line(&Decision::QuarantineChanged {
+    gateway.decisions.record(&Decision::QuarantineChanged {
         content: &content.to_string(),
         quarantined: is_quarantined,
         crashes: ledger.crashes(content),
         source,
     });
-    gateway.tell(SpreadNews::All);
+    gateway.propagate(SpreadNews::All);
 }
 
 /// Starts to read and write down what is quarantined.
@@ -210,13 +210,13 @@
             .newest(names::CRASH_TOPIC, STORE_PATIENCE)
             .await?;
         self.count("answered");
-        self.gateway.see_store_era(self.client.era());
+        self.gateway.observe_store_era(self.client.era());
         let reports: Vec<CrashReport> = read
             .records
             .iter()
             .filter_map(|record| self.decode(record))
             .collect();
-        receive(&self.gateway, &reports, STORE_SOURCE);
+        merge_reports(&self.gateway, &reports, STORE_SOURCE);
         let digests = reports
             .iter()
             .map(|report| (report.content, state_digest(report)));
@@ -238,9 +238,9 @@
             .client
             .append(names::CRASH_TOPIC, known.end, &records, STORE_PATIENCE)
             .await;
-        self.gateway.see_store_era(self.client.era());
+        self.gateway.observe_store_era(self.client.era());
         let place = match appended {
-            Err(StoreError::Elsewhere) => {
+            Err(StoreError::EndMismatch) => {
                 self.count("answered");
                 return Ok(());
             }
@@ -290,7 +290,7 @@
     async fn failed(&self, error: &StoreError) {
         self.count("failed");
         let reason = error.to_string();
-        self.gateway.decisions.line(&Decision::StoreLost {
+        self.gateway.decisions.record(&Decision::StoreLost {
             reader: "quarantine",
             reason: &reason,
         });
--- a/daemon/src/gateway/relay.rs
+++ b/daemon/src/gateway/relay.rs
@@ -18,18 +18,18 @@
 use monsoonbank_kernel::gateway::rules::{AnswerForm, CallSafety};
 use monsoonbank_kernel::gateway::spread::SpreadNews;
 use monsoonbank_platform::answer::{self, AnswerKind};
-use monsoonbank_platform::head::{self, UpstreamOrder};
+use monsoonbank_platform::head::{self, RoutingHeaders};
 use thiserror::Error;
 
 use crate::gateway::Gateway;
-use crate::gateway::channels::{self, ChannelError, UpstreamChannel};
+use crate::gateway::admission::Call;
+use crate::gateway::connections::{self, ConnectionError, UpstreamConnection};
 use crate::gateway::decisions::{Decision, millis};
-use crate::gateway::intake::Call;
 use crate::gateway::quarantine::QuarantineError;
 use crate::gateway::reply::{self, Reply};
-use crate::gateway::watch::{CallOutcome, CallWatch};
-use crate::gateway::work::WorkShare;
-use crate::gateway::{notices, quarantine, silence, stream, usage, waiting};
+use crate::gateway::tracker::{CallOutcome, CallTracker};
+use crate::gateway::work::WorkGuard;
+use crate::gateway::{liveness, notices, quarantine, stream, usage, waiting};
 
 /// Largest answer that is held whole before it is passed on. Plain services answer a few kB.
 const MOST_ANSWER_BYTES: usize = 8 << 20;
@@ -46,7 +46,7 @@
 
 /// What a call has been through.
 #[derive(Debug, Default)]
-pub struct CallTrail {
+pub struct CallProgress {
     /// Upstreams that it was sent to or could not be sent to.
     pub tried: Vec<UpstreamKey>,
     /// What came of that.
@@ -57,9 +57,9 @@
 /// An attempt whose answer's head has come.
 pub struct OpenAttempt {
     /// The connection.
-    pub channel: UpstreamChannel,
+    pub connection: UpstreamConnection,
     /// Its work.
-    pub work: WorkShare,
+    pub work: WorkGuard,
     /// The answer.
     pub response: Response<Incoming>,
 }
@@ -84,7 +84,7 @@
     /// The upstream's own failure, if it gave one.
     pub answer: Option<Reply>,
     /// Whether the upstream's connection broke under it.
-    pub broke: bool,
+    pub connection_lost: bool,
     /// What the caller is told to wait; as long as for a full or pausing pool if none.
     pub pause: Option<Duration>,
 }
@@ -96,7 +96,7 @@
             end,
             reason: reason.to_string().into(),
             answer: None,
-            broke: false,
+            connection_lost: false,
             pause: None,
         }
     }
@@ -124,30 +124,30 @@
     pub fn broken(error: &hyper::Error) -> Self {
         Self {
             // An upstream that talks garbage lives.
-            broke: !error.is_parse(),
+            connection_lost: !error.is_parse(),
             ..Self::new(AttemptEnd::Lost, error)
         }
     }
 }
 
 /// Carries a call to its answer.
-pub async fn carry(gateway: Rc<Gateway>, call: Rc<Call>) -> Reply {
-    let mut watch = CallWatch::new(&gateway, &call);
-    let mut trail = CallTrail::default();
+pub async fn forward(gateway: Rc<Gateway>, call: Rc<Call>) -> Reply {
+    let mut tracker = CallTracker::new(&gateway, &call);
+    let mut progress = CallProgress::default();
     loop {
-        let attempt = match next_attempt(&gateway, &call, &mut trail, None).await {
+        let attempt = match next_attempt(&gateway, &call, &mut progress, None).await {
             Ok(attempt) => attempt,
-            Err(failed) => return give_up(&gateway, watch, &trail, failed),
+            Err(failed) => return give_up(&gateway, tracker, &progress, failed),
         };
         let key = attempt.work.key;
         let answered = match call.class.form {
-            AnswerForm::Whole => pass_whole(&gateway, &call, attempt, &mut watch).await,
+            AnswerForm::Whole => pass_whole(&gateway, &call, attempt, &mut tracker).await,
             AnswerForm::Events { .. } => {
                 match stream::first_event(&gateway, &call, attempt).await {
                     Ok(begun) => {
-                        watch.first_piece();
-                        watch.status = begun.status().as_u16();
-                        return stream::pass_on(gateway, call, watch, trail, begun);
+                        tracker.first_piece();
+                        tracker.status = begun.status().as_u16();
+                        return stream::forward(gateway, call, tracker, progress, begun);
                     }
                     Err(failed) => Err(failed),
                 }
@@ -156,8 +156,8 @@
         match answered {
             Ok(reply) => return reply,
             Err(failed) => {
-                if !settle(&gateway, &call, &mut trail, key, &failed) {
-                    return give_up(&gateway, watch, &trail, failed);
+                if !record_failure(&gateway, &call, &mut progress, key, &failed) {
+                    return give_up(&gateway, tracker, &progress, failed);
                 }
             }
         }
@@ -169,19 +169,19 @@
 pub async fn next_attempt(
     gateway: &Rc<Gateway>,
     call: &Rc<Call>,
-    trail: &mut CallTrail,
+    progress: &mut CallProgress,
     after: Option<u64>,
 ) -> Result<OpenAttempt, FailedAttempt> {
     loop {
         quarantine::check(gateway, call).map_err(|error| FailedAttempt::withheld(error.into()))?;
-        let choice = waiting::wait_for_room(gateway, call, trail)
+        let choice = waiting::wait_for_capacity(gateway, call, progress)
             .await
             .map_err(|end| FailedAttempt::new(AttemptEnd::NotSent, &end))?;
-        trail.tried.push(choice.key);
-        match attempt(gateway, call, trail, &choice, after).await {
+        progress.tried.push(choice.key);
+        match attempt(gateway, call, progress, &choice, after).await {
             Ok(attempt) => return Ok(attempt),
             Err(failed) => {
-                if !settle(gateway, call, trail, choice.key, &failed) {
+                if !record_failure(gateway, call, progress, choice.key, &failed) {
                     return Err(failed);
                 }
             }
@@ -190,7 +190,7 @@
 }
 
 /// The upstream for a call, if one has room.
-pub fn choose(gateway: &Gateway, call: &Call, trail: &CallTrail) -> Option<UpstreamChoice> {
+pub fn choose(gateway: &Gateway, call: &Call, progress: &CallProgress) -> Option<UpstreamChoice> {
     let rivals = gateway.fleet.borrow().rivals();
     let silent = gateway.fleet.borrow().silent_rivals(gateway.now());
     let input = ChoiceInput {
@@ -206,31 +206,31 @@
         tight: call.tight,
         repeatable: call.class.safety == CallSafety::Idempotent,
         cache_tokens: call.engine.map_or(0, |engine| engine.cache_tokens),
-        tried: &trail.tried,
+        tried: &progress.tried,
         now: gateway.now(),
     };
     choice::choose(&gateway.registry.borrow(), &input)
 }
 
 /// Takes the end of an attempt in. Gives whether to try again.
-pub fn settle(
+pub fn record_failure(
     gateway: &Gateway,
     call: &Call,
-    trail: &mut CallTrail,
+    progress: &mut CallProgress,
     key: UpstreamKey,
     failed: &FailedAttempt,
 ) -> bool {
     let now = gateway.now();
-    trail.history.may_have_run |= failed.end.may_have_run();
-    if failed.broke {
+    progress.history.may_have_run |= failed.end.may_have_run();
+    if failed.connection_lost {
         note_crash(gateway, call, key);
     }
-    let room = has_room(gateway, call, trail, failed.end, now);
-    let next = outcome::next_step(failed.end, call.class.safety, trail.history, room);
+    let room = has_room(gateway, call, progress, failed.end, now);
+    let next = outcome::next_step(failed.end, call.class.safety, progress.history, room);
     let mut registry = gateway.registry.borrow_mut();
     if failed.end == AttemptEnd::Moved {
         registry.replaced(key);
-        gateway.store_nudge.notify_waiters();
+        gateway.registry_notify.notify_waiters();
     }
     let Some(upstream) = registry.get_mut(key) else {
         return next == NextStep::Retry;
@@ -249,7 +249,7 @@
         .attempts
         .with_label_values(&[&*call.pool, end.as_str()])
         .inc();
-    gateway.decisions.line(&Decision::AttemptEnded {
+    gateway.decisions.record(&Decision::AttemptEnded {
         call: &call.head.id,
         upstream: &upstream.entry.id,
         end: &end,
@@ -257,8 +257,8 @@
         reason: &failed.reason,
     });
     if rests {
-        gateway.tell(SpreadNews::Calls);
-        gateway.decisions.line(&Decision::UpstreamRests {
+        gateway.propagate(SpreadNews::Calls);
+        gateway.decisions.record(&Decision::UpstreamRests {
             upstream: &upstream.entry.id,
             failures: upstream.health.failures(),
             told: upstream.health.warns(now),
@@ -275,14 +275,14 @@
         .get(key)
         .map(|upstream| upstream.entry.clone());
     if let Some(entry) = entry {
-        quarantine::crashed(gateway, call, &entry.id, entry.run_hash());
+        quarantine::record_crash(gateway, call, &entry.id, entry.run_hash());
     }
 }
 
 fn has_room(
     gateway: &Gateway,
     call: &Call,
-    trail: &mut CallTrail,
+    progress: &mut CallProgress,
     end: AttemptEnd,
     now: Duration,
 ) -> bool {
@@ -290,13 +290,13 @@
         return false;
     }
     if !end.was_sent() {
-        trail.connects += 1;
-        return trail.connects < MOST_CONNECTS;
+        progress.connects += 1;
+        return progress.connects < MOST_CONNECTS;
     }
-    if trail.history.sends >= call.class.max_attempts {
+    if progress.history.sends >= call.class.max_attempts {
         return false;
     }
-    if call.class.safety == CallSafety::AtMostOnce && trail.history.may_have_run {
+    if call.class.safety == CallSafety::AtMostOnce && progress.history.may_have_run {
         return false;
     }
     let nodes = gateway.node_count();
@@ -311,7 +311,7 @@
 async fn attempt(
     gateway: &Rc<Gateway>,
     call: &Rc<Call>,
-    trail: &mut CallTrail,
+    progress: &mut CallProgress,
     choice: &UpstreamChoice,
     after: Option<u64>,
 ) -> Result<OpenAttempt, FailedAttempt> {
@@ -322,21 +322,21 @@
             .map_err(|error| FailedAttempt::withheld(error.into()))?;
         (upstream.entry.id.clone(), upstream.entry.address)
     };
-    let work = WorkShare::begin(gateway, call, choice);
-    let mut channel = if let Some(channel) =
+    let work = WorkGuard::begin(gateway, call, choice);
+    let mut connection = if let Some(connection) =
         gateway
-            .channels
-            .take(choice.key, call.class.safety, gateway.now())
+            .connections
+            .acquire(choice.key, call.class.safety, gateway.now())
     {
-        channel
+        connection
     } else {
-        let channel = channels::open(choice.key, address).await;
+        let connection = connections::open(choice.key, address).await;
         gateway
             .metrics
-            .channels_opened
+            .connections_opened
             .with_label_values(&[&*call.pool])
             .inc();
-        channel.map_err(|error| FailedAttempt::new(connect_end(&error), &error))?
+        connection.map_err(|error| FailedAttempt::new(connect_end(&error), &error))?
     };
     let now = gateway.now();
     if now >= call.deadline {
@@ -347,11 +347,11 @@
     let keeper = choice.fetch_from;
     let fetch_from = keeper.and_then(|keeper| address_of(gateway, keeper));
     let request = request(call, &id, fetch_from, time_left, after);
-    count_send(gateway, call, trail);
-    gateway.decisions.line(&Decision::Sent {
+    count_send(gateway, call, progress);
+    gateway.decisions.record(&Decision::Sent {
         call: &call.head.id,
         upstream: &id,
-        attempt: trail.history.sends,
+        attempt: progress.history.sends,
         cost: choice.cost as i64,
         unread: choice.unread_tokens,
         shared: call.head.prompt.shared_tokens(),
@@ -360,17 +360,17 @@
         fetches: choice.fetch_from.is_some(),
         left_ms: millis(time_left),
     });
-    let answer = channel.sender.try_send_request(request);
-    let response = match silence::hear(gateway, call, choice.key, answer).await? {
+    let answer = connection.sender.try_send_request(request);
+    let response = match liveness::wait(gateway, call, choice.key, answer).await? {
         Err(error) if error.message().is_some() => return Err(not_sent(error.error())),
         Err(error) => return Err(FailedAttempt::broken(error.error())),
         Ok(response) => response,
     };
     let head = answer::decode(response.status(), response.headers(), &call.head.id);
-    notices::take(gateway, choice.key, &head);
+    notices::apply_head(gateway, choice.key, &head);
     match head.kind {
         AnswerKind::Success | AnswerKind::Failure => Ok(OpenAttempt {
-            channel,
+            connection,
             work,
             response,
         }),
@@ -393,12 +393,12 @@
     Ok(())
 }
 
-fn connect_end(error: &ChannelError) -> AttemptEnd {
+fn connect_end(error: &ConnectionError) -> AttemptEnd {
     match error {
-        ChannelError::Refused(source) if source.kind() == ErrorKind::ConnectionRefused => {
+        ConnectionError::Refused(source) if source.kind() == ErrorKind::ConnectionRefused => {
             AttemptEnd::Unreachable
         }
-        ChannelError::Refused(_) | ChannelError::TimedOut | ChannelError::Broken(_) => {
+        ConnectionError::Refused(_) | ConnectionError::TimedOut | ConnectionError::Broken(_) => {
             AttemptEnd::NotSent
         }
     }
@@ -411,9 +411,9 @@
     Some(upstream.entry.address)
 }
 
-fn count_send(gateway: &Gateway, call: &Call, trail: &mut CallTrail) {
-    trail.history.sends += 1;
-    if trail.history.sends == 1 {
+fn count_send(gateway: &Gateway, call: &Call, progress: &mut CallProgress) {
+    progress.history.sends += 1;
+    if progress.history.sends == 1 {
         let mut budgets = gateway.budgets.borrow_mut();
         budgets
             .entry(call.pool.clone())
@@ -433,7 +433,7 @@
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.target.clone();
     *request.headers_mut() = call.headers.clone();
-    let order = UpstreamOrder {
+    let order = RoutingHeaders {
         upstream,
         workspace: call.workspace.as_deref(),
         time_left,
@@ -441,7 +441,7 @@
         fetch_from,
         last_event: after.or(call.head.last_event),
     };
-    head::encode_order(request.headers_mut(), &order);
+    head::encode_routing(request.headers_mut(), &order);
     request
 }
 
@@ -449,36 +449,36 @@
     gateway: &Rc<Gateway>,
     call: &Call,
     attempt: OpenAttempt,
-    watch: &mut CallWatch,
+    tracker: &mut CallTracker,
 ) -> Result<Reply, FailedAttempt> {
     let OpenAttempt {
-        channel,
+        connection,
         work,
         response,
     } = attempt;
     let (parts, body) = response.into_parts();
     usage::count(gateway, call, gateway.now().saturating_sub(work.since));
     let reading = Limited::new(body, MOST_ANSWER_BYTES).collect();
-    let body = match silence::hear(gateway, call, work.key, reading).await? {
+    let body = match liveness::wait(gateway, call, work.key, reading).await? {
         Err(error) => return Err(unread(&*error)),
         Ok(body) => body.to_bytes(),
     };
     let now = gateway.now();
     gateway
-        .channels
-        .keep(channel, answer::keep_alive(&parts.headers), now);
+        .connections
+        .release(connection, answer::keep_alive(&parts.headers), now);
     let mut reply = reply::whole(parts.status, body);
-    *reply.headers_mut() = answer::lasting_headers(&parts.headers);
-    watch.first_piece();
-    watch.status = parts.status.as_u16();
+    *reply.headers_mut() = answer::end_to_end_headers(&parts.headers);
+    tracker.first_piece();
+    tracker.status = parts.status.as_u16();
     if !parts.status.is_success() {
         return Err(FailedAttempt::answered(parts.status, reply));
     }
     if let Some(upstream) = gateway.registry.borrow_mut().get_mut(work.key) {
         upstream.health.succeeded(now);
     }
-    quarantine::answered(gateway, call);
-    watch.set(CallOutcome::Answered);
+    quarantine::record_success(gateway, call);
+    tracker.set(CallOutcome::Answered);
     Ok(reply)
 }
 
@@ -501,14 +501,14 @@
 
 fn give_up(
     gateway: &Gateway,
-    mut watch: CallWatch,
-    trail: &CallTrail,
+    mut tracker: CallTracker,
+    progress: &CallProgress,
     failed: FailedAttempt,
 ) -> Reply {
     let (outcome, reply) = match failed.answer {
         Some(answer) => (CallOutcome::Failed, answer),
-        None if trail.history.may_have_run => {
-            let late = gateway.now() >= watch.call().deadline;
+        None if progress.history.may_have_run => {
+            let late = gateway.now() >= tracker.call().deadline;
             let status = if late {
                 StatusCode::GATEWAY_TIMEOUT
             } else {
@@ -522,11 +522,11 @@
                 &failed.reason,
                 failed
                     .pause
-                    .unwrap_or_else(|| pool_pause(gateway, watch.call())),
+                    .unwrap_or_else(|| pool_pause(gateway, tracker.call())),
             ),
         ),
     };
-    watch.status = reply.status().as_u16();
-    watch.set(outcome);
+    tracker.status = reply.status().as_u16();
+    tracker.set(outcome);
     reply
 }
--- a/daemon/src/gateway/reports.rs
+++ b/daemon/src/gateway/reports.rs
@@ -6,7 +6,7 @@
 use monsoonbank_kernel::clock::Clock;
 use monsoonbank_kernel::gateway::duty::CALL_FLIGHT;
 use monsoonbank_kernel::gateway::reports::FinalWindow;
-use monsoonbank_platform::duties::{DutyClient, DutyError, DutyStamp, UsageReport};
+use monsoonbank_platform::duties::{DutyClient, DutyCredentials, DutyError, UsageReport};
 
 use crate::gateway::Gateway;
 use crate::gateway::decisions::Decision;
@@ -19,7 +19,7 @@
 const IDLE_TICK: Duration = Duration::from_millis(500);
 /// Time for an answer: a call that is still under way then is reset, well before another holder may
 /// begin.
-pub const CALL_PATIENCE: Duration = CALL_FLIGHT.saturating_sub(Duration::from_millis(200));
+pub const CALL_TIMEOUT: Duration = CALL_FLIGHT.saturating_sub(Duration::from_millis(200));
 
 /// Starts to make the calls of duties, if the platform has any.
 pub fn start(gateway: &Rc<Gateway>) {
@@ -46,7 +46,7 @@
                 continue;
             }
             gateway.metrics.duty_calls_missed.inc();
-            gateway.decisions.line(&Decision::UsageMissed { window });
+            gateway.decisions.record(&Decision::UsageMissed { window });
         }
         if duties.token().is_none() {
             tokio::time::sleep(IDLE_TICK).await;
@@ -66,12 +66,12 @@
     gateway: &'a Gateway,
     duties: &DutyState,
     client: &mut DutyClient,
-) -> Option<(DutyStamp<'a>, Result<(), DutyError>)> {
-    if !duties.takes_call(gateway.now()) {
+) -> Option<(DutyCredentials<'a>, Result<(), DutyError>)> {
+    if !duties.try_admit_call(gateway.now()) {
         return None;
     }
     let connected = client.connect().await;
-    let stamp = DutyStamp {
+    let stamp = DutyCredentials {
         holder: &gateway.settings.name,
         token: duties.token()?,
     };
@@ -87,11 +87,11 @@
         counts: &due.counts,
     };
     let outcome = match connected {
-        Ok(()) => client.report(stamp, &report, CALL_PATIENCE).await,
+        Ok(()) => client.report(stamp, &report, CALL_TIMEOUT).await,
         Err(error) => Err(error),
     };
     let error = outcome.as_ref().err().map(DutyError::to_string);
-    gateway.decisions.line(&Decision::UsageReported {
+    gateway.decisions.record(&Decision::UsageReported {
         window: due.window,
         workspaces: due.counts.len(),
         calls: due.counts.values().sum(),
--- a/daemon/src/gateway/scaling.rs
+++ b/daemon/src/gateway/scaling.rs
@@ -13,7 +13,7 @@
 use crate::gateway::Gateway;
 use crate::gateway::decisions::Decision;
 use crate::gateway::duties::DutyState;
-use crate::gateway::reports::{CALL_PATIENCE, begin_call};
+use crate::gateway::reports::{CALL_TIMEOUT, begin_call};
 use crate::gateway::settings::DutyName;
 
 /// Time between two looks at what is due.
@@ -93,7 +93,7 @@
                 let total = scaling.needed(gateway.now());
                 duties.lease.borrow_mut().decide_engines(&pool.name, total);
                 let engines = zone_engines(&gateway, &pool.name);
-                gateway.decisions.line(&Decision::PoolBusy {
+                gateway.decisions.record(&Decision::PoolBusy {
                     pool: &pool.name,
                     engines: engines.values().map(|engines| engines.all()).sum(),
                     calls: load.calls,
@@ -131,7 +131,7 @@
         spot: order.kind == EngineKind::Spot,
     };
     let given = match connected {
-        Ok(()) => client.order(stamp, &call, CALL_PATIENCE).await,
+        Ok(()) => client.order(stamp, &call, CALL_TIMEOUT).await,
         Err(error) => Err(error),
     };
     let outcome = match &given {
@@ -157,7 +157,7 @@
     error: Option<DutyError>,
 ) {
     let reason = error.map(|error| error.to_string());
-    gateway.decisions.line(&Decision::EnginesOrdered {
+    gateway.decisions.record(&Decision::EnginesOrdered {
         pool: &pool.name,
         zone: &order.zone,
         kind: &order.kind.to_string(),
--- a/daemon/src/gateway/stream.rs
+++ b/daemon/src/gateway/stream.rs
@@ -15,18 +15,18 @@
 use monsoonbank_platform::answer;
 
 use crate::gateway::Gateway;
+use crate::gateway::admission::Call;
 use crate::gateway::decisions::Decision;
-use crate::gateway::events::{EventSplitter, WholeEvent};
-use crate::gateway::intake::Call;
-use crate::gateway::relay::{self, CallTrail, FailedAttempt, OpenAttempt};
+use crate::gateway::events::{EventSplitter, RawEvent};
+use crate::gateway::relay::{self, CallProgress, FailedAttempt, OpenAttempt};
 use crate::gateway::reply::{self, CutError, Reply};
-use crate::gateway::watch::{CallOutcome, CallWatch};
-use crate::gateway::{quarantine, silence, usage};
+use crate::gateway::tracker::{CallOutcome, CallTracker};
+use crate::gateway::{liveness, quarantine, usage};
 
 /// The next piece of an upstream's stream.
 enum StreamPiece {
     /// A whole event.
-    Event(WholeEvent),
+    Event(RawEvent),
     /// Bytes after the last event of a complete stream.
     Rest(Bytes),
     /// The stream is complete.
@@ -42,12 +42,12 @@
 }
 
 /// A stream whose first piece is there.
-pub struct BegunStream {
+pub struct OpenStream {
     stream: UpstreamStream,
     first: StreamPiece,
 }
 
-impl BegunStream {
+impl OpenStream {
     /// The answer's status.
     pub fn status(&self) -> StatusCode {
         self.stream.parts.status
@@ -61,7 +61,7 @@
                 return Ok(StreamPiece::Event(event));
             }
             if self.ended {
-                let rest = self.splitter.rest();
+                let rest = self.splitter.remainder();
                 return Ok(if rest.is_empty() {
                     StreamPiece::End
                 } else {
@@ -75,7 +75,7 @@
     async fn read(&mut self, gateway: &Gateway, call: &Call) -> Result<(), FailedAttempt> {
         let key = self.attempt.work.key;
         let frame = self.attempt.response.body_mut().frame();
-        match silence::hear(gateway, call, key, frame).await? {
+        match liveness::wait(gateway, call, key, frame).await? {
             None => self.ended = true,
             Some(Err(error)) => return Err(FailedAttempt::broken(&error)),
             Some(Ok(frame)) => {
@@ -97,15 +97,15 @@
     gateway: &Gateway,
     call: &Call,
     attempt: OpenAttempt,
-) -> Result<BegunStream, FailedAttempt> {
+) -> Result<OpenStream, FailedAttempt> {
     let OpenAttempt {
-        channel,
+        connection,
         work,
         response,
     } = attempt;
     let (parts, body) = response.into_parts();
     let attempt = OpenAttempt {
-        channel,
+        connection,
         work,
         response: Response::new(body),
     };
@@ -128,7 +128,7 @@
     {
         upstream.health.answered(gateway.now());
     }
-    Ok(BegunStream { stream, first })
+    Ok(OpenStream { stream, first })
 }
 
 /// How long ago the first token was made when the first event comes, which holds several.
@@ -151,8 +151,8 @@
         }
     }
     let status = stream.parts.status;
-    let mut reply = reply::whole(status, stream.splitter.rest());
-    *reply.headers_mut() = answer::lasting_headers(&stream.parts.headers);
+    let mut reply = reply::whole(status, stream.splitter.remainder());
+    *reply.headers_mut() = answer::end_to_end_headers(&stream.parts.headers);
     FailedAttempt::answered(status, reply)
 }
 
@@ -160,29 +160,29 @@
 struct CallerStream {
     gateway: Rc<Gateway>,
     call: Rc<Call>,
-    watch: CallWatch,
-    trail: CallTrail,
+    tracker: CallTracker,
+    progress: CallProgress,
     source: Option<UpstreamStream>,
     pending: Option<StreamPiece>,
     last_event: Option<u64>,
 }
 
 /// The answer that carries a stream that has begun.
-pub fn pass_on(
+pub fn forward(
     gateway: Rc<Gateway>,
     call: Rc<Call>,
-    watch: CallWatch,
-    trail: CallTrail,
-    begun: BegunStream,
+    tracker: CallTracker,
+    progress: CallProgress,
+    begun: OpenStream,
 ) -> Reply {
     let status = begun.stream.parts.status;
-    let headers = answer::lasting_headers(&begun.stream.parts.headers);
+    let headers = answer::end_to_end_headers(&begun.stream.parts.headers);
     let last_event = call.head.last_event;
     let stream = CallerStream {
         gateway,
         call,
-        watch,
-        trail,
+        tracker,
+        progress,
         source: Some(begun.stream),
         pending: Some(begun.first),
         last_event,
@@ -214,7 +214,7 @@
                 StreamPiece::Event(event) if self.is_beyond(&event) => return Err(self.cut()),
                 StreamPiece::Event(event) => {
                     self.last_event = event.id.or(self.last_event);
-                    self.watch.events += 1;
+                    self.tracker.events += 1;
                     return Ok(Some(event.bytes));
                 }
                 StreamPiece::Rest(rest) => return Ok(Some(rest)),
@@ -226,14 +226,14 @@
         }
     }
 
-    fn is_repeated(&self, event: &WholeEvent) -> bool {
+    fn is_repeated(&self, event: &RawEvent) -> bool {
         event
             .id
             .is_some_and(|id| self.last_event.is_some_and(|last| id <= last))
     }
 
     /// Whether events between the last one and this one are missing.
-    fn is_beyond(&self, event: &WholeEvent) -> bool {
+    fn is_beyond(&self, event: &RawEvent) -> bool {
         event
             .id
             .is_some_and(|id| id > self.last_event.unwrap_or(0) + 1)
@@ -259,19 +259,21 @@
     }
 
     async fn resume(&mut self, key: UpstreamKey, failed: FailedAttempt) -> Result<(), CutError> {
-        let again = relay::settle(&self.gateway, &self.call, &mut self.trail, key, &failed);
+        let again =
+            relay::record_failure(&self.gateway, &self.call, &mut self.progress, key, &failed);
         let resumable = self.call.class.form == AnswerForm::Events { resumable: true };
         if !again || !resumable {
             return Err(self.cut());
         }
         let after = self.last_event;
-        let attempt = relay::next_attempt(&self.gateway, &self.call, &mut self.trail, after).await;
+        let attempt =
+            relay::next_attempt(&self.gateway, &self.call, &mut self.progress, after).await;
         let Ok(attempt) = attempt else {
             return Err(self.cut());
         };
         let key = attempt.work.key;
         if let Some(upstream) = self.gateway.registry.borrow().get(key) {
-            self.gateway.decisions.line(&Decision::Resumed {
+            self.gateway.decisions.record(&Decision::Resumed {
                 call: &self.call.head.id,
                 upstream: &upstream.entry.id,
                 after: after.unwrap_or(0),
@@ -288,7 +290,7 @@
     }
 
     fn cut(&mut self) -> CutError {
-        self.watch.set(CallOutcome::Cut);
+        self.tracker.set(CallOutcome::Cut);
         if self.gateway.now() >= self.call.deadline {
             CutError::Deadline
         } else {
@@ -298,19 +300,19 @@
 
     /// Takes in how fast a stream went that one upstream gave whole.
     fn note_pace(&self, attempt: &OpenAttempt, now: Duration) {
-        let (Some(first_at), 1) = (self.watch.first_at, self.trail.history.sends) else {
+        let (Some(first_at), 1) = (self.tracker.first_at, self.progress.history.sends) else {
             return;
         };
         let first = first_at.saturating_sub(attempt.work.since);
         let rest = now.saturating_sub(first_at);
         let mut paces = self.gateway.paces.borrow_mut();
         let pace = paces.entry(self.call.stream_kind()).or_default();
-        pace.ended(first, rest, self.watch.events.saturating_sub(1));
+        pace.ended(first, rest, self.tracker.events.saturating_sub(1));
     }
 
     /// Keeps the connection for other calls.
     fn complete(&mut self) {
-        self.watch.set(CallOutcome::Answered);
+        self.tracker.set(CallOutcome::Answered);
         let Some(source) = self.source.take() else {
             return;
         };
@@ -325,9 +327,9 @@
         {
             upstream.health.succeeded(now);
         }
-        quarantine::answered(&self.gateway, &self.call);
+        quarantine::record_success(&self.gateway, &self.call);
         self.gateway
-            .channels
-            .keep(source.attempt.channel, announced, now);
+            .connections
+            .release(source.attempt.connection, announced, now);
     }
 }
--- a/daemon/src/gateway/follow.rs
+++ b/daemon/src/gateway/sync.rs
@@ -92,7 +92,7 @@
     /// if the store came back from an older copy, also not if the answer is from before that.
     fn same_era(&mut self) -> bool {
         let era = self.client.era();
-        self.gateway.see_store_era(era);
+        self.gateway.observe_store_era(era);
         let known = std::mem::replace(&mut self.era, era);
         known == era
             && self
@@ -111,12 +111,12 @@
         let Some(since) = self.lost_since.take() else {
             return;
         };
-        let mut view = self.gateway.store.get();
-        view.returned_at = now;
-        self.gateway.store.set(view);
-        self.gateway.configuration_nudge.notify_waiters();
+        let mut view = self.gateway.store_health.get();
+        view.recovered_at = now;
+        self.gateway.store_health.set(view);
+        self.gateway.configuration_notify.notify_waiters();
         let lost_ms = millis(now.saturating_sub(since));
-        self.gateway.decisions.line(&Decision::StoreBack {
+        self.gateway.decisions.record(&Decision::StoreBack {
             reader: self.name,
             lost_ms,
         });
@@ -125,13 +125,13 @@
     async fn failed(&mut self, error: &StoreError) {
         self.count("failed", "wasted");
         let now = self.gateway.now();
-        let mut view = self.gateway.store.get();
+        let mut view = self.gateway.store_health.get();
         view.failed_at = Some(now);
-        self.gateway.store.set(view);
+        self.gateway.store_health.set(view);
         if self.lost_since.is_none() {
             self.lost_since = Some(now);
             let reason = error.to_string();
-            self.gateway.decisions.line(&Decision::StoreLost {
+            self.gateway.decisions.record(&Decision::StoreLost {
                 reader: self.name,
                 reason: &reason,
             });
@@ -154,7 +154,7 @@
             .with_label_values(&[self.name, outcome])
             .inc();
         let received = self.client.received();
-        metrics.count_learnt("store", bytes_outcome, received - self.counted_bytes);
+        metrics.count_received("store", bytes_outcome, received - self.counted_bytes);
         self.counted_bytes = received;
     }
 
@@ -165,7 +165,7 @@
 
     /// Whether the store has been well for long enough to trust that a missing entry means leaving.
     fn trusted(&self) -> bool {
-        !self.gateway.store_doubtful()
+        !self.gateway.store_suspect()
     }
 }
 
@@ -241,7 +241,7 @@
     from: u64,
 ) -> Result<Option<u64>, StoreError> {
     let gateway = reader.gateway.clone();
-    let wait = if gateway.store_doubtful() || !gateway.is_reader() {
+    let wait = if gateway.store_suspect() || !gateway.is_reader() {
         Duration::ZERO
     } else {
         CONFIGURATION_WAIT
@@ -252,7 +252,7 @@
         .read(names::OPERATOR_TOPIC, from, wait, patience);
     let batch = tokio::select! {
         batch = reading => batch?,
-        () = gateway.configuration_nudge.notified() => {
+        () = gateway.configuration_notify.notified() => {
             reader.client.reconnect();
             let again = reader.client.read(names::OPERATOR_TOPIC, from, Duration::ZERO, patience);
             again.await?
@@ -277,19 +277,19 @@
         .filter(|record| record.key == names::CONFIGURATION_KEY)
     {
         if let Some(value) = &record.value {
-            take_configuration(gateway, value, STORE_SOURCE);
+            apply_configuration(gateway, value, STORE_SOURCE);
         }
     }
 }
 
 /// Puts a configuration in force if it is newer than the one in force.
-pub fn take_configuration(gateway: &Gateway, bytes: &Bytes, source: &str) {
+pub fn apply_configuration(gateway: &Gateway, bytes: &Bytes, source: &str) {
     let started = gateway.now();
     let rules = match configuration::decode(bytes) {
         Ok(rules) => rules,
         Err(error) => {
             let reason = error.to_string();
-            gateway.decisions.line(&Decision::ConfigurationRejected {
+            gateway.decisions.record(&Decision::ConfigurationRejected {
                 source,
                 reason: &reason,
             });
@@ -304,7 +304,7 @@
     }
     let decoded = gateway.now();
     let lag = gateway.lag.get().since(rules.version, decoded);
-    gateway.decisions.line(&Decision::ConfigurationApplied {
+    gateway.decisions.record(&Decision::ConfigurationApplied {
         version: rules.version,
         rules: rules.rule_count(),
         source,
@@ -319,15 +319,18 @@
     *gateway.table.borrow_mut() = Some(Rc::new(rules));
     gateway.texts.borrow_mut().put(bytes.clone());
     if source == STORE_SOURCE || gateway.is_hub() {
-        gateway.tell(SpreadNews::All);
+        gateway.propagate(SpreadNews::All);
     }
 }
 
 async fn follow_registry(mut reader: StoreReader) {
     let mut position = None;
-    start_turn(&mut reader, |gateway| gateway.store.get().registry_known).await;
+    start_turn(&mut reader, |gateway| {
+        gateway.store_health.get().registry_loaded
+    })
+    .await;
     loop {
-        if reader.gateway.store.get().registry_known {
+        if reader.gateway.store_health.get().registry_loaded {
             readers_turn(&reader.gateway, || false).await;
         }
         let outcome = match position {
@@ -338,9 +341,9 @@
             Ok(next) => {
                 reader.succeeded();
                 position = next;
-                let mut view = reader.gateway.store.get();
-                view.registry_known = true;
-                reader.gateway.store.set(view);
+                let mut view = reader.gateway.store_health.get();
+                view.registry_loaded = true;
+                reader.gateway.store_health.set(view);
             }
             Err(StoreError::Expired { .. }) => {
                 reader.same_era();
@@ -352,7 +355,7 @@
                 continue;
             }
         }
-        let nudge = reader.gateway.store_nudge.notified();
+        let nudge = reader.gateway.registry_notify.notified();
         let _ = tokio::time::timeout(REGISTRY_PAUSE, nudge).await;
     }
 }
@@ -410,11 +413,11 @@
             }
         }
     });
-    take_changes(gateway, changes, trusted);
+    apply_changes(gateway, changes, trusted);
 }
 
 /// Takes changes of the registry in and writes down what they change.
-pub fn take_changes(
+pub fn apply_changes(
     gateway: &Gateway,
     changes: impl IntoIterator<Item = RegistryChange>,
     trusted: bool,
@@ -426,7 +429,7 @@
         upstreams.extend(keys);
     }
     if !upstreams.is_empty() && gateway.is_reader() {
-        gateway.tell(SpreadNews::All);
+        gateway.propagate(SpreadNews::All);
     }
     for key in upstreams {
         upstream_changed(gateway, key);
@@ -440,14 +443,14 @@
         return;
     };
     let left = upstream.left.map(|cause| cause.to_string());
-    gateway.decisions.line(&Decision::UpstreamChanged {
+    gateway.decisions.record(&Decision::UpstreamChanged {
         upstream: &upstream.entry.id,
         pool: &upstream.entry.pool,
         left: left.as_deref(),
         lapsed: upstream.lapsed_at.is_some(),
     });
     if upstream.left.is_some() {
-        gateway.channels.close(key);
+        gateway.connections.close(key);
     }
 }
 
@@ -455,17 +458,17 @@
 async fn settle_lapsed(gateway: Rc<Gateway>) {
     loop {
         tokio::time::sleep(Duration::from_millis(250)).await;
-        let view = gateway.store.get();
+        let view = gateway.store_health.get();
         let sound = view
             .failed_at
-            .is_none_or(|failed_at| view.returned_at >= failed_at);
+            .is_none_or(|failed_at| view.recovered_at >= failed_at);
         if !sound {
             continue;
         }
         let gone = gateway
             .registry
             .borrow_mut()
-            .settle(view.returned_at, gateway.clock.now());
+            .settle(view.recovered_at, gateway.clock.now());
         for key in gone {
             upstream_changed(&gateway, key);
         }
--- a/daemon/src/gateway/watch.rs
+++ b/daemon/src/gateway/tracker.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::gateway::Gateway;
+use crate::gateway::admission::Call;
 use crate::gateway::decisions::{Decision, millis};
-use crate::gateway::intake::Call;
 
 /// How a call ended, for its log line and counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
@@ -31,7 +31,7 @@
 }
 
 /// Follows one call to its end, which it writes down.
-pub struct CallWatch {
+pub struct CallTracker {
     gateway: Rc<Gateway>,
     call: Rc<Call>,
     outcome: CallOutcome,
@@ -43,7 +43,7 @@
     pub events: u64,
 }
 
-impl CallWatch {
+impl CallTracker {
     /// The call.
     pub fn call(&self) -> &Call {
         &self.call
@@ -81,7 +81,7 @@
     }
 }
 
-impl Drop for CallWatch {
+impl Drop for CallTracker {
     fn drop(&mut self) {
         let gateway = &self.gateway;
         gateway
@@ -96,7 +96,7 @@
             .with_label_values(&[tier.as_str(), outcome.as_str()])
             .inc();
         let since = |at: Duration| millis(at.saturating_sub(self.call.started));
-        gateway.decisions.line(&Decision::Ended {
+        gateway.decisions.record(&Decision::Ended {
             call: &self.call.head.id,
             outcome: &outcome,
             status: self.status,
--- a/daemon/src/gateway/usage.rs
+++ b/daemon/src/gateway/usage.rs
@@ -9,8 +9,8 @@
 use monsoonbank_kernel::gateway::usage::{WindowUsage, WorkspaceCounts};
 
 use crate::gateway::Gateway;
+use crate::gateway::admission::Call;
 use crate::gateway::duties::DutyState;
-use crate::gateway::intake::Call;
 use crate::gateway::settings::DutyName;
 
 /// Time between two messages of a node: what its loss costs, against a datagram.
@@ -89,7 +89,7 @@
 }
 
 /// Takes in what another node's heartbeat says of the holder and of its calls.
-pub fn receive(gateway: &Rc<Gateway>, duties: &DutyState, heartbeat: &mut NodeHeartbeat) {
+pub fn merge(gateway: &Rc<Gateway>, duties: &DutyState, heartbeat: &mut NodeHeartbeat) {
     if let Some(notice) = heartbeat.holder {
         duties.observe(notice, gateway.now(), gateway.unix_now());
     }
--- a/daemon/src/gateway/waiting.rs
+++ b/daemon/src/gateway/waiting.rs
@@ -9,9 +9,9 @@
 use monsoonbank_kernel::gateway::waiting::WaitRank;
 
 use crate::gateway::Gateway;
+use crate::gateway::admission::Call;
 use crate::gateway::decisions::{Decision, millis};
-use crate::gateway::intake::Call;
-use crate::gateway::relay::{self, CallTrail};
+use crate::gateway::relay::{self, CallProgress};
 
 /// Part of a call's time for which it waits. What is left lets its caller come back once, which
 /// may wait up to a third of it.
@@ -37,7 +37,7 @@
             .waiting
             .borrow_mut()
             .leave(self.pool, self.rank);
-        self.gateway.room_notice.notify_waiters();
+        self.gateway.capacity_notify.notify_waiters();
     }
 }
 
@@ -52,7 +52,7 @@
 
 /// Why a call gets no upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
-pub enum WaitEnd {
+pub enum WaitError {
     /// There is no upstream at all, or none with room in time.
     #[display("no upstream has room")]
     NoRoom,
@@ -66,9 +66,14 @@
 
 /// Whether a call is late already and cannot be expected to end in its time either. Such a call
 /// would take an engine's time from others and be cut. One that was sent before goes on.
-fn is_in_vain(gateway: &Gateway, call: &Call, trail: &CallTrail, hopeful_until: Duration) -> bool {
+fn is_in_vain(
+    gateway: &Gateway,
+    call: &Call,
+    progress: &CallProgress,
+    hopeful_until: Duration,
+) -> bool {
     let now = gateway.now();
-    if hopeful_until > now || trail.history.sends > 0 {
+    if hopeful_until > now || progress.history.sends > 0 {
         return false;
     }
     let (Some(engine), AnswerForm::Events { .. }) = (call.engine, call.class.form) else {
@@ -80,7 +85,7 @@
     if pace.can_end(events, left) {
         return false;
     }
-    gateway.decisions.line(&Decision::TooLate {
+    gateway.decisions.record(&Decision::TooLate {
         call: &call.head.id,
         expected_events: events as u64,
         needs_ms: millis(pace.time_for(events)),
@@ -90,13 +95,13 @@
 }
 
 /// Whether no upstream wants calls, nor will before the call has waited long enough.
-fn pauses_beyond(gateway: &Gateway, call: &Call, trail: &CallTrail, until: Duration) -> bool {
+fn pauses_beyond(gateway: &Gateway, call: &Call, progress: &CallProgress, until: Duration) -> bool {
     let now = gateway.now();
-    let opens_in = gate::opens_in(&gateway.registry.borrow(), &call.pool, &trail.tried, now);
+    let opens_in = gate::opens_in(&gateway.registry.borrow(), &call.pool, &progress.tried, now);
     let Some(opens_in) = opens_in.filter(|opens_in| now.saturating_add(*opens_in) >= until) else {
         return false;
     };
-    gateway.decisions.line(&Decision::PoolPaused {
+    gateway.decisions.record(&Decision::PoolPaused {
         call: &call.head.id,
         pool: &call.pool,
         opens_ms: (opens_in < Duration::MAX).then(|| millis(opens_in)),
@@ -119,14 +124,14 @@
 /// # Errors
 ///
 /// If there is none, or the call is not worth sending any more.
-pub async fn wait_for_room(
+pub async fn wait_for_capacity(
     gateway: &Rc<Gateway>,
     call: &Call,
-    trail: &CallTrail,
-) -> Result<UpstreamChoice, WaitEnd> {
+    progress: &CallProgress,
+) -> Result<UpstreamChoice, WaitError> {
     let hopeful_until = hopeful_until(call);
-    if is_in_vain(gateway, call, trail, hopeful_until) {
-        return Err(WaitEnd::TooLate);
+    if is_in_vain(gateway, call, progress, hopeful_until) {
+        return Err(WaitError::TooLate);
     }
     let blocked = |rank: Option<WaitRank>| {
         let first = gateway.waiting.borrow().first(&call.pool, gateway.now());
@@ -136,11 +141,11 @@
         })
     };
     let until = waits_until(gateway, call);
-    if pauses_beyond(gateway, call, trail, until) {
-        return Err(WaitEnd::Paused);
+    if pauses_beyond(gateway, call, progress, until) {
+        return Err(WaitError::Paused);
     }
     if !blocked(None)
-        && let Some(choice) = relay::choose(gateway, call, trail)
+        && let Some(choice) = relay::choose(gateway, call, progress)
     {
         return Ok(choice);
     }
@@ -155,24 +160,24 @@
         pool: &call.pool,
         rank,
     };
-    let mut found = Err(WaitEnd::NoRoom);
+    let mut found = Err(WaitError::NoRoom);
     while found.is_err() && gateway.now() < until {
-        if is_in_vain(gateway, call, trail, hopeful_until) {
-            found = Err(WaitEnd::TooLate);
+        if is_in_vain(gateway, call, progress, hopeful_until) {
+            found = Err(WaitError::TooLate);
             break;
         }
-        if pauses_beyond(gateway, call, trail, until) {
-            found = Err(WaitEnd::Paused);
+        if pauses_beyond(gateway, call, progress, until) {
+            found = Err(WaitError::Paused);
             break;
         }
-        let notice = gateway.room_notice.notified();
+        let notice = gateway.capacity_notify.notified();
         let _ = tokio::time::timeout(LOOK_PAUSE, notice).await;
         if !blocked(Some(rank)) {
-            found = relay::choose(gateway, call, trail).ok_or(WaitEnd::NoRoom);
+            found = relay::choose(gateway, call, progress).ok_or(WaitError::NoRoom);
         }
     }
     drop(place);
-    gateway.decisions.line(&Decision::Waited {
+    gateway.decisions.record(&Decision::Waited {
         call: &call.head.id,
         waited_ms: millis(gateway.now().saturating_sub(since)),
         found: found.is_ok(),
--- a/daemon/src/gateway/work.rs
+++ b/daemon/src/gateway/work.rs
@@ -8,10 +8,10 @@
 use monsoonbank_kernel::gateway::registry::UpstreamKey;
 
 use crate::gateway::Gateway;
-use crate::gateway::intake::Call;
+use crate::gateway::admission::Call;
 
 /// A call's work at an upstream, counted until this is dropped.
-pub struct WorkShare {
+pub struct WorkGuard {
     gateway: Rc<Gateway>,
     /// The upstream.
     pub key: UpstreamKey,
@@ -21,7 +21,7 @@
     call: Rc<Call>,
 }
 
-impl WorkShare {
+impl WorkGuard {
     /// Counts a call that is about to be sent.
     pub fn begin(gateway: &Rc<Gateway>, call: &Rc<Call>, choice: &UpstreamChoice) -> Self {
         let now = gateway.now();
@@ -79,12 +79,12 @@
     }
 }
 
-impl Drop for WorkShare {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
         self.reading_ended();
         if let Some(upstream) = self.gateway.registry.borrow_mut().get_mut(self.key) {
             upstream.load.end(self.item);
         }
-        self.gateway.room_notice.notify_waiters();
+        self.gateway.capacity_notify.notify_waiters();
     }
 }
--- a/daemon/tests/patch.rs
+++ b/daemon/tests/patch.rs
@@ -2,7 +2,9 @@
 //! either exactly its source's text or its own.
 
 use bytes::Bytes;
-use monsoonbank_daemon::gateway::patch::{PatchError, TextHistory, TextPatch, text_digest};
+use monsoonbank_daemon::gateway::patch::{
+    ConfigurationHistory, ConfigurationPatch, PatchError, text_digest,
+};
 use proptest::prelude::*;
 
 /// A text of many like parts, as configurations are.
@@ -14,7 +16,7 @@
         .collect()
 }
 
-fn encoded(patch: &TextPatch) -> Vec<u8> {
+fn encoded(patch: &ConfigurationPatch) -> Vec<u8> {
     let mut bytes = Vec::new();
     ciborium::into_writer(patch, &mut bytes).expect("written");
     bytes
@@ -31,8 +33,8 @@
         let mut newest = base[..kept.min(base.len())].to_vec();
         newest.extend(text(&added));
         for base in [None, Some(&base[..])] {
-            let patch = TextPatch::new(base, &newest).expect("a patch");
-            let sent: TextPatch = ciborium::from_reader(&encoded(&patch)[..]).expect("read");
+            let patch = ConfigurationPatch::new(base, &newest).expect("a patch");
+            let sent: ConfigurationPatch = ciborium::from_reader(&encoded(&patch)[..]).expect("read");
             prop_assert_eq!(&sent.apply(base).expect("a text")[..], &newest[..]);
         }
     }
@@ -41,10 +43,10 @@
     fn a_damaged_patch_gives_nothing_else(at in any::<prop::sample::Index>(), by in 1_u8..) {
         let base = text(&[1, 2, 3, 4]);
         let newest = text(&[1, 2, 9, 3, 4]);
-        let mut bytes = encoded(&TextPatch::new(Some(&base), &newest).expect("a patch"));
+        let mut bytes = encoded(&ConfigurationPatch::new(Some(&base), &newest).expect("a patch"));
         let at = at.index(bytes.len());
         bytes[at] ^= by;
-        if let Ok(patch) = ciborium::from_reader::<TextPatch, _>(&bytes[..])
+        if let Ok(patch) = ciborium::from_reader::<ConfigurationPatch, _>(&bytes[..])
             && let Ok(text) = patch.apply(Some(&base))
         {
             prop_assert_eq!(&text[..], &newest[..]);
@@ -54,7 +56,7 @@
 
 #[test]
 fn a_patch_for_another_text_is_refused() {
-    let patch = TextPatch::new(Some(b"one"), b"two").expect("a patch");
+    let patch = ConfigurationPatch::new(Some(b"one"), b"two").expect("a patch");
     for base in [None, Some(&b"other"[..])] {
         assert!(matches!(patch.apply(base), Err(PatchError::OtherBase)));
     }
@@ -62,13 +64,13 @@
 
 #[test]
 fn a_patch_that_would_fill_the_memory_is_refused() {
-    let patch = TextPatch::new(None, &vec![b'x'; 17 << 20]).expect("a patch");
+    let patch = ConfigurationPatch::new(None, &vec![b'x'; 17 << 20]).expect("a patch");
     assert!(encoded(&patch).len() < 10_000);
     assert!(matches!(patch.apply(None), Err(PatchError::OtherText)));
 }
 
-fn history(texts: &[&'static [u8]]) -> TextHistory {
-    let mut history = TextHistory::default();
+fn history(texts: &[&'static [u8]]) -> ConfigurationHistory {
+    let mut history = ConfigurationHistory::default();
     for text in texts {
         history.put(Bytes::from_static(text));
     }
@@ -76,7 +78,7 @@
 }
 
 /// The base of the patch that a node with these texts gives, and what it makes of `base`.
-fn given(texts: &mut TextHistory, base: &[u8]) -> (Option<u64>, Bytes) {
+fn given(texts: &mut ConfigurationHistory, base: &[u8]) -> (Option<u64>, Bytes) {
     let patch = texts.patch_from(Some(text_digest(base))).expect("made");
     let patch = patch.expect("a text");
     (patch.base(), patch.apply(Some(base)).expect("a text"))
@@ -104,7 +106,7 @@
 #[test]
 fn a_patch_that_was_received_is_passed_on_until_the_next_text() {
     let base = b"a text that this node never had";
-    let patch = TextPatch::new(Some(base), b"two").expect("a patch");
+    let patch = ConfigurationPatch::new(Some(base), b"two").expect("a patch");
     let mut texts = history(&[b"one", b"two"]);
     texts.keep_patch(patch);
     assert_eq!(given(&mut texts, base).0, Some(text_digest(base)));
@@ -145,8 +147,8 @@
 fn one_rule_more_of_many_costs_no_more_than_a_node_may_spend_on_a_change() {
     for rules in [4_250, 8_000] {
         let (base, newest) = (rules_text(7, rules), rules_text(9, rules + 1));
-        let patch = encoded(&TextPatch::new(Some(&base), &newest).expect("a patch")).len();
-        let whole = encoded(&TextPatch::new(None, &newest).expect("a patch")).len();
+        let patch = encoded(&ConfigurationPatch::new(Some(&base), &newest).expect("a patch")).len();
+        let whole = encoded(&ConfigurationPatch::new(None, &newest).expect("a patch")).len();
         println!(
             "{rules} rules and one more: {} bytes of text, patch {patch}, whole compressed {whole}, \
              level 3 with its own tables {}",
