--- a/daemon/src/message.rs
+++ b/daemon/src/assembler.rs
@@ -1,21 +1,21 @@
-//! A completion's pieces, put together for a caller that wants its answer whole.
+//! Assembles the chunks of a completion for callers that did not ask for a stream.
 
 use serde_json::{Value, json};
 
-use crate::completions::{AnswerFrame, CompletionKind};
+use crate::completions::{CompletionKind, CompletionMetadata};
 use crate::frame::Chunk;
 
-/// Puts the pieces of an answer together for a caller that wants it whole.
+/// Assembles the chunks of a completion into one JSON answer.
 #[derive(Debug, Default)]
-pub struct WholeMessage {
+pub struct CompletionAssembler {
     text: String,
     tool_calls: Vec<Value>,
     finish_reason: Value,
     usage: Option<Value>,
 }
 
-impl WholeMessage {
-    /// Takes in the next piece.
+impl CompletionAssembler {
+    /// Adds the next chunk. Chunks that are not part of a completion are ignored.
     pub fn add(&mut self, chunk: &Chunk) {
         match chunk {
             Chunk::Choices { json, .. } => self.add_choice(json),
@@ -51,25 +51,25 @@
         }
     }
 
-    /// Tool calls come in pieces, too: the arguments of one index belong together.
-    fn add_tool_call(&mut self, piece: &Value) {
-        let index = piece
+    /// Tool calls are streamed in parts: the arguments of parts with the same index are concatenated.
+    fn add_tool_call(&mut self, part: &Value) {
+        let index = part
             .get("index")
             .and_then(Value::as_u64)
             .unwrap_or_default() as usize;
         let Some(known) = self.tool_calls.get_mut(index) else {
-            self.tool_calls.push(piece.clone());
+            self.tool_calls.push(part.clone());
             return;
         };
-        let more = piece.pointer("/function/arguments").and_then(Value::as_str);
+        let more = part.pointer("/function/arguments").and_then(Value::as_str);
         if let (Some(more), Some(arguments)) = (more, known.pointer_mut("/function/arguments")) {
             *arguments = format!("{}{more}", arguments.as_str().unwrap_or_default()).into();
         }
     }
 
-    /// The whole answer.
-    pub fn finish(self, frame: &AnswerFrame) -> Value {
-        let choice = match frame.kind {
+    /// Returns the assembled answer in the shape of the completions API.
+    pub fn finish(self, metadata: &CompletionMetadata) -> Value {
+        let choice = match metadata.kind {
             CompletionKind::Text => json!({
                 "index": 0, "text": self.text, "finish_reason": self.finish_reason,
                 "logprobs": Value::Null,
@@ -83,8 +83,8 @@
             }
         };
         json!({
-            "id": frame.id, "object": frame.kind.object(false), "created": frame.created,
-            "model": frame.model, "choices": [choice], "usage": self.usage,
+            "id": metadata.id, "object": metadata.kind.object(false), "created": metadata.created,
+            "model": metadata.model, "choices": [choice], "usage": self.usage,
         })
     }
 }
--- a/daemon/src/operators.rs
+++ b/daemon/src/operators.rs
@@ -1,4 +1,5 @@
-//! The operators' interface: state dump, metrics, health, draining.
+//! HTTP interface for operators: health, metrics, state dump, draining, orders and configuration
+//! changes.
 
 use std::sync::Arc;
 
@@ -15,11 +16,11 @@
 use tokio::sync::oneshot;
 
 use crate::counters::METRIC_PREFIX;
-use crate::intake::bearer;
 use crate::refusal::CallerError;
+use crate::requests::bearer;
 use crate::shared::{Input, NodeShared};
 
-/// Largest change, in bytes.
+/// Maximum size of a change, in bytes.
 const CHANGE_BYTES: usize = 8 << 20;
 
 #[derive(Clone, Copy)]
@@ -40,7 +41,7 @@
     call: OperatorCall,
 }
 
-/// The routes.
+/// Creates the routes of the operators' listen address.
 pub fn router(shared: &Arc<NodeShared>) -> Router {
     let api = |call| OperatorApi {
         shared: Arc::clone(shared),
@@ -77,7 +78,7 @@
         }
         match self.call {
             OperatorCall::State => self.state(request, response).await,
-            OperatorCall::DrainNode => self.shared.event(Event::DrainNode),
+            OperatorCall::DrainNode => self.shared.send_event(Event::DrainNode),
             OperatorCall::DrainUpstream => self.drain_upstream(request, response),
             OperatorCall::Documents => self.documents(response).await,
             OperatorCall::Publish => self.publish(request, response).await,
@@ -90,7 +91,7 @@
 
 impl OperatorApi {
     fn authorized(&self, request: &Request) -> bool {
-        // Hashes of equal length are compared, so that the time tells nothing of the token.
+        // Comparing hashes instead of tokens keeps the duration independent of the token's bytes.
         let expected = Sha256::digest(self.shared.settings.secrets.operator_token.as_bytes());
         bearer(request).is_some_and(|token| Sha256::digest(token) == expected)
     }
@@ -107,7 +108,7 @@
     async fn state(&self, request: &mut Request, response: &mut Response) {
         let section = request.query::<String>("section").map(Into::into);
         let (reply, answer) = oneshot::channel();
-        self.shared.input(Input::Dump(section, reply));
+        self.shared.send_input(Input::Dump(section, reply));
         let state = answer.await.unwrap_or(Value::Null);
         let profile = &self.shared.profile;
         response.render(Json(json!({
@@ -115,14 +116,14 @@
             "zone": profile.zone_name,
             "incarnation": profile.incarnation.0,
             "open_calls": self.shared.calls.len(),
-            "held_requests": self.shared.held(),
+            "held_requests": self.shared.work_count(),
             "state": state,
         })));
     }
 
     async fn metrics(&self, response: &mut Response) {
         let (reply, answer) = oneshot::channel();
-        self.shared.input(Input::Gauges(reply));
+        self.shared.send_input(Input::Gauges(reply));
         let gauges = answer.await.unwrap_or_default();
         let families = self.shared.counters.registry.gather();
         let mut text = TextEncoder::new()
@@ -140,18 +141,18 @@
         if !self.shared.config().upstreams.contains_key(&upstream) {
             return unknown_upstream(&name).render(response);
         }
-        self.shared.event(Event::DrainUpstream(upstream));
+        self.shared.send_event(Event::DrainUpstream(upstream));
     }
 }
 
 impl OperatorApi {
     async fn documents(&self, response: &mut Response) {
-        let (ticket, answer) = self.shared.changes.read();
-        self.shared.event(Event::DocumentsRequested(ticket));
+        let (ticket, answer) = self.shared.changes.add_reader();
+        self.shared.send_event(Event::DocumentsRequested(ticket));
         response.render(Json(answer.await.unwrap_or_default()));
     }
 
-    /// Answers once the change's record was read back from the log, or nothing is known of it.
+    /// Responds once the change's record has been read back from the log, or its fate stays unknown.
     async fn publish(&self, request: &mut Request, response: &mut Response) {
         let parsed = match request.payload_with_max_size(CHANGE_BYTES).await {
             Ok(body) => serde_json::from_slice::<ChangeRecord>(body).map_err(|e| e.to_string()),
@@ -165,13 +166,13 @@
                     .render(response);
             }
         };
-        let (request, answer) = self.shared.changes.publish();
+        let (request, answer) = self.shared.changes.add_publisher();
         self.shared
-            .event(Event::PublishRequested { request, record });
+            .send_event(Event::PublishRequested { request, record });
         response.render(Json(answer.await.unwrap_or(PublishResult::Unavailable)));
     }
 
-    /// Takes an order; its outcome is told in the `leases` section of the state dump.
+    /// Accepts an order. Its outcome is shown in the `leases` section of the state dump.
     async fn order(&self, request: &mut Request, response: &mut Response) {
         let name = request.param::<String>("upstream").unwrap_or_default();
         let upstream = UpstreamId::named(&name);
@@ -181,7 +182,7 @@
         match request.parse_json::<EngineOrder>().await {
             Ok(order) => {
                 let request = OrderRequest { upstream, order };
-                self.shared.event(Event::OrderRequested(request));
+                self.shared.send_event(Event::OrderRequested(request));
                 response.status_code(StatusCode::ACCEPTED);
                 response.render(Json(json!({ "wanted": true })));
             }
