--- a/daemon/src/gateway/duties.rs
+++ b/daemon/src/gateway/duties.rs
@@ -94,10 +94,10 @@
     }
 
     /// Takes in the store's era.
-    pub fn see_era(&self, era: u64, unix_now: Duration) {
+    pub fn observe_era(&self, era: u64, unix_now: Duration) {
         let window = self.ledger.borrow().window(unix_now) + 1;
         let now = self.clock.now();
-        self.lease.borrow_mut().see_era(era, window, now);
+        self.lease.borrow_mut().observe_era(era, window, now);
     }
 
     /// Whether the platform has this duty.
@@ -144,7 +144,7 @@
             return Some(HolderNotice {
                 token,
                 peers: gateway.settings.peer_address(),
-                deputy: gateway.fleet.borrow().duty_deputy(now),
+                successor: gateway.fleet.borrow().duty_successor(now),
                 age_ms: 0,
                 renewal: self.lease.borrow().newest().unwrap_or(0),
                 written: self.reports.borrow().written_through(),
@@ -174,7 +174,7 @@
     }
 
     /// Whether a call fits into the platform's rate now; it is counted then.
-    pub fn takes_call(&self, now: Duration) -> bool {
+    pub fn try_admit_call(&self, now: Duration) -> bool {
         if now < self.call_at.get() {
             return false;
         }
@@ -252,7 +252,7 @@
     fn is_claimant(&self, duties: &DutyState) -> bool {
         let now = self.gateway.now();
         let fleet = self.gateway.fleet.borrow();
-        duties.silence(now) >= fleet.claim_patience(HOLDER_SILENT_AFTER, now)
+        duties.silence(now) >= fleet.claim_delay(HOLDER_SILENT_AFTER, now)
     }
 
     /// Writes down when this node begins and ceases to hold the lease.
@@ -261,11 +261,13 @@
         match (token, duties.held_since.get()) {
             (Some(token), None) => {
                 duties.held_since.set(Some(self.gateway.unix_now()));
-                self.gateway.decisions.line(&Decision::DutiesHeld { token });
+                self.gateway
+                    .decisions
+                    .record(&Decision::DutiesHeld { token });
             }
             (None, Some(_)) => {
                 duties.held_since.set(None);
-                self.gateway.decisions.line(&Decision::DutiesLost);
+                self.gateway.decisions.record(&Decision::DutiesLost);
             }
             _ => {}
         }
@@ -273,7 +275,7 @@
 
     async fn read(&mut self, duties: &DutyState) {
         let read = self.client.newest(names::DUTY_TOPIC, STORE_PATIENCE).await;
-        self.gateway.see_store_era(self.client.era());
+        self.gateway.observe_store_era(self.client.era());
         let snapshot = match read {
             Ok(snapshot) => snapshot,
             Err(error) => return self.failed(&error).await,
@@ -288,7 +290,7 @@
         duties
             .lease
             .borrow_mut()
-            .see_topic(&topic, now, &mut duties.random.borrow_mut());
+            .observe_topic(&topic, now, &mut duties.random.borrow_mut());
         let mut reports = duties.reports.borrow_mut();
         let ledger = duties.ledger.borrow();
         let unix_now = self.gateway.unix_now();
@@ -302,7 +304,7 @@
     async fn failed(&self, error: &StoreError) {
         self.count("failed");
         let reason = error.to_string();
-        self.gateway.decisions.line(&Decision::StoreLost {
+        self.gateway.decisions.record(&Decision::StoreLost {
             reader: "duties",
             reason: &reason,
         });
@@ -329,18 +331,18 @@
             .client
             .append(names::DUTY_TOPIC, claim.at, &records, STORE_PATIENCE)
             .await;
-        self.gateway.see_store_era(self.client.era());
+        self.gateway.observe_store_era(self.client.era());
         match appended {
             Ok(place) => {
                 self.count("answered");
                 self.appended(duties, &claim, place.end, last);
             }
-            Err(StoreError::Elsewhere) => {
+            Err(StoreError::EndMismatch) => {
                 self.count("answered");
                 duties.lease.borrow_mut().refused();
             }
             Err(error) => {
-                duties.lease.borrow_mut().read_again();
+                duties.lease.borrow_mut().require_read();
                 self.failed(&error).await;
             }
         }
@@ -382,7 +384,7 @@
         let unix_now = self.gateway.unix_now();
         let ledger = duties.ledger.borrow();
         for last in last {
-            self.gateway.decisions.line(&Decision::UsageWritten {
+            self.gateway.decisions.record(&Decision::UsageWritten {
                 window: last.window,
                 workspaces: last.counts.len(),
                 calls: last.counts.values().sum(),
--- a/daemon/src/platform.rs
+++ b/daemon/src/platform.rs
@@ -6,7 +6,7 @@
 use monsoonbank_kernel::event::Event;
 use monsoonbank_kernel::membership::HostEntry;
 use monsoonbank_kernel::record::{AppendResult, AppendTicket, LogRecord, Record};
-use monsoonbank_kernel::transfer::{self, TransferPace};
+use monsoonbank_kernel::transfer::{self, TransferMonitor};
 use reqwest::StatusCode;
 use reqwest::header::CONTENT_TYPE;
 use serde::Deserialize;
@@ -84,7 +84,7 @@
 ) -> Result<(StatusCode, Vec<u8>), PlatformError> {
     let sent = timeout(wait + RESPONSE_TIMEOUT, shared.client.get(url).send()).await;
     let mut response = sent.map_err(|_| PlatformError::TimedOut)??;
-    let mut pace = TransferPace::new(RESPONSE_TIMEOUT, shared.now());
+    let mut pace = TransferMonitor::new(RESPONSE_TIMEOUT, shared.now());
     let mut body = Vec::new();
     loop {
         let Ok(chunk) = timeout(pace.time_left(shared.now()), response.chunk()).await else {
@@ -94,7 +94,7 @@
         let Some(chunk) = chunk? else {
             return Ok((response.status(), body));
         };
-        pace.piece_came(chunk.len());
+        pace.record_chunk(chunk.len());
         body.extend_from_slice(&chunk);
     }
 }
@@ -147,7 +147,7 @@
     let sent = shared
         .client
         .post(url)
-        .timeout(APPEND_TIMEOUT + transfer::longest_time(body.len()))
+        .timeout(APPEND_TIMEOUT + transfer::max_transfer_time(body.len()))
         .header(CONTENT_TYPE, "application/json")
         .body(body)
         .send()
--- a/daemon/src/upstreams.rs
+++ b/daemon/src/upstreams.rs
@@ -141,7 +141,7 @@
         log::info!("upstream={upstream} event=leaving_announced");
         running
             .shared
-            .send_event(Event::UpstreamAnnounced(upstream));
+            .send_event(Event::UpstreamLeaveAnnounced(upstream));
     }
 }
 
--- a/kernel/src/gateway/gate.rs
+++ b/kernel/src/gateway/eligibility.rs
@@ -1,5 +1,6 @@
-//! Which upstreams want requests of this node: asked when one is chosen, and last of all before each
-//! send, since much may become known while a connection is opened.
+//! Determines which upstreams accept requests from this node. It is checked when an upstream is
+//! selected and again immediately before each send, since the state may change while a connection
+//! is opened.
 
 use std::time::Duration;
 
@@ -7,42 +8,42 @@
 
 use crate::gateway::registry::{LeavingCause, Upstream, UpstreamKey, UpstreamRegistry};
 
-/// Why a request is not sent to an upstream.
+/// Reason why a request is not sent to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum GateError {
-    /// It is not known.
+pub enum EligibilityError {
+    /// This node does not know the upstream.
     #[error("the upstream is not known")]
     Unknown,
-    /// It takes nothing new.
+    /// The upstream accepts no new calls.
     #[error("the upstream takes nothing new: {0}")]
     Left(LeavingCause),
-    /// It asked this node for a pause, of which so much is left.
+    /// The upstream requested a pause of this node, of which this time is left.
     #[error("the upstream asked for a pause")]
     Paused(Duration),
 }
 
-/// The upstream, if requests may be sent to it now.
+/// Returns the upstream if requests may be sent to it now.
 ///
 /// # Errors
 ///
-/// If it wants no request.
+/// If it accepts no request, with the reason.
 pub fn check(
     registry: &UpstreamRegistry,
     key: UpstreamKey,
     now: Duration,
-) -> Result<&Upstream, GateError> {
-    let upstream = registry.get(key).ok_or(GateError::Unknown)?;
+) -> Result<&Upstream, EligibilityError> {
+    let upstream = registry.get(key).ok_or(EligibilityError::Unknown)?;
     if let Some(cause) = upstream.left {
-        return Err(GateError::Left(cause));
+        return Err(EligibilityError::Left(cause));
     }
     match upstream.pause.left(now) {
-        Some(left) => Err(GateError::Paused(left)),
+        Some(left) => Err(EligibilityError::Paused(left)),
         None => Ok(upstream),
     }
 }
 
 /// Upstreams of a pool that requests may be sent to now.
-pub fn open_upstreams<'a>(
+pub fn eligible_upstreams<'a>(
     registry: &'a UpstreamRegistry,
     pool: &str,
     now: Duration,
@@ -51,16 +52,17 @@
     usable.filter(move |(_, upstream)| upstream.pause.left(now).is_none())
 }
 
-/// Time until the first upstream of a pool wants requests again that is not among `tried`, if none does
-/// now and some asked for a pause; the longest time if all those were tried.
-pub fn opens_in(
+/// Time until the first upstream of a pool that is not among `tried` accepts requests again after a
+/// pause. `None` if one accepts them now, or if none requested a pause; the maximum duration if all
+/// that requested one were tried.
+pub fn eligible_in(
     registry: &UpstreamRegistry,
     pool: &str,
     tried: &[UpstreamKey],
     now: Duration,
 ) -> Option<Duration> {
     let is_fresh = |key: UpstreamKey| !tried.contains(&key);
-    if open_upstreams(registry, pool, now).any(|(key, _)| is_fresh(key)) {
+    if eligible_upstreams(registry, pool, now).any(|(key, _)| is_fresh(key)) {
         return None;
     }
     let pauses = registry
