--- a/daemon/src/assembler.rs
+++ b/daemon/src/assembler.rs
@@ -57,12 +57,13 @@
             .get("index")
             .and_then(Value::as_u64)
             .unwrap_or_default() as usize;
-        let Some(known) = self.tool_calls.get_mut(index) else {
+        let Some(tool_call) = self.tool_calls.get_mut(index) else {
             self.tool_calls.push(part.clone());
             return;
         };
         let more = part.pointer("/function/arguments").and_then(Value::as_str);
-        if let (Some(more), Some(arguments)) = (more, known.pointer_mut("/function/arguments")) {
+        if let (Some(more), Some(arguments)) = (more, tool_call.pointer_mut("/function/arguments"))
+        {
             *arguments = format!("{}{more}", arguments.as_str().unwrap_or_default()).into();
         }
     }
--- a/daemon/src/changes.rs
+++ b/daemon/src/changes.rs
@@ -20,7 +20,7 @@
     readers: BTreeMap<RequestTicket, oneshot::Sender<DocumentList>>,
     ids: BTreeMap<RequestTicket, Box<str>>,
     statuses: BTreeMap<Box<str>, ChangeStatus>,
-    kept: VecDeque<RequestTicket>,
+    recent: VecDeque<RequestTicket>,
 }
 
 /// Requests that wait for the kernel's answer, and the status of recent changes.
@@ -62,7 +62,7 @@
             // Sending fails if the requester has given up, which is no error.
             let _ = sender.send(result.clone());
         }
-        state.kept.push_back(request);
+        state.recent.push_back(request);
         state.ids.insert(request, id.clone());
         let status = state.statuses.entry(id).or_insert(ChangeStatus {
             result: PublishResult::Unavailable,
@@ -100,14 +100,14 @@
 
 impl ChangeState {
     fn evict_oldest(&mut self) {
-        while self.kept.len() > MAX_CHANGES {
-            let Some(request) = self.kept.pop_front() else {
+        while self.recent.len() > MAX_CHANGES {
+            let Some(request) = self.recent.pop_front() else {
                 return;
             };
             let Some(id) = self.ids.remove(&request) else {
                 continue;
             };
-            if !self.ids.values().any(|kept| *kept == id) {
+            if !self.ids.values().any(|other| *other == id) {
                 self.statuses.remove(&id);
             }
         }
--- a/daemon/src/operators.rs
+++ b/daemon/src/operators.rs
@@ -152,7 +152,8 @@
         response.render(Json(answer.await.unwrap_or_default()));
     }
 
-    /// Responds once the change's record has been read back from the log, or its fate stays unknown.
+    /// Responds once the change's record has been read back from the log, or with `unavailable` if the
+    /// log did not confirm it.
     async fn publish(&self, request: &mut Request, response: &mut Response) {
         let parsed = match request.payload_with_max_size(CHANGE_BYTES).await {
             Ok(body) => serde_json::from_slice::<ChangeRecord>(body).map_err(|e| e.to_string()),
--- a/daemon/src/settings.rs
+++ b/daemon/src/settings.rs
@@ -78,7 +78,7 @@
     pub open_calls: usize,
     /// Maximum number of open connections on each of the HTTP listen addresses.
     pub connections: usize,
-    /// Maximum number of unread answer bytes per call; a caller that reads too slowly is cut off.
+    /// Maximum number of unread answer bytes per call. A call whose caller exceeds it is cancelled.
     pub waiting_bytes: usize,
     /// Timeout for receiving the head of a request.
     #[serde(with = "humantime_serde")]
--- a/daemon/src/shared.rs
+++ b/daemon/src/shared.rs
@@ -181,7 +181,7 @@
 
     /// Queues an input for the driver.
     pub fn send_input(&self, input: Input) {
-        // The driver is gone only when the node is being killed.
+        // Sending fails only while the node is being killed.
         let _ = self.inputs.send(input);
     }
 
--- a/daemon/tests/process.rs
+++ b/daemon/tests/process.rs
@@ -89,7 +89,7 @@
             status.is_some()
         })
         .await;
-        status.expect("wait_for_exit")
+        status.expect("an exit status")
     }
 
     async fn stream_answer(&self, fleet: &TestFleet, prompt: &str, tokens: u32) -> String {
--- a/standin/src/log.rs
+++ b/standin/src/log.rs
@@ -235,7 +235,7 @@
 /// Counts of a log's operations so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LogTotals {
-    /// Number of appends that took effect by request or by handle.
+    /// Number of appends that took effect, through a request or the handle.
     pub appends: u64,
     /// Number of appends refused because of the rate.
     pub refused: u64,
