--- a/daemon/tests/process.rs
+++ b/daemon/tests/process.rs
@@ -105,7 +105,7 @@
 
 impl Drop for NodeProcess {
     fn drop(&mut self) {
-        // Fails if the process has already wait_for_exit, which is no error.
+        // Fails if the process has already ended, which is no error.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
