--- a/kernel/tests/gateway/budget.rs
+++ b/kernel/tests/gateway/budget.rs
@@ -1,4 +1,4 @@
-//! The budget for repeats: any window of any length of traffic stays within it.
+//! Tests of the budget for retries: traffic stays within it in any window of any length.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn calls_earn_repeats_and_the_window_slides() {
+fn calls_allow_retries_and_the_window_slides() {
     let mut budget = RetryBudget::default();
     for _ in 0..100 {
         budget.count_call(Duration::ZERO);
@@ -33,19 +33,19 @@
     assert!(!budget.try_retry(Duration::from_secs(5), &SPEC, 50));
     assert!(
         !budget.try_retry(Duration::from_secs(11), &SPEC, 100),
-        "calls and repeats are over"
+        "calls and retries have left the window"
     );
     assert_eq!(budget.used(), 0);
 }
 
 proptest! {
     #[test]
-    fn no_window_holds_more_than_its_share(
+    fn no_window_exceeds_its_share(
         events in prop::collection::vec((0_u64..400, any::<bool>()), 1..400),
         nodes in 1_usize..20,
     ) {
         let mut budget = RetryBudget::default();
-        let (mut now, mut calls, mut repeats) = (0, Vec::new(), Vec::new());
+        let (mut now, mut calls, mut retries) = (0, Vec::new(), Vec::new());
         for (pause, is_call) in events {
             now += pause;
             let at = Duration::from_millis(now);
@@ -53,10 +53,10 @@
                 budget.count_call(at);
                 calls.push(now);
             } else if budget.try_retry(at, &SPEC, nodes) {
-                repeats.push(now);
+                retries.push(now);
                 let recent = |list: &[u64]| list.iter().filter(|at| **at + 10_000 > now).count() as f64;
                 let allowed = 0.2 * recent(&calls) + 50.0 / nodes as f64;
-                prop_assert!(recent(&repeats) <= allowed, "{} of {allowed}", recent(&repeats));
+                prop_assert!(recent(&retries) <= allowed, "{} of {allowed}", recent(&retries));
             }
         }
     }
--- a/kernel/tests/gateway/choice.rs
+++ b/kernel/tests/gateway/choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream takes a call.
+//! Tests of the selection of an upstream for a call.
 
 use std::time::Duration;
 
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_kept_prompt_draws_calls_until_its_keeper_is_busy() {
+fn a_cached_prompt_attracts_calls_until_its_upstream_is_busy() {
     let mut registry = registry(&["east", "east"], 10);
     let key = registry.key("i-1").expect("known");
     registry
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn nodes_agree_on_a_home_for_a_prompt_that_no_one_keeps() {
+fn nodes_agree_on_an_upstream_for_a_prompt_that_none_has_cached() {
     let registry = registry(&["east", "east", "east", "east", "west"], 10);
     let homes: Vec<String> = (0..40)
         .map(|part| id(&registry, choose(&registry, &input(&shared(part), false))))
@@ -140,17 +140,17 @@
             } else {
                 count > 5
             },
-            "three take prompts, one is kept for tight streams: {homes:?}"
+            "three get prompts, one is reserved for tight streams: {homes:?}"
         );
     }
     assert!(
         !homes.contains(&"i-4".to_owned()),
-        "the other zone is left alone"
+        "the other zone gets none"
     );
 }
 
 #[test]
-fn another_zone_takes_what_the_own_one_cannot() {
+fn another_zone_gets_calls_for_which_the_own_one_is_too_busy() {
     let mut registry = registry(&["east", "west"], 10);
     let prompt = bulk(600);
     assert_eq!(
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_full_pool_has_no_room_and_leaves_some_to_the_urgent() {
+fn a_full_pool_rejects_calls_and_reserves_capacity_for_urgent_ones() {
     let mut registry = registry(&["east"], 10);
     let prompt = bulk(600);
     let mut low = input(&prompt, false);
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn what_others_sent_counts_until_their_word_is_old() {
+fn calls_of_other_nodes_count_until_their_report_expires() {
     let mut registry = registry(&["east"], 10);
     let key = registry.key("i-0").expect("known");
     let count = WorkCount {
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn an_upstream_that_fell_silent_rests_unless_there_is_no_other() {
+fn an_unanswering_upstream_is_backed_off_unless_there_is_no_other() {
     let mut registry = registry(&["east", "east"], 10);
     let prompt = bulk(600);
     for upstream in ["i-0", "i-1"] {
@@ -229,9 +229,9 @@
     }
 }
 
-/// Three plain upstreams: `i-0` and `i-1` rest after lost answers, the last good one of which came
-/// `since` ago; `i-2` is full.
-fn mostly_resting(since: Duration) -> UpstreamRegistry {
+/// Three plain services: `i-0` and `i-1` are backed off after lost answers, with their last
+/// successful answer `since` ago; `i-2` is full.
+fn mostly_backed_off(since: Duration) -> UpstreamRegistry {
     let mut registry = registry(&["east"; 3], 6);
     for upstream in ["i-0", "i-1"] {
         let key = registry.key(upstream).expect("known");
@@ -245,7 +245,7 @@
     registry
 }
 
-/// A call at a pool of plain upstreams.
+/// A call to a pool of plain services.
 fn plain(prompt: &PromptShape, repeatable: bool) -> ChoiceInput<'_> {
     ChoiceInput {
         cache_tokens: 0,
@@ -254,13 +254,13 @@
     }
 }
 
-/// Names a case: when the resting upstreams answered last, whether the call may be repeated, and where
-/// it goes while all others are full.
+/// Each case gives the time since the backed-off upstreams last answered, whether the call may be
+/// repeated, and the selected upstream while all others are full.
 macro_rules! overflows {
     ($($name:ident: $since_ms:literal, $repeatable:literal => $upstream:literal;)*) => {$(
         #[test]
         fn $name() {
-            let registry = mostly_resting(Duration::from_millis($since_ms));
+            let registry = mostly_backed_off(Duration::from_millis($since_ms));
             let prompt = bulk(0);
             let choice = choose(&registry, &plain(&prompt, $repeatable));
             assert_eq!(id(&registry, choice), $upstream);
@@ -269,14 +269,14 @@
 }
 
 overflows! {
-    one_that_loses_some_answers_takes_what_sound_ones_cannot: 500, true => "i-0";
+    one_that_loses_some_answers_gets_calls_when_healthy_ones_are_full: 500, true => "i-0";
     also_a_call_that_may_run_once_if_most_are_answered: 500, false => "i-0";
-    one_that_has_not_answered_for_long_takes_nothing: 5000, true => "none";
+    one_that_has_not_answered_for_long_gets_no_calls: 5000, true => "none";
 }
 
 #[test]
 fn a_call_that_may_run_once_does_not_go_where_most_answers_are_lost() {
-    let mut registry = mostly_resting(Duration::from_millis(500));
+    let mut registry = mostly_backed_off(Duration::from_millis(500));
     for upstream in ["i-0", "i-1"] {
         let key = registry.key(upstream).expect("known");
         let health = &mut registry.get_mut(key).expect("known").health;
@@ -292,8 +292,8 @@
 }
 
 #[test]
-fn sound_upstreams_with_room_go_before_resting_ones() {
-    let mut registry = mostly_resting(Duration::from_millis(500));
+fn healthy_upstreams_with_capacity_are_preferred_to_backed_off_ones() {
+    let mut registry = mostly_backed_off(Duration::from_millis(500));
     let key = registry.key("i-2").expect("known");
     registry
         .get_mut(key)
@@ -350,11 +350,11 @@
     assert_eq!(second.key, first.key);
 }
 
-/// The room that engines' KV caches have, once calls hold most of it. A surge fills all engines up to
-/// what the least urgent may take; what is left above that has to fit a prompt of the next rank, or
-/// those are refused while long patient ones are sent by whichever node sees room first.
+/// A surge fills the KV caches of all engines up to the share of the least urgent tier. What
+/// remains above that has to fit a prompt of the next tier; otherwise its calls are refused, while
+/// long calls that can wait are sent by whichever node first sees free capacity.
 #[test]
-fn what_the_least_urgent_leave_fits_a_prompt_of_the_next_rank() {
+fn capacity_left_by_the_least_urgent_tier_fits_a_prompt_of_the_next() {
     let prompt = bulk(6000);
     let most_held = |tier: u8| {
         let room_at = |held_tokens: u32| {
@@ -382,9 +382,10 @@
     }
 }
 
-// Guards against an upstream that asked for a pause and is chosen, or has to give away KV memory, all the same.
+// Guards against an upstream that is selected, or has cached tokens fetched from it, during a pause
+// that it requested.
 #[test]
-fn a_pausing_upstream_is_neither_chosen_nor_fetched_from() {
+fn a_pausing_upstream_is_neither_selected_nor_fetched_from() {
     let mut registry = registry(&["east", "east"], 10);
     let key = registry.key("i-1").expect("known");
     let upstream = registry.get_mut(key).expect("known");
--- a/kernel/tests/gateway/content.rs
+++ b/kernel/tests/gateway/content.rs
@@ -1,4 +1,4 @@
-//! Which calls count as the same.
+//! Tests of the digest of a call's content.
 
 use monsoonbank_kernel::gateway::content::{ContentDigest, ContentParts};
 
--- a/kernel/tests/gateway/crash_fuzz.rs
+++ b/kernel/tests/gateway/crash_fuzz.rs
@@ -1,4 +1,4 @@
-//! A crashing call that comes again and again to a fleet whose nodes start anew and lose heartbeats.
+//! A crashing call that arrives repeatedly at a fleet whose nodes restart and lose heartbeats.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -9,19 +9,19 @@
 use rand_pcg::Pcg64Mcg;
 
 const TICK: Duration = Duration::from_millis(50);
-/// Time between a call's way to an upstream and the crash.
+/// Time between sending a call to an upstream and the crash.
 const RUN_TIME: Duration = Duration::from_millis(100);
-/// Time after which a node that starts anew, and a crash, count as known to all.
+/// Time after which all nodes are expected to know of a crash, and a restarted node of all crashes.
 const CONTACT: Duration = Duration::from_secs(3);
-const PLAYED: Duration = Duration::from_secs(90);
-/// Repeats that may reach upstreams once the third crash is that old.
-const MOST_REPEATS: usize = 3;
-/// Share of heartbeats that are lost.
+const DURATION: Duration = Duration::from_secs(90);
+/// Maximum number of calls that may reach upstreams later than `CONTACT` after the third crash.
+const MAX_REPEATS: usize = 3;
+/// Share of lost heartbeats.
 const LOSS: f64 = 0.2;
-/// Nodes that each tells in a tick.
-const TOLD: usize = 3;
-/// Calls that a crash takes along.
-const TAKEN_ALONG: u64 = 8;
+/// Number of nodes to which each node sends a heartbeat in a tick.
+const FANOUT: usize = 3;
+/// Number of other calls in flight at an upstream that crashes.
+const OTHER_CALLS: u64 = 8;
 
 const CRASHING: u64 = 0;
 
@@ -56,16 +56,16 @@
         self.random.random_range(0..self.ledgers.len())
     }
 
-    fn in_touch(&self, node: usize) -> bool {
+    fn is_up_to_date(&self, node: usize) -> bool {
         self.started_at[node] + CONTACT <= self.now || self.started_at[node].is_zero()
     }
 
-    /// The crashing call comes to a node. The first node makes the trials.
+    /// Delivers the crashing call to a node. The first node makes the trials.
     fn arrive(&mut self) {
         let node = self.any_node();
         let content = ContentDigest::from(CRASHING);
-        let verdict = self.ledgers[node].decide(content, || node == 0, self.now);
-        match verdict {
+        let decision = self.ledgers[node].decide(content, || node == 0, self.now);
+        match decision {
             ContentDecision::Admitted => {}
             ContentDecision::Trial => self.ledgers[node].begin_trial(content, self.now),
             ContentDecision::Quarantined { .. } => return,
@@ -73,7 +73,7 @@
         self.running.push_back((self.now + RUN_TIME, node));
         let third = self.crashes.get(2);
         let late = third.is_some_and(|third| *third + CONTACT < self.now);
-        self.repeats += usize::from(late && self.in_touch(node));
+        self.repeats += usize::from(late && self.is_up_to_date(node));
     }
 
     fn crash_due(&mut self) {
@@ -86,7 +86,7 @@
             let run = self.next_run;
             self.next_run += 1;
             self.ledgers[node].record_crash(ContentDigest::from(CRASHING), run, self.now);
-            for _ in 0..TAKEN_ALONG {
+            for _ in 0..OTHER_CALLS {
                 let innocent = ContentDigest::from(self.random.random_range(1..5000));
                 let other = self.any_node();
                 self.ledgers[other].record_crash(innocent, run, self.now);
@@ -94,31 +94,31 @@
         }
     }
 
-    fn tell(&mut self) {
+    fn send_heartbeats(&mut self) {
         for node in 0..self.ledgers.len() {
-            let news = self.ledgers[node].recent_reports(self.now);
-            for _ in 0..TOLD {
+            let reports = self.ledgers[node].recent_reports(self.now);
+            for _ in 0..FANOUT {
                 let other = self.any_node();
                 if self.random.random_bool(LOSS) {
                     continue;
                 }
-                self.hear(other, &news);
+                self.receive(other, &reports);
                 if self.ledgers[other].digest() != self.ledgers[node].digest() {
-                    let settled = self.ledgers[node].decided_reports(self.now);
-                    self.hear(other, &settled);
+                    let decided = self.ledgers[node].decided_reports(self.now);
+                    self.receive(other, &decided);
                 }
             }
         }
     }
 
-    fn hear(&mut self, node: usize, reports: &[CrashReport]) {
+    fn receive(&mut self, node: usize, reports: &[CrashReport]) {
         for report in reports {
             self.ledgers[node].receive(report, self.now);
         }
     }
 
-    /// What nodes hold is written down a moment later; a node reads it when it starts.
-    fn write_down(&mut self) {
+    /// Persists a node's decided records, which nodes read when they start.
+    fn persist(&mut self) {
         let writer = self.any_node();
         for report in self.ledgers[writer].decided_reports(self.now) {
             self.store.insert(report.content, report);
@@ -131,20 +131,20 @@
             self.ledgers[node] = CrashLedger::default();
             self.started_at[node] = self.now;
             let stored: Vec<CrashReport> = self.store.values().cloned().collect();
-            self.hear(node, &stored);
+            self.receive(node, &stored);
         }
     }
 
-    fn play(&mut self) {
+    fn run(&mut self) {
         let nodes = self.ledgers.len();
-        while self.now < PLAYED {
+        while self.now < DURATION {
             self.crash_due();
-            self.tell();
+            self.send_heartbeats();
             if self.random.random_bool(0.2) {
                 self.arrive();
             }
             if self.random.random_bool(0.1) {
-                self.write_down();
+                self.persist();
             }
             if self.random.random_bool(0.02) {
                 self.restart(1);
@@ -157,23 +157,23 @@
     }
 }
 
-/// Names a case: nodes and seeds.
+/// Each case gives the number of nodes and the seeds.
 macro_rules! fleets {
     ($($name:ident: $nodes:literal, $seeds:expr;)*) => {$(
         #[test]
         fn $name() {
             for seed in $seeds {
                 let mut fleet = CrashingFleet::new($nodes, seed);
-                fleet.play();
+                fleet.run();
                 assert!(fleet.crashes.len() >= 3, "seed {seed}: nothing crashed");
                 let repeats = fleet.repeats;
-                assert!(repeats <= MOST_REPEATS, "seed {seed}: {repeats} repeats");
+                assert!(repeats <= MAX_REPEATS, "seed {seed}: {repeats} repeats");
             }
         }
     )*};
 }
 
-// Guards against a crashing call that is sent on by nodes that started anew or missed heartbeats.
+// Guards against a crashing call that is still sent by nodes that restarted or missed heartbeats.
 fleets! {
     nine_nodes_stop_sending_a_crashing_call: 9, 0..60;
     eighty_nodes_stop_sending_a_crashing_call: 80, 0..20;
--- a/kernel/tests/gateway/crashes.rs
+++ b/kernel/tests/gateway/crashes.rs
@@ -1,4 +1,4 @@
-//! Which content is quarantined, by what several nodes saw.
+//! Tests of the quarantine of content, from the reports of several nodes.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_third_run_that_breaks_off_quarantines() {
+fn the_third_crashed_run_quarantines_content() {
     let mut ledger = CrashLedger::default();
     assert_eq!(ledger.record_crash(content(1), 1, S), CrashChange::Updated);
     assert_eq!(ledger.record_crash(content(1), 2, S), CrashChange::Updated);
@@ -37,15 +37,15 @@
     assert!(may_be_sent(&ledger, 2, S));
 }
 
-// Guards against one crash that several nodes tell of, and tell again, counting as several.
+// Guards against counting one crash several times when several nodes report it repeatedly.
 #[test]
-fn a_run_counts_once_however_often_it_is_told() {
-    let mut teller = CrashLedger::default();
-    teller.record_crash(content(1), 7, S);
-    teller.record_crash(content(1), 8, S);
+fn a_run_counts_once_however_often_it_is_reported() {
+    let mut sender = CrashLedger::default();
+    sender.record_crash(content(1), 7, S);
+    sender.record_crash(content(1), 8, S);
     let mut ledger = CrashLedger::default();
     for _ in 0..5 {
-        for report in teller.recent_reports(S) {
+        for report in sender.recent_reports(S) {
             ledger.receive(&report, S);
         }
         ledger.record_crash(content(1), 7, S);
@@ -54,9 +54,9 @@
     assert!(may_be_sent(&ledger, 1, S));
 }
 
-// Guards against nodes that each know of one crash and send the call on.
+// Guards against nodes that each know of one crash and continue to send the call.
 #[test]
-fn crashes_that_several_nodes_saw_add_up_whatever_the_order() {
+fn crashes_observed_by_several_nodes_add_up_in_any_order() {
     let mut nodes: Vec<CrashLedger> = (1..=3)
         .map(|run| {
             let mut ledger = CrashLedger::default();
@@ -64,9 +64,9 @@
             ledger
         })
         .collect();
-    for (teller, listener) in [(0, 1), (2, 1), (1, 0), (1, 2)] {
-        for report in nodes[teller].recent_reports(S) {
-            nodes[listener].receive(&report, S);
+    for (sender, receiver) in [(0, 1), (2, 1), (1, 0), (1, 2)] {
+        for report in nodes[sender].recent_reports(S) {
+            nodes[receiver].receive(&report, S);
         }
     }
     for ledger in &mut nodes {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_node_that_lacks_a_quarantine_differs_and_learns_it_whole() {
+fn a_node_that_lacks_a_quarantine_has_another_digest_and_receives_the_whole_record() {
     let known = quarantined();
     let mut ledger = CrashLedger::default();
     assert_ne!(ledger.digest(), known.digest());
@@ -91,7 +91,8 @@
     assert!(!may_be_sent(&ledger, 1, S * 2));
 }
 
-// Guards against a crash that takes innocent calls along and later ones of the same kind.
+// Guards against a quarantine of harmless content whose calls were in flight during several
+// crashes.
 #[test]
 fn an_answer_between_crashes_clears_content() {
     let mut ledger = CrashLedger::default();
@@ -135,9 +136,9 @@
     assert_eq!(trials, 2);
 }
 
-// Guards against a trial whose own retries crash one upstream more each.
+// Guards against a trial whose retries crash one more upstream each.
 #[test]
-fn a_trial_is_one_send() {
+fn a_trial_is_one_attempt() {
     let mut ledger = quarantined();
     ledger.begin_trial(content(1), S * 31);
     let again = ledger.decide(content(1), || true, S * 31);
@@ -164,21 +165,22 @@
     assert_eq!((ledger.quarantined(), ledger.digest()), (0, 0));
 }
 
-// Guards against a crash under many calls that hides the one that comes again.
+// Guards against a crash during many calls that delays the reports of the content that causes
+// repeated crashes.
 #[test]
-fn content_with_more_crashes_is_told_first_and_all_in_turn() {
+fn content_with_more_crashes_is_reported_first_and_the_rest_in_turn() {
     let mut ledger = CrashLedger::default();
     for number in 0..40 {
         ledger.record_crash(content(number), 1, S);
     }
     ledger.record_crash(content(33), 2, S);
-    let mut told = std::collections::BTreeSet::new();
+    let mut reported = std::collections::BTreeSet::new();
     for _ in 0..20 {
-        let news = ledger.recent_reports(S);
-        assert!(news.iter().any(|report| report.content == content(33)));
-        told.extend(news.into_iter().map(|report| report.content));
+        let reports = ledger.recent_reports(S);
+        assert!(reports.iter().any(|report| report.content == content(33)));
+        reported.extend(reports.into_iter().map(|report| report.content));
     }
-    assert_eq!(told.len(), 40);
+    assert_eq!(reported.len(), 40);
     assert!(ledger.recent_reports(S * 3).is_empty());
 }
 
--- a/kernel/tests/gateway/duty.rs
+++ b/kernel/tests/gateway/duty.rs
@@ -1,5 +1,5 @@
-//! The lease on duties, on a log that loses answers, is down, carries appends out late and comes back
-//! from older copies.
+//! Tests of the lease on duties with a log that loses answers, is unavailable, applies appends late
+//! and is restored from older copies.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,7 +20,7 @@
     at.saturating_sub(ms(1))
 }
 
-/// The topic of the lease.
+/// Topic of the lease.
 #[derive(Debug, Default)]
 struct LeaseLog {
     era: u64,
@@ -47,7 +47,7 @@
         fits
     }
 
-    /// Loses the newest records.
+    /// Restores an older copy without the newest records, which begins an era.
     fn roll_back(&mut self, lost: usize) {
         let kept = self.records.len().saturating_sub(lost);
         self.records.truncate(kept);
@@ -66,7 +66,8 @@
     lease.observe_topic(&log.topic(), now, &mut random);
 }
 
-/// Claims or renews if that is due, and gets the answer. Gives whether it stands.
+/// Claims or renews the lease if that is due, and handles the answer. Returns whether the record
+/// was appended.
 fn append(lease: &mut DutyLease, log: &mut LeaseLog, now: Duration) -> bool {
     let mut random = Pcg64Mcg::seed_from_u64(7);
     let Some(claim) = lease.claim(now) else {
@@ -82,7 +83,7 @@
     stands
 }
 
-/// A node that holds the lease alone since `LENGTH`, and may act.
+/// A node that has held the lease alone since `LENGTH` and may send requests.
 fn holder() -> (DutyLease, LeaseLog, Duration) {
     let (mut first, mut log) = (lease("first", 1), LeaseLog::default());
     read(&mut first, &log, ms(0));
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn a_node_that_meets_a_lease_waits_it_out_and_the_last_call_under_it() {
+fn a_node_waits_for_the_end_of_a_known_lease_and_of_the_last_request_under_it() {
     let (first, mut log, now) = holder();
     let mut second = lease("second", 1);
     read(&mut second, &log, now);
@@ -152,7 +153,7 @@
 }
 
 #[test]
-fn a_renewal_that_lands_in_another_era_counts_for_nothing() {
+fn a_renewal_appended_in_another_era_is_invalid() {
     let (mut first, mut log, now) = holder();
     let mut random = Pcg64Mcg::seed_from_u64(7);
     let claim = first.claim(LENGTH + ms(1900)).expect("a renewal");
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn the_first_window_is_passed_on_within_an_era_and_set_anew_after_it() {
+fn the_first_window_is_kept_within_an_era_and_reset_after_it() {
     let mut log = LeaseLog::default();
     let (mut first, mut second) = (lease("first", 1), lease("second", 1));
     first.observe_era(0, 40, ms(0));
@@ -193,7 +194,7 @@
     assert_eq!(second.first_window(), 95);
 }
 
-/// A call as the platform got it.
+/// A request as received by the platform.
 #[derive(Clone, Copy, Debug)]
 struct ArrivedCall {
     at: Duration,
@@ -201,7 +202,7 @@
     token: u64,
 }
 
-/// Hosts that keep the lease on a log with faults.
+/// Hosts that compete for the lease on a log with faults.
 struct FaultyWorld {
     random: Pcg64Mcg,
     log: LeaseLog,
@@ -266,7 +267,7 @@
             self.nodes[host] = lease(&host.to_string(), run);
         }
         if !self.log.is_down {
-            self.meet_log(host);
+            self.use_log(host);
         }
         if let Some(token) = self.nodes[host].token(self.now) {
             let most = u64::try_from(CALL_FLIGHT.as_millis()).unwrap();
@@ -275,7 +276,7 @@
         }
     }
 
-    fn meet_log(&mut self, host: usize) {
+    fn use_log(&mut self, host: usize) {
         let now = self.now;
         let is_due = now >= self.read_at[host] || self.nodes[host].needs_read(now);
         if is_due && !self.chance(10) {
@@ -312,7 +313,8 @@
     }
 }
 
-/// The platform's promises about holders, over calls in the order in which they arrived.
+/// Checks the guarantees to the platform over requests in order of arrival: fencing tokens never
+/// decrease, each belongs to one host, and holders do not alternate within a lease.
 fn check(seed: u64, calls: &mut [ArrivedCall]) {
     calls.sort_by_key(|call| call.at);
     let mut holders: BTreeMap<u64, usize> = BTreeMap::new();
@@ -336,7 +338,7 @@
 }
 
 #[test]
-fn holders_take_turns_whatever_fails() {
+fn holders_never_overlap_whatever_fails() {
     let mut acted = 0;
     for seed in 0..400 {
         let mut world = FaultyWorld::new(seed, 4);
@@ -350,7 +352,7 @@
 }
 
 #[test]
-fn a_holder_whose_call_was_turned_away_reads_the_log_before_the_next() {
+fn a_holder_whose_request_was_rejected_reads_the_log_before_the_next() {
     let (mut first, log, now) = holder();
     first.require_read();
     assert_eq!(first.token(now), None);
--- a/kernel/tests/gateway/eligibility.rs
+++ b/kernel/tests/gateway/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which upstreams may be sent requests: none that left, none in a pause that it asked for.
+//! Tests of the upstreams that requests may be sent to: none that left or that requested a pause.
 
 use std::time::Duration;
 
@@ -25,14 +25,19 @@
     (registry, keys)
 }
 
-fn ask(registry: &mut UpstreamRegistry, key: UpstreamKey, pause: Duration, now: Duration) {
+fn request_pause(
+    registry: &mut UpstreamRegistry,
+    key: UpstreamKey,
+    pause: Duration,
+    now: Duration,
+) {
     let upstream = registry.get_mut(key).expect("known");
     upstream.pause.extend(pause, now);
 }
 
-// Guards against a call that was chosen for an upstream before that left, and is sent after.
+// Guards against a call whose upstream leaves after it was selected and before the call is sent.
 #[test]
-fn a_call_that_was_chosen_before_its_upstream_left_is_stopped() {
+fn a_call_selected_before_its_upstream_left_is_not_sent() {
     let (mut registry, keys) = pool(1);
     assert!(eligibility::check(&registry, keys[0], S).is_ok());
     registry.record_announcement(keys[0], S);
@@ -43,23 +48,25 @@
     );
 }
 
-// Guards against a call that was chosen for an upstream before that asked for a pause, and is sent after.
+// Guards against a call whose upstream requests a pause after it was selected and before the call
+// is sent.
 #[test]
-fn a_call_that_was_chosen_before_a_pause_is_stopped() {
+fn a_call_selected_before_a_pause_is_not_sent() {
     let (mut registry, keys) = pool(1);
-    ask(&mut registry, keys[0], S * 3, S);
+    request_pause(&mut registry, keys[0], S * 3, S);
     let refused = eligibility::check(&registry, keys[0], S * 2).err();
     assert_eq!(refused, Some(EligibilityError::Paused(S * 2)));
 }
 
-/// Names a case: pauses that an upstream asks for, each with the time of that, and when the last ends.
+/// Each case gives the times and lengths of the pauses that an upstream requests, and when the last
+/// one ends.
 macro_rules! pauses {
     ($($name:ident: $pauses:expr => $end:expr;)*) => {$(
         #[test]
         fn $name() {
             let (mut registry, keys) = pool(1);
             for (at, pause) in $pauses {
-                ask(&mut registry, keys[0], pause, at);
+                request_pause(&mut registry, keys[0], pause, at);
             }
             let end: Duration = $end;
             assert!(eligibility::check(&registry, keys[0], end - MS).is_err());
@@ -70,7 +77,7 @@
 
 pauses! {
     a_pause_ends: [(S, S * 3)] => S * 4;
-    a_longer_pause_takes_the_place_of_a_shorter_one: [(S, S * 3), (S * 2, S * 4)] => S * 6;
+    a_longer_pause_replaces_a_shorter_one: [(S, S * 3), (S * 2, S * 4)] => S * 6;
     a_shorter_pause_ends_no_longer_one: [(S, S * 3), (S * 2, S)] => S * 4;
     a_pause_of_a_day: [(S, DAY)] => S + DAY;
 }
@@ -78,15 +85,15 @@
 #[test]
 fn a_pause_without_end_does_not_overflow() {
     let (mut registry, keys) = pool(1);
-    ask(&mut registry, keys[0], Duration::MAX, S);
+    request_pause(&mut registry, keys[0], Duration::MAX, S);
     assert!(eligibility::check(&registry, keys[0], DAY * 10_000).is_err());
 }
 
-// Guards against a new run that gets no calls, as the run before it asked for a pause.
+// Guards against a new run that gets no calls because the previous run requested a pause.
 #[test]
-fn a_new_run_has_asked_for_no_pause() {
+fn a_new_run_has_requested_no_pause() {
     let (mut registry, keys) = pool(1);
-    ask(&mut registry, keys[0], DAY, S);
+    request_pause(&mut registry, keys[0], DAY, S);
     let run = UpstreamEntry {
         born: Some(7),
         ..entry("u1", 1, false)
@@ -98,11 +105,11 @@
     );
 }
 
-// Guards against the same run that is written again at another address and loses its pause.
+// Guards against a run whose entry is written with another address and thereby loses its pause.
 #[test]
 fn another_address_of_the_same_run_ends_no_pause() {
     let (mut registry, keys) = pool(1);
-    ask(&mut registry, keys[0], DAY, S);
+    request_pause(&mut registry, keys[0], DAY, S);
     registry.apply(RegistryChange::Put(entry("u1", 2, false)), true, S);
     assert_eq!(
         eligibility::eligible_upstreams(&registry, "model", S).count(),
@@ -110,7 +117,8 @@
     );
 }
 
-/// Names a case: pauses of the upstreams of a pool, which of them were tried, and when it opens.
+/// Each case gives the pauses in seconds of a pool's upstreams, the upstreams that were tried, and
+/// the time until one is eligible.
 macro_rules! pools {
     ($($name:ident: $pauses:expr, $tried:expr => $opens:expr;)*) => {$(
         #[test]
@@ -118,7 +126,7 @@
             let pauses: &[u32] = &$pauses;
             let (mut registry, keys) = pool(pauses.len() as u16);
             for (key, pause) in keys.iter().zip(pauses).filter(|(_, pause)| **pause > 0) {
-                ask(&mut registry, *key, S * *pause, S);
+                request_pause(&mut registry, *key, S * *pause, S);
             }
             let tried: &[usize] = &$tried;
             let tried: Vec<UpstreamKey> = tried.iter().map(|index| keys[*index]).collect();
--- a/kernel/tests/gateway/engines.rs
+++ b/kernel/tests/gateway/engines.rs
@@ -1,4 +1,4 @@
-//! Engines, prompts and questions for tests of the choice.
+//! Engines, prompts and inputs for tests of the selection.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use monsoonbank_kernel::gateway::prompt::PromptShape;
 use monsoonbank_kernel::gateway::registry::{RegistryChange, UpstreamEntry, UpstreamRegistry};
 
-/// When all calls of these tests come.
+/// Time at which all calls of these tests arrive.
 pub const NOW: Duration = Duration::from_secs(10);
 
 /// Engines `i-0`, `i-1` and so on, one in each availability zone of the list.
@@ -29,7 +29,7 @@
     registry
 }
 
-/// A prompt that shares nothing.
+/// A prompt without shared parts.
 pub fn bulk(tokens: u32) -> PromptShape {
     PromptShape {
         prompt_tokens: tokens,
--- a/kernel/tests/gateway/fleet.rs
+++ b/kernel/tests/gateway/fleet.rs
@@ -1,4 +1,5 @@
-//! Who is there, who reads the store, and whom callers are sent to.
+//! Tests of the nodes that are known and live, of those that read the store, and of those that
+//! callers are directed to.
 
 use std::time::Duration;
 
@@ -37,7 +38,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn an_older_incarnation_is_not_believed() {
+fn an_older_incarnation_is_ignored() {
     let mut fleet = view();
     assert!(
         fleet
@@ -54,12 +55,12 @@
         fleet
             .receive_heartbeat(heartbeat("a", "east", 3, true), SECOND)
             .fresh,
-        "a new start is news"
+        "a restart is reported"
     );
 }
 
 #[test]
-fn a_node_whose_time_of_day_was_set_back_before_its_new_start_is_believed() {
+fn a_restarted_node_whose_wall_clock_was_set_back_is_accepted() {
     let mut fleet = view();
     fleet.receive_heartbeat(heartbeat("a", "east", 9000, true), SECOND);
     let later = SECOND * 4;
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn a_silent_node_is_not_live_and_is_forgotten() {
+fn a_silent_node_is_not_live_and_expires() {
     let mut fleet = view();
     fleet.receive_heartbeat(heartbeat("a", "east", 1, true), SECOND);
     assert_eq!(fleet.live(SECOND * 2).count(), 1);
@@ -95,7 +96,7 @@
     assert_eq!(fleet.hubs("east", SECOND).len(), 2);
 }
 
-/// Names a case: heartbeats of other nodes, and whether node `m` of `east` reads the store.
+/// Each case gives heartbeats of other nodes, and whether node `m` of `east` reads the store.
 macro_rules! reads {
     ($($name:ident: $heartbeats:expr, $now:expr => $reads:literal;)*) => {$(
         #[test]
@@ -114,11 +115,11 @@
     the_first_by_name_reads: [heartbeat("a", "east", 1, true)], SECOND => false;
     a_later_name_does_not: [heartbeat("z", "east", 1, true)], SECOND => true;
     each_zone_has_its_own: [heartbeat("a", "west", 1, true)], SECOND => true;
-    a_reader_that_the_store_turns_away_is_replaced: [heartbeat("a", "east", 1, false)], SECOND => true;
+    a_reader_that_the_store_rejects_is_replaced: [heartbeat("a", "east", 1, false)], SECOND => true;
     a_silent_reader_is_replaced: [heartbeat("a", "east", 1, true)], SECOND * 3 => true;
 }
 
-/// A view with `count` nodes of its zone that go before it and that the store turns away.
+/// A view with `count` nodes of its zone that rank before its own and that the store rejects.
 fn outranked(count: usize) -> FleetView {
     let mut fleet = view();
     for index in 0..count {
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn while_the_store_answers_no_one_few_nodes_read_it() {
+fn while_the_store_answers_no_node_few_nodes_read_it() {
     let readers = |at: Duration| {
         let views = (0..300).map(outranked);
         views.filter(|fleet| fleet.reads_store(at)).count()
@@ -138,24 +139,24 @@
 }
 
 #[test]
-fn a_store_that_turns_all_hubs_away_is_read_by_others() {
+fn a_store_that_rejects_all_hubs_is_read_by_others() {
     let fleet = outranked(4);
     assert!(!fleet.reads_store(SECOND * 2));
     assert!(fleet.reads_store(SECOND * 5));
 }
 
 #[test]
-fn while_some_node_hears_the_store_only_hubs_read_it() {
+fn while_the_store_answers_some_node_only_hubs_read_it() {
     let mut fleet = outranked(4);
-    let told = NodeHeartbeat {
+    let reported = NodeHeartbeat {
         store_age_ms: Some(500),
         ..heartbeat("a000", "east", 1, false)
     };
-    fleet.receive_heartbeat(told, SECOND * 5);
+    fleet.receive_heartbeat(reported, SECOND * 5);
     assert!(!fleet.reads_store(SECOND * 6));
 }
 
-/// Calls at one upstream.
+/// A report of calls at one upstream.
 fn work(calls: u32) -> Vec<WorkReport> {
     vec![WorkReport {
         run: 7,
@@ -167,10 +168,10 @@
     }]
 }
 
-/// Names a case: capacities of nodes `a`, `b`, ... of one zone, calls that each has, and who is
-/// named to callers.
-macro_rules! named {
-    ($($name:ident: $capacities:expr, $calls:literal => $named:expr;)*) => {$(
+/// Each case gives the capacities of nodes `a`, `b`, ... of one zone, the number of calls of each,
+/// and the nodes that callers are directed to.
+macro_rules! listed {
+    ($($name:ident: $capacities:expr, $calls:literal => $listed:expr;)*) => {$(
         #[test]
         fn $name() {
             let heartbeats: Vec<NodeHeartbeat> = $capacities
@@ -185,24 +186,24 @@
                 .collect();
             let entries = entries(heartbeats.iter(), "east");
             let names: Vec<&str> = entries.iter().map(|entry| &*entry.card.name).collect();
-            assert_eq!(names, $named);
+            assert_eq!(names, $listed);
         }
     )*};
 }
 
-named! {
-    a_small_zone_names_all: [100, 100], 0 => ["a", "b"];
+listed! {
+    a_small_zone_lists_all: [100, 100], 0 => ["a", "b"];
     three_are_enough_at_rest: [100, 100, 100, 100, 100], 10 => ["a", "b", "c"];
-    the_strongest_are_named_alone: [100, 500, 100, 500, 100], 10 => ["b", "d"];
-    one_strong_node_is_not_named_alone: [100, 500, 100], 10 => ["b", "a"];
-    weak_ones_are_named_when_each_can_carry_a_share: [30, 100, 30, 100, 30, 30, 30, 30], 25 => ["b", "d", "a", "c", "e", "f", "g", "h"];
-    the_strong_stay_alone_when_nothing_suffices: [10, 100, 10, 100], 100 => ["b", "d"];
+    only_the_strongest_are_listed: [100, 500, 100, 500, 100], 10 => ["b", "d"];
+    one_strong_node_is_not_listed_alone: [100, 500, 100], 10 => ["b", "a"];
+    weak_ones_are_listed_when_each_can_handle_a_share: [30, 100, 30, 100, 30, 30, 30, 30], 25 => ["b", "d", "a", "c", "e", "f", "g", "h"];
+    only_the_strong_are_listed_when_no_number_suffices: [10, 100, 10, 100], 100 => ["b", "d"];
     load_adds_entries: [100, 100, 100, 100, 100], 60 => ["a", "b", "c", "d"];
-    no_more_are_named_than_there_are: [100, 100, 100, 100], 900 => ["a", "b", "c", "d"];
+    no_more_are_listed_than_there_are: [100, 100, 100, 100], 900 => ["a", "b", "c", "d"];
 }
 
 #[test]
-fn nodes_that_are_not_ready_or_of_other_zones_are_not_named() {
+fn nodes_that_are_not_ready_or_in_other_zones_are_not_listed() {
     let mut leaving = heartbeat("a", "east", 1, true);
     leaving.card.state = NodeState::Leaving;
     let heartbeats = [
@@ -215,8 +216,8 @@
     assert_eq!(names, ["c"]);
 }
 
-/// A view whose zone has the hubs `h0` to `h2`, the first of which names `entries`.
-fn told(entries: &[&str]) -> FleetView {
+/// A view whose zone has the hubs `h0` to `h2`, which advertise `entries`.
+fn advertised(entries: &[&str]) -> FleetView {
     let mut fleet = view();
     for index in 0..3 {
         let mut hub = heartbeat(&format!("h{index}"), "east", 1, true);
@@ -229,26 +230,26 @@
 }
 
 #[test]
-fn a_node_that_hears_hubs_alone_names_the_nodes_that_they_name() {
-    let fleet = told(&["h0", "h2"]);
+fn a_node_that_receives_only_hubs_heartbeats_lists_the_nodes_that_they_advertise() {
+    let fleet = advertised(&["h0", "h2"]);
     let own = heartbeat("m", "east", 1, true);
-    let named = fleet.entry_addresses(&own, "east", SECOND);
+    let listed = fleet.entry_addresses(&own, "east", SECOND);
     assert_eq!(
-        named,
+        listed,
         [([10, 0, 0, 0], 1).into(), ([10, 0, 0, 2], 1).into()]
     );
 }
 
 #[test]
-fn a_node_whose_hubs_fall_silent_names_itself() {
-    let fleet = told(&["h0", "h2"]);
+fn a_node_whose_hubs_are_silent_lists_itself() {
+    let fleet = advertised(&["h0", "h2"]);
     let own = heartbeat("m", "east", 1, true);
-    let named = fleet.entry_addresses(&own, "east", SECOND * 4);
-    assert_eq!(named, [own.card.callers]);
+    let listed = fleet.entry_addresses(&own, "east", SECOND * 4);
+    assert_eq!(listed, [own.card.callers]);
 }
 
 #[test]
-fn a_silent_node_that_sent_calls_stays_a_rival_until_it_is_forgotten() {
+fn a_silent_node_that_sent_calls_counts_as_a_sender_until_it_expires() {
     let mut fleet = view();
     fleet.receive_heartbeat(heartbeat("idle", "east", 1, true), SECOND);
     let busy = NodeHeartbeat {
@@ -265,8 +266,8 @@
     assert!(fleet.sender_hashes().is_empty());
 }
 
-/// A fleet of hubs and others that know each other, in one zone, and the patience of each.
-fn patiences(nodes: u32) -> Vec<Duration> {
+/// Claim delay of each node of one zone with hubs and others that know each other.
+fn claim_delays(nodes: u32) -> Vec<Duration> {
     let name = |node: u32| format!("n{node:03}");
     let card_of = |node: u32| NodeCard {
         capacity: if node < 3 { 500 } else { 120 },
@@ -284,13 +285,13 @@
 }
 
 #[test]
-fn hubs_claim_duties_one_after_the_other_and_the_rest_are_spread_far_behind() {
-    let patiences = patiences(90);
-    assert_eq!(patiences[0], SECOND);
-    assert!(patiences[0] < patiences[1] && patiences[1] < patiences[2]);
-    let mut members = patiences[3..].to_vec();
+fn hubs_claim_duties_one_after_another_and_the_rest_much_later() {
+    let claim_delays = claim_delays(90);
+    assert_eq!(claim_delays[0], SECOND);
+    assert!(claim_delays[0] < claim_delays[1] && claim_delays[1] < claim_delays[2]);
+    let mut members = claim_delays[3..].to_vec();
     members.sort_unstable();
-    assert!(members[0] > patiences[2] + 5 * SECOND);
+    assert!(members[0] > claim_delays[2] + 5 * SECOND);
     let most = members
         .windows(20)
         .filter(|window| window[19] < window[0] + SECOND)
@@ -299,10 +300,10 @@
 }
 
 #[test]
-fn a_step_of_some_hosts_time_of_day_does_not_move_the_fleets() {
+fn a_step_of_some_hosts_wall_clocks_does_not_change_the_fleets_time() {
     let mut fleet = view();
-    let told = [("a", 50_000), ("b", 52_000), ("c", 50_002), ("d", 48_000)];
-    for (name, unix_ms) in told {
+    let reported = [("a", 50_000), ("b", 52_000), ("c", 50_002), ("d", 48_000)];
+    for (name, unix_ms) in reported {
         let heartbeat = NodeHeartbeat {
             unix_ms,
             ..heartbeat(name, "east", 1, true)
--- a/kernel/tests/gateway/gossip.rs
+++ b/kernel/tests/gateway/gossip.rs
@@ -1,9 +1,9 @@
-//! Heartbeats among many nodes without a network: who is told what, how soon, and at what cost.
+//! Simulates heartbeats among many nodes: who receives what, how soon, and at what cost.
 //!
-//! The patterns: all nodes start at once and know three seeds; all lose power and come back; a zone's
-//! hubs die together; a zone is cut off and comes back; datagrams are lost, doubled and overtake each
-//! other; one node freezes. Whatever grew with the fleet squared, or told a node of a large zone only
-//! every few seconds, shows here.
+//! The cases: all nodes start at once and know three seeds; all lose power and restart; a zone's
+//! hubs stop together; a zone is partitioned and rejoins; datagrams are lost, duplicated and
+//! reordered; one node freezes. They guard against costs that grow with the square of the fleet and
+//! against nodes of a large zone that learn of changes only after seconds.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 use rand_pcg::Pcg64Mcg;
 
 const STEP: Duration = Duration::from_millis(10);
-/// Nodes of one availability zone, about.
+/// Approximate number of nodes of one availability zone.
 const ZONE_NODES: usize = 59;
 const STRONG: u32 = 500;
 const WEAK: u32 = 120;
@@ -28,18 +28,18 @@
 /// Bytes of a datagram's headers.
 const HEADERS: usize = 28;
 
-/// A node of the model; its view is gone while it is down.
+/// A simulated node.
 struct ModelNode {
     card: NodeCard,
     up: bool,
     view: FleetView,
-    spread: GossipSchedule,
+    schedule: GossipSchedule,
     tick_at: Duration,
     version: u64,
-    news: GossipUrgency,
+    urgency: GossipUrgency,
 }
 
-/// What one node sent and received.
+/// Datagrams and bytes that one node sent and received.
 #[derive(Clone, Copy, Debug, Default)]
 struct NodeCost {
     sent: usize,
@@ -74,7 +74,7 @@
 }
 
 impl ModelFleet {
-    /// Nodes of five zones, three strong ones in each, that start within 0.3 s.
+    /// Nodes of at least five zones, each with three of large capacity, that start within 0.3 s.
     fn new(count: usize, seed: u64) -> Self {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let zones = zone_count(count);
@@ -95,10 +95,10 @@
                     view: FleetView::new(card.clone(), Duration::ZERO),
                     card,
                     up: true,
-                    spread: GossipSchedule::default(),
+                    schedule: GossipSchedule::default(),
                     tick_at: Duration::from_millis(random.random_range(0..300)),
                     version: 0,
-                    news: GossipUrgency::None,
+                    urgency: GossipUrgency::None,
                 }
             })
             .collect();
@@ -166,7 +166,7 @@
         if is_cut || self.random.random_bool(self.loss) {
             return;
         }
-        // Some overtake others, and some come twice.
+        // Some are reordered or duplicated.
         for _ in 0..=usize::from(self.random.random_bool(self.loss)) {
             let delay = Duration::from_millis(self.random.random_range(1..=30));
             let arriving = self.in_flight.entry(self.now + delay).or_default();
@@ -185,16 +185,16 @@
         if heartbeat.version > node.version {
             node.version = heartbeat.version;
             if node.view.is_hub(now) {
-                node.news = GossipUrgency::All;
+                node.urgency = GossipUrgency::All;
             }
             node.tick_at = now;
         }
-        let news = node.view.receive_heartbeat(heartbeat.clone(), now);
+        let change = node.view.receive_heartbeat(heartbeat.clone(), now);
         let need = ReplyReason {
-            fresh: news.fresh,
+            fresh: change.fresh,
             seeking: heartbeat.seeking,
         };
-        if news.fresh {
+        if change.fresh {
             node.tick_at = now;
         }
         if heartbeat.is_reply {
@@ -211,7 +211,7 @@
         }
     }
 
-    fn speak(&mut self, index: usize) {
+    fn tick(&mut self, index: usize) {
         let now = self.now;
         let mut own = self.heartbeat(index);
         let node = &mut self.nodes[index];
@@ -219,7 +219,7 @@
         node.tick_at = now + gossip::tick(&node.view, false, now);
         let round = GossipRound {
             busy: self.stray_calls,
-            urgency: std::mem::take(&mut node.news),
+            urgency: std::mem::take(&mut node.urgency),
             now,
         };
         let GossipPlan {
@@ -229,7 +229,7 @@
             seeds,
             zone_cards,
             hub_cards,
-        } = node.spread.plan(&mut node.view, &own, round);
+        } = node.schedule.plan(&mut node.view, &own, round);
         own.cards = zone_cards;
         for to in &zone {
             self.send(index, *to, &own);
@@ -264,7 +264,7 @@
             }
             for index in 0..self.nodes.len() {
                 if self.nodes[index].up && self.nodes[index].tick_at <= self.now {
-                    self.speak(index);
+                    self.tick(index);
                 }
             }
         }
@@ -276,14 +276,14 @@
         }
     }
 
-    /// Starts nodes anew, with nothing known.
+    /// Restarts nodes without any state.
     fn start(&mut self, indices: impl Iterator<Item = usize>) {
         let now = self.now;
         for index in indices {
             let node = &mut self.nodes[index];
             node.card.incarnation += 1;
             node.view = FleetView::new(node.card.clone(), now);
-            node.spread = GossipSchedule::default();
+            node.schedule = GossipSchedule::default();
             node.version = 0;
             node.up = true;
             node.tick_at = now + Duration::from_millis(self.random.random_range(0..300));
@@ -294,7 +294,7 @@
         self.nodes.iter().filter(|node| node.up)
     }
 
-    /// The strongest live nodes of a zone.
+    /// Names of the live nodes of a zone with the largest capacity.
     fn true_hubs(&self, zone: &str) -> BTreeSet<&str> {
         let mut cards: Vec<&NodeCard> = self.live().map(|node| &node.card).collect();
         cards.retain(|card| &*card.zone == zone);
@@ -302,7 +302,7 @@
         cards.iter().take(3).map(|card| &*card.name).collect()
     }
 
-    /// Live nodes that take other nodes for the hubs of their zone than it has.
+    /// Live nodes whose view of their zone's hubs is wrong.
     fn misled(&self) -> Vec<&str> {
         let now = self.now;
         self.live()
@@ -315,8 +315,8 @@
             .collect()
     }
 
-    /// Live nodes that send callers elsewhere than to the strongest nodes of their zone.
-    fn misleading(&self) -> usize {
+    /// Number of live nodes that direct callers to other nodes than the zone's entries.
+    fn misdirecting(&self) -> usize {
         let live: Vec<NodeHeartbeat> = self
             .live()
             .map(|node| NodeHeartbeat::new(node.card.clone()))
@@ -332,17 +332,17 @@
         wrong.count()
     }
 
-    /// Live nodes that lack a version.
+    /// Number of live nodes that lack a version.
     fn lacking(&self, version: u64) -> usize {
         self.live().filter(|node| node.version < version).count()
     }
 
-    /// A node puts a version in force and tells others.
+    /// Puts a version in force at a node, which sends it to others.
     fn publish(&mut self, index: usize, version: u64) {
         let now = self.now;
         let node = &mut self.nodes[index];
         node.version = version;
-        node.news = GossipUrgency::All;
+        node.urgency = GossipUrgency::All;
         node.tick_at = now;
     }
 
@@ -360,20 +360,20 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Names a case: a number of nodes, and bytes that a node of middle cost may send and receive in a
-/// second at rest.
-macro_rules! at_rest {
+/// Each case gives a number of nodes, and the median number of bytes that a node may send and
+/// receive per second without calls.
+macro_rules! idle {
     ($($name:ident: $count:literal, $most:literal;)*) => {$(
         #[test]
         fn $name() {
             let mut fleet = ModelFleet::new($count, 1);
             fleet.run(SECOND * 10);
             assert!(fleet.misled().is_empty(), "{:?}", fleet.misled());
-            assert_eq!(fleet.misleading(), 0);
+            assert_eq!(fleet.misdirecting(), 0);
             fleet.reset_costs();
             for _ in 0..20 {
                 fleet.run(SECOND / 2);
-                assert_eq!(fleet.misleading(), 0, "at {:?}", fleet.now);
+                assert_eq!(fleet.misdirecting(), 0, "at {:?}", fleet.now);
             }
             let mut bytes: Vec<usize> = fleet.costs.iter().map(|cost| cost.bytes / 10).collect();
             bytes.sort_unstable();
@@ -389,15 +389,15 @@
     )*};
 }
 
-at_rest! {
+idle! {
     thirty_nodes_at_rest: 30, 4000;
     a_hundred_nodes_at_rest: 100, 4000;
     three_hundred_nodes_at_rest: 295, 4000;
     a_thousand_nodes_at_rest: 980, 4000;
 }
 
-/// Names a case: a number of nodes that start at once. All have to know their hubs within 2 s, and the
-/// datagrams that they send until then must not grow with the square of their number.
+/// Each case gives a number of nodes that start at once. All have to know their hubs within 2 s,
+/// and the number of datagrams until then must not grow with the square of the number of nodes.
 macro_rules! start_at_once {
     ($($name:ident: $count:literal;)*) => {$(
         #[test]
@@ -424,8 +424,8 @@
     a_thousand_nodes_start_at_once: 980;
 }
 
-/// Names a case: what happens to a fleet of 295, and how long it may take until all live nodes agree
-/// on their hubs and have what was published after it.
+/// Each case gives a fault in a fleet of 295 nodes, and the time within which all live nodes have
+/// to agree on their hubs and receive what is published after it.
 macro_rules! recovers {
     ($($name:ident: $loss:literal, $within:expr, $trouble:expr;)*) => {$(
         #[test]
@@ -437,8 +437,8 @@
                 let trouble: fn(&mut ModelFleet) = $trouble;
                 trouble(&mut fleet);
                 fleet.run($within);
-                assert_eq!(fleet.misleading(), 0, "seed {seed}");
-                // Who loses three heartbeats in a row tells a node too many for a moment.
+                assert_eq!(fleet.misdirecting(), 0, "seed {seed}");
+                // After losing three heartbeats in a row a node may briefly select a wrong hub.
                 assert!(fleet.misled().len() <= 3, "seed {seed}: {:?}", fleet.misled());
                 let reader = fleet.hub(&zone_name(2));
                 fleet.publish(reader, 7);
@@ -451,7 +451,7 @@
 
 recovers! {
     datagrams_are_lost: 0.05, SECOND * 5, |_| ();
-    the_hubs_of_a_zone_die_at_once: 0.01, SECOND * 6, |fleet| {
+    the_hubs_of_a_zone_stop_at_once: 0.01, SECOND * 6, |fleet| {
         let hubs: Vec<usize> = (0..3).map(|_| {
             let hub = fleet.hub(&zone_name(0));
             fleet.stop(std::iter::once(hub));
@@ -459,19 +459,19 @@
         }).collect();
         assert_eq!(hubs.len(), 3);
     };
-    half_of_all_nodes_die_and_come_back: 0.01, SECOND * 4, |fleet| {
+    half_of_all_nodes_stop_and_restart: 0.01, SECOND * 4, |fleet| {
         let half = || (0..295).filter(|index| index % 7 < 4);
         fleet.stop(half());
         fleet.run(SECOND * 3);
         fleet.start(half());
     };
-    a_zone_is_cut_off_and_comes_back: 0.01, SECOND * 8, |fleet| {
+    a_zone_is_partitioned_and_rejoins: 0.01, SECOND * 8, |fleet| {
         fleet.cut.insert(zone_name(1));
         fleet.run(SECOND * 20);
         fleet.cut.clear();
     };
     all_seeds_are_lost_for_good: 0.01, SECOND * 5, |fleet| fleet.stop(0..SEEDS);
-    hubs_start_anew_one_after_the_other: 0.01, SECOND * 3, |fleet| {
+    hubs_restart_one_after_another: 0.01, SECOND * 3, |fleet| {
         for _ in 0..3 {
             let hub = fleet.hub(&zone_name(3));
             fleet.stop(std::iter::once(hub));
@@ -482,9 +482,10 @@
     };
 }
 
-/// Each node gets a call now and then, though callers are sent to three of a zone.
+/// Guards against nodes with a call now and then that thin out the reports among the entries: each
+/// node gets such calls, though callers are directed to three per zone.
 #[test]
-fn a_few_calls_at_every_node_do_not_thin_out_what_the_entries_tell_each_other() {
+fn a_few_calls_at_every_node_do_not_thin_out_reports_among_entries() {
     let mut fleet = ModelFleet::new(295, 6);
     fleet.stray_calls = true;
     fleet.run(SECOND * 4);
@@ -499,17 +500,17 @@
 }
 
 #[test]
-fn news_reaches_all_within_a_second_and_costs_a_few_datagrams_a_node() {
+fn a_change_reaches_all_nodes_within_a_second_for_a_few_datagrams_each() {
     let mut fleet = ModelFleet::new(295, 5);
     fleet.run(SECOND * 4);
     fleet.reset_costs();
     fleet.run(SECOND);
-    let at_rest: usize = fleet.costs.iter().map(|cost| cost.sent).sum();
+    let idle: usize = fleet.costs.iter().map(|cost| cost.sent).sum();
     fleet.reset_costs();
     let reader = fleet.hub(&zone_name(3));
     fleet.publish(reader, 9);
     fleet.run(SECOND);
     assert_eq!(fleet.lacking(9), 0);
     let sent: usize = fleet.costs.iter().map(|cost| cost.sent).sum();
-    assert!(sent - at_rest <= 5 * 295, "{sent} against {at_rest}");
+    assert!(sent - idle <= 5 * 295, "{sent} against {idle}");
 }
--- a/kernel/tests/gateway/health.rs
+++ b/kernel/tests/gateway/health.rs
@@ -1,4 +1,4 @@
-//! Evidence on an upstream's health.
+//! Tests of the health of an upstream.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn a_silent_upstream_rests_longer_each_time_and_not_at_all_after_an_answer() {
+fn back_off_grows_with_each_missing_answer_and_ends_with_an_answer() {
     let mut health = UpstreamHealth::default();
     health.unanswered(Duration::ZERO);
     assert!(health.is_backed_off(MS * 499) && !health.is_backed_off(MS * 500));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn one_that_fails_most_calls_rests_however_fast_it_answers() {
+fn one_that_fails_most_calls_is_backed_off_however_fast_it_answers() {
     let mut health = UpstreamHealth::default();
     let failures = (0..100).take_while(|_| {
         health.failed(Duration::ZERO);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn one_that_fails_some_calls_does_not_rest() {
+fn one_that_fails_some_calls_is_not_backed_off() {
     let mut health = UpstreamHealth::default();
     for call in 0..1000 {
         if call % 7 == 0 {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn many_failures_at_once_are_one_rest() {
+fn many_failures_at_once_cause_one_back_off() {
     let mut health = UpstreamHealth::default();
     for _ in 0..50 {
         health.unanswered(Duration::ZERO);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn after_a_rest_one_call_at_a_time_tries_it_until_one_is_answered() {
+fn after_a_back_off_one_trial_call_at_a_time_is_sent_until_one_is_answered() {
     let mut health = UpstreamHealth::default();
     health.unanswered(Duration::ZERO);
     assert!(!health.is_backed_off(MS * 500) && health.unproven());
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn one_that_others_found_failing_rests_here_as_long_as_they_say_so() {
+fn one_that_others_report_failing_is_backed_off_while_they_report_it() {
     let mut health = UpstreamHealth::default();
     health.reported_failing(Duration::ZERO);
     assert!(health.is_backed_off(MS * 300) && health.unproven());
@@ -87,12 +87,12 @@
     assert!(!health.is_backed_off(MS * 1500));
     assert!(
         !health.reports_failing(MS * 900),
-        "hearsay is not passed on"
+        "reports of other nodes are not forwarded"
     );
 }
 
 #[test]
-fn a_warning_does_not_count_against_an_answer_of_a_moment_ago() {
+fn a_failure_report_is_ignored_after_a_recent_answer() {
     let mut health = UpstreamHealth::default();
     health.succeeded(MS * 900);
     health.reported_failing(MS * 1000);
@@ -106,12 +106,12 @@
 }
 
 #[test]
-fn own_evidence_is_told_while_it_rests() {
+fn own_failures_are_reported_during_the_back_off() {
     let mut health = UpstreamHealth::default();
     health.unanswered(Duration::ZERO);
     assert!(
         !health.reports_failing(MS),
-        "silence may be this node's own link"
+        "the cause may be this node's own link"
     );
     let mut health = UpstreamHealth::default();
     health.unreachable(Duration::ZERO);
--- a/kernel/tests/gateway/lag.rs
+++ b/kernel/tests/gateway/lag.rs
@@ -1,4 +1,4 @@
-//! When a node that lacks a version reads the store for it.
+//! Tests of the time at which a node that lacks a version reads it from the store.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
     Duration::from_millis(millis)
 }
 
-/// A node that was told of version 7 at 1 s and got pieces of it at these times.
-fn told(pieces: &[u64]) -> VersionLag {
+/// A node to which version 7 was advertised at 1 s, and which received pieces of it at these times.
+fn lagging(pieces: &[u64]) -> VersionLag {
     let mut lag = VersionLag::default();
     lag.advertised(7, ms(1000));
     for piece in pieces {
@@ -22,7 +22,7 @@
     ($($name:ident: $pieces:expr, $version:expr, $at:expr => $behind:expr;)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(told($pieces).is_behind($version, ms($at)), $behind);
+            assert_eq!(lagging($pieces).is_behind($version, ms($at)), $behind);
         }
     )*};
 }
@@ -34,12 +34,12 @@
     a_fetch_that_stalled_is: &[1300, 1650], 6, 2351 => true;
     a_fetch_that_never_ends_is: &[1300, 1900, 2500, 2990], 6, 3001 => true;
     pieces_from_before_do_not_matter: &[900], 6, 1701 => true;
-    who_has_it_does_not_read: &[], 7, 9000 => false;
+    a_node_that_has_it_does_not_read: &[], 7, 9000 => false;
 }
 
 #[test]
-fn an_older_word_does_not_begin_the_time_anew() {
-    let mut lag = told(&[]);
+fn an_older_version_does_not_restart_the_lag() {
+    let mut lag = lagging(&[]);
     lag.advertised(7, ms(1600));
     lag.advertised(5, ms(1650));
     assert!(lag.is_behind(6, ms(1701)));
--- a/kernel/tests/gateway/limit_fuzz.rs
+++ b/kernel/tests/gateway/limit_fuzz.rs
@@ -1,4 +1,5 @@
-//! An upstream that names a limit, under load at all nodes of a fleet that start anew and lose heartbeats.
+//! An upstream that advertises a limit, under load from all nodes of a fleet that restart and lose
+//! heartbeats.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,31 +11,31 @@
 use rand_pcg::Pcg64Mcg;
 
 const TICK: Duration = Duration::from_millis(50);
-/// Time between two heartbeats of a node.
-const TELL_PAUSE: Duration = Duration::from_millis(200);
-/// Time for which calls come, and for which none come after that.
-const LULL: Duration = Duration::from_secs(12);
-const PLAYED: Duration = Duration::from_secs(48);
-/// When the upstream begins to name its limit.
-const NAMED_AT: Duration = Duration::from_secs(5);
-/// Time in which its requests are counted.
+/// Interval between heartbeats of a node.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+/// Time for which calls arrive, and for which none arrive after that.
+const PHASE: Duration = Duration::from_secs(12);
+const DURATION: Duration = Duration::from_secs(48);
+/// Time at which the upstream begins to advertise its limit.
+const ADVERTISED_AT: Duration = Duration::from_secs(5);
+/// Window in which the upstream counts requests.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Time after which a node that passed on an answer with the limit counts.
-const TOLD_TIME: Duration = Duration::from_millis(500);
-/// Time for which a node that started anew does not.
+/// Time after an answer with the limit from which on a node's requests count.
+const REPORTED_AFTER: Duration = Duration::from_millis(500);
+/// Time after a node's restart for which its requests do not count.
 const CONTACT: Duration = Duration::from_secs(3);
 /// Time from a request to its answer.
 const ANSWER_TIME: Duration = Duration::from_millis(100);
-/// Share of heartbeats that are lost.
+/// Share of lost heartbeats.
 const LOSS: f64 = 0.1;
-/// Stands for the upstream's run.
+/// Hash of the upstream's run.
 const RUN: u64 = 77;
 
 struct LimitedNode {
     view: FleetView,
     throttle: UpstreamThrottle,
     started_at: Duration,
-    told_at: Option<Duration>,
+    limited_at: Option<Duration>,
     zone_size: u32,
 }
 
@@ -71,7 +72,7 @@
             view: FleetView::new(card(index, zones, Duration::ZERO), Duration::ZERO),
             throttle: UpstreamThrottle::default(),
             started_at: Duration::ZERO,
-            told_at: None,
+            limited_at: None,
             zone_size: ((count + zones - 1 - index % zones) / zones) as u32,
         };
         Self {
@@ -88,31 +89,31 @@
         }
     }
 
-    fn hear(&mut self, index: usize, said: AdvertisedLimit) {
+    fn receive(&mut self, index: usize, limit: AdvertisedLimit) {
         let (now, node) = (self.now, &mut self.nodes[index]);
-        node.throttle.observe(said, now);
+        node.throttle.observe(limit, now);
         share_out(node, now);
     }
 
-    fn tell(&mut self) {
+    fn send_heartbeats(&mut self) {
         let count = self.nodes.len();
-        for teller in 0..count {
-            let node = &self.nodes[teller];
+        for sender in 0..count {
+            let node = &self.nodes[sender];
             let report: Option<LimitReport> = node.throttle.report(RUN, self.now);
             let heartbeat = NodeHeartbeat {
                 fleet_size: count as u32,
                 zone_size: node.zone_size,
                 ..NodeHeartbeat::new(node.view.own().clone())
             };
-            for listener in 0..count {
-                if listener == teller || self.random.random_bool(LOSS) {
+            for receiver in 0..count {
+                if receiver == sender || self.random.random_bool(LOSS) {
                     continue;
                 }
-                self.nodes[listener]
+                self.nodes[receiver]
                     .view
                     .receive_heartbeat(heartbeat.clone(), self.now);
                 if let Some(report) = report {
-                    self.hear(listener, report.advertised(self.now));
+                    self.receive(receiver, report.advertised(self.now));
                 }
             }
         }
@@ -127,9 +128,11 @@
             }
             node.throttle.consume(self.now);
             self.answers.push_back((self.now + ANSWER_TIME, index));
-            let is_told = node.told_at.is_some_and(|at| at + TOLD_TIME <= self.now);
-            let in_touch = node.started_at.is_zero() || node.started_at + CONTACT <= self.now;
-            if is_told && in_touch {
+            let is_limited = node
+                .limited_at
+                .is_some_and(|at| at + REPORTED_AFTER <= self.now);
+            let is_up_to_date = node.started_at.is_zero() || node.started_at + CONTACT <= self.now;
+            if is_limited && is_up_to_date {
                 self.counted.push_back(self.now);
                 self.sent += 1;
             }
@@ -150,15 +153,15 @@
                 return;
             }
             self.answers.pop_front();
-            if self.now < NAMED_AT {
+            if self.now < ADVERTISED_AT {
                 continue;
             }
-            self.nodes[index].told_at.get_or_insert(self.now);
-            let said = AdvertisedLimit {
+            self.nodes[index].limited_at.get_or_insert(self.now);
+            let limit = AdvertisedLimit {
                 per_second: Some(self.limit),
                 at: self.now,
             };
-            self.hear(index, said);
+            self.receive(index, limit);
         }
     }
 
@@ -168,17 +171,21 @@
         node.view = FleetView::new(card(index, self.zones, self.now), self.now);
         node.throttle = UpstreamThrottle::default();
         node.started_at = self.now;
-        node.told_at = None;
+        node.limited_at = None;
         self.answers.retain(|(_, other)| *other != index);
     }
 
-    fn play(&mut self) {
-        while self.now < PLAYED {
+    fn run(&mut self) {
+        while self.now < DURATION {
             self.answer();
-            if self.now.as_millis().is_multiple_of(TELL_PAUSE.as_millis()) {
-                self.tell();
+            if self
+                .now
+                .as_millis()
+                .is_multiple_of(HEARTBEAT_INTERVAL.as_millis())
+            {
+                self.send_heartbeats();
             }
-            if self.now.as_secs() / LULL.as_secs() % 2 == 1 {
+            if self.now.as_secs() / PHASE.as_secs() % 2 == 1 {
                 self.loaded += TICK;
                 self.send();
             }
@@ -204,8 +211,9 @@
     node.throttle.set_share(share, now);
 }
 
-/// Names a case: nodes, availability zones, the limit, and seeds. The upstream gets at most one and a half
-/// times its limit and five requests more, and a good part of what it takes.
+/// Each case gives the number of nodes and of availability zones, the limit, and seeds. The
+/// upstream receives at most one and a half times its limit and five more requests, and at least a
+/// good part of its limit.
 macro_rules! fleets {
     ($($name:ident: $nodes:literal, $zones:literal, $limit:literal, $seeds:expr;)*) => {$(
         #[test]
@@ -214,7 +222,7 @@
             let allowed = 1.5 * limit * WINDOW.as_secs_f64() + 5.0;
             for seed in $seeds {
                 let mut fleet = LimitedFleet::new($nodes, $zones, limit, seed);
-                fleet.play();
+                fleet.run();
                 let most = fleet.most;
                 assert!(most as f64 <= allowed, "seed {seed}: {most} requests");
                 let rate = fleet.sent as f64 / fleet.loaded.as_secs_f64();
@@ -224,7 +232,7 @@
     )*};
 }
 
-// Guards against nodes that start anew or disagree on who shares a limit and send more than it.
+// Guards against nodes that restart, or disagree on the shares of a limit, and exceed it together.
 fleets! {
     six_nodes_keep_a_limit_of_half_a_request: 6, 3, 0.5, 0..20;
     nine_nodes_keep_a_limit_of_one: 9, 4, 1.0, 0..20;
--- a/kernel/tests/gateway/main.rs
+++ b/kernel/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! Decisions of the gateway, each with the failure it is meant for.
+//! Tests of the gateway's decisions, each for the failure that it guards against.
 
 mod budget;
 mod cache;
--- a/kernel/tests/gateway/pace.rs
+++ b/kernel/tests/gateway/pace.rs
@@ -1,6 +1,8 @@
-//! Whether a call that is late already is worth sending. In a surge of long prompts each token waits
-//! for a chunk of 2,048 prompt tokens: a stream of some thirty events that takes 1 s on an idle
-//! engine takes 5 s, and a caller that comes back after a refusal has 2 to 3 s left.
+//! Tests of whether a late call is worth sending.
+//!
+//! In a surge of long prompts each token waits for a chunk of 2,048 prompt tokens: a stream of some
+//! thirty events that takes 1 s on an idle engine takes 5 s, and a caller that retries after a
+//! refusal has 2 to 3 s left.
 
 use std::time::Duration;
 
@@ -9,7 +11,8 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// The pace after so many streams of ten events each, with these times to the first and between two.
+/// The pace after this many streams of ten events each, with these times to the first event and
+/// between two.
 fn pace(streams: usize, first_ms: u32, event_ms: u32) -> StreamPace {
     let mut pace = StreamPace::default();
     for _ in 0..streams {
@@ -18,7 +21,8 @@
     pace
 }
 
-/// Names a case: what was seen, the events of a call's stream, its time left, and whether it can end.
+/// Each case gives the recorded pace, the number of events of a call's stream, its time left, and
+/// whether it can finish.
 macro_rules! ends {
     ($($name:ident: $pace:expr, $events:literal, $left_ms:literal => $ends:literal;)*) => {$(
         #[test]
@@ -30,11 +34,11 @@
 }
 
 ends! {
-    nothing_is_given_up_before_a_stream_was_seen: StreamPace::default(), 900.0, 10 => true;
+    no_call_is_given_up_before_a_stream_was_recorded: StreamPace::default(), 900.0, 10 => true;
     a_short_answer_ends_in_a_surge: pace(50, 400, 180), 8.0, 2500 => true;
     a_long_answer_does_not: pace(50, 400, 180), 30.0, 2500 => false;
     a_long_answer_ends_in_calm_times: pace(50, 150, 30), 30.0, 2500 => true;
-    the_first_event_has_to_come_too: pace(50, 400, 180), 1.0, 300 => false;
+    the_first_event_has_to_arrive_too: pace(50, 400, 180), 1.0, 300 => false;
 }
 
 #[test]
@@ -49,7 +53,7 @@
 }
 
 #[test]
-fn what_the_caller_expects_goes_before_the_most_that_may_come() {
+fn the_callers_estimate_precedes_the_maximum() {
     let mut prompt = PromptShape {
         output_tokens: 100,
         ..PromptShape::default()
--- a/kernel/tests/gateway/partition.rs
+++ b/kernel/tests/gateway/partition.rs
@@ -1,4 +1,5 @@
-//! Engines that are kept for tight streams, and the order in which nodes take what is free.
+//! Tests of the engines that are reserved for tight streams, and of the order in which nodes take
+//! free slots.
 
 use std::collections::BTreeSet;
 
@@ -15,8 +16,8 @@
     registry(&vec!["east"; count], 20)
 }
 
-fn kept(registry: &UpstreamRegistry) -> BTreeSet<UpstreamKey> {
-    let options: Vec<UpstreamCandidate> = registry
+fn reserved(registry: &UpstreamRegistry) -> BTreeSet<UpstreamKey> {
+    let candidates: Vec<UpstreamCandidate> = registry
         .usable("model")
         .map(|(key, upstream)| UpstreamCandidate {
             key,
@@ -25,7 +26,7 @@
             backed_off: upstream.health.is_backed_off(NOW),
         })
         .collect();
-    reserved_for_tight(&options)
+    reserved_for_tight(&candidates)
 }
 
 fn load(registry: &mut UpstreamRegistry, key: UpstreamKey, item: WorkItem, times: usize) {
@@ -44,83 +45,84 @@
 }
 
 /// A call of a node that knows others.
-fn among<'a>(prompt: &'a PromptShape, node: u64, rivals: &'a [u64]) -> ChoiceInput<'a> {
+fn among<'a>(prompt: &'a PromptShape, node: u64, senders: &'a [u64]) -> ChoiceInput<'a> {
     ChoiceInput {
         node,
-        senders: rivals,
+        senders,
         ..input(prompt, false)
     }
 }
 
-/// Names a case: engines of a zone, its tight streams and other calls, and how many engines are kept.
+/// Each case gives the number of a zone's engines, of its tight streams and of other calls, and the
+/// number of reserved engines.
 ///
-/// The pattern: a calm zone of many engines, on whose one kept engine all tight streams ran, each at
-/// half the speed that the idle engines beside it had given.
-macro_rules! spread_cases {
-    ($($name:ident: $engines:expr, $streams:expr, $others:expr => $kept:expr;)*) => {
+/// Guards against an idle zone of many engines that runs all tight streams on the one reserved
+/// engine, at half the speed that idle engines would give each.
+macro_rules! load_cases {
+    ($($name:ident: $engines:expr, $streams:expr, $others:expr => $reserved:expr;)*) => {
         $(#[test]
         fn $name() {
             let mut registry = engines($engines);
             streams(&mut registry, $streams);
             let key = registry.key("i-1").expect("known");
             load(&mut registry, key, WorkItem::default(), $others);
-            assert_eq!(kept(&registry).len(), $kept);
+            assert_eq!(reserved(&registry).len(), $reserved);
         })*
     };
 }
 
-spread_cases! {
-    idle_engines_are_shared_out_by_what_there_is: 32, 17, 30 => 8;
-    streams_alone_leave_one_engine_for_the_rest: 32, 17, 0 => 31;
-    when_all_are_needed_streams_get_what_they_fill: 32, 102, 600 => 6;
-    a_few_streams_beside_many_calls_keep_one: 32, 1, 300 => 1;
+load_cases! {
+    idle_engines_are_divided_by_load: 32, 17, 30 => 8;
+    streams_alone_leave_one_engine_unreserved: 32, 17, 0 => 31;
+    when_all_are_needed_streams_get_as_many_as_they_fill: 32, 102, 600 => 6;
+    a_few_streams_beside_many_calls_reserve_one: 32, 1, 300 => 1;
 }
 
-macro_rules! kept_cases {
-    ($($name:ident: $engines:expr, $streams:expr => $kept:expr;)*) => {
+macro_rules! reserved_cases {
+    ($($name:ident: $engines:expr, $streams:expr => $reserved:expr;)*) => {
         $(#[test]
         fn $name() {
             let mut registry = engines($engines);
             streams(&mut registry, $streams);
-            assert_eq!(kept(&registry).len(), $kept);
+            assert_eq!(reserved(&registry).len(), $reserved);
         })*
     };
 }
 
-kept_cases! {
+reserved_cases! {
     a_single_engine_is_for_all: 1, 5 => 0;
-    one_is_kept_before_any_stream_comes: 4, 0 => 1;
-    as_many_are_kept_as_streams_fill: 4, 40 => 3;
-    one_always_stays_for_the_rest: 4, 500 => 3;
+    one_is_reserved_before_any_stream_arrives: 4, 0 => 1;
+    as_many_are_reserved_as_streams_fill: 4, 40 => 3;
+    one_always_stays_unreserved: 4, 500 => 3;
 }
 
 #[test]
-fn an_engine_that_rests_is_not_counted_on() {
+fn a_backed_off_engine_is_not_reserved() {
     let mut registry = engines(4);
-    let key = *kept(&registry).first().expect("one");
+    let key = *reserved(&registry).first().expect("one");
     registry.get_mut(key).expect("known").health.unanswered(NOW);
-    let now_kept = kept(&registry);
-    assert_eq!(now_kept.len(), 1);
-    assert!(!now_kept.contains(&key));
+    let now_reserved = reserved(&registry);
+    assert_eq!(now_reserved.len(), 1);
+    assert!(!now_reserved.contains(&key));
 }
 
 #[test]
-fn tight_streams_go_to_the_kept_and_long_prompts_elsewhere() {
+fn tight_streams_go_to_reserved_engines_and_long_prompts_elsewhere() {
     let registry = engines(4);
-    let kept = kept(&registry);
+    let reserved = reserved(&registry);
     let (short, long) = (bulk(600), bulk(6000));
     let tight = choose(&registry, &input(&short, true)).expect("a choice");
     let loose = choose(&registry, &input(&long, false)).expect("a choice");
-    assert!(kept.contains(&tight.key) && !kept.contains(&loose.key));
+    assert!(reserved.contains(&tight.key) && !reserved.contains(&loose.key));
 }
 
 #[test]
-fn a_long_prompt_waits_rather_than_stretch_the_kept_streams() {
+fn a_long_prompt_waits_rather_than_delay_tight_streams() {
     let mut registry = engines(2);
-    let kept_key = *kept(&registry).first().expect("one");
+    let reserved_key = *reserved(&registry).first().expect("one");
     let keys: Vec<UpstreamKey> = registry.usable("model").map(|(key, _)| key).collect();
     for key in keys {
-        let tight = key == kept_key;
+        let tight = key == reserved_key;
         let item = WorkItem {
             tight,
             ..WorkItem::default()
@@ -136,17 +138,17 @@
 fn the_last_free_slot_is_for_one_node() {
     let mut registry = engines(1);
     let key = registry.key("i-0").expect("known");
-    // 19 of 20 slots are given out.
+    // 19 of 20 slots may be used.
     load(&mut registry, key, WorkItem::default(), 18);
     let nodes: Vec<u64> = (0..12).collect();
     let prompt = bulk(600);
     let takers = nodes.iter().filter(|node| {
-        let rivals: Vec<u64> = nodes
+        let senders: Vec<u64> = nodes
             .iter()
             .copied()
             .filter(|other| other != *node)
             .collect();
-        choose(&registry, &among(&prompt, **node, &rivals)).is_some()
+        choose(&registry, &among(&prompt, **node, &senders)).is_some()
     });
     assert_eq!(takers.count(), 1);
 }
@@ -167,14 +169,14 @@
     let prompt = bulk(600);
     let mut sent = 0;
     for node in &nodes {
-        let rivals: Vec<u64> = nodes
+        let senders: Vec<u64> = nodes
             .iter()
             .copied()
             .filter(|other| other != node)
             .collect();
         let mut registry = engines(1);
         let key = registry.key("i-0").expect("known");
-        while choose(&registry, &among(&prompt, *node, &rivals)).is_some() {
+        while choose(&registry, &among(&prompt, *node, &senders)).is_some() {
             let load = &mut registry.get_mut(key).expect("known").load;
             load.begin(WorkItem::default());
             load.sent(NOW);
--- a/kernel/tests/gateway/registry.rs
+++ b/kernel/tests/gateway/registry.rs
@@ -1,4 +1,4 @@
-//! What is believed of upstreams when entries come, go, lapse and return.
+//! Tests of the registry as entries are added, removed, expire and return.
 
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_removal_in_good_times_counts_at_once() {
+fn a_trusted_removal_applies_at_once() {
     let mut registry = UpstreamRegistry::default();
     put(&mut registry, "a", 1, false);
     registry.apply(RegistryChange::Removed("a".into()), true, START);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_removal_in_doubt_waits_for_the_return() {
+fn an_untrusted_removal_applies_after_the_grace_period() {
     let mut registry = UpstreamRegistry::default();
     put(&mut registry, "a", 1, false);
     put(&mut registry, "b", 2, false);
@@ -84,7 +84,7 @@
     assert_eq!(
         usable(&registry),
         ["a", "b"],
-        "an entry that is back after all counts"
+        "an entry that returns later counts"
     );
 }
 
@@ -98,11 +98,11 @@
     assert_eq!(
         usable(&registry),
         ["new"],
-        "a late heartbeat of the old changes nothing"
+        "a late heartbeat of the old run changes nothing"
     );
 }
 
-/// A run of upstream `a` at port 1.
+/// An entry of a run of upstream `a` at port 1.
 fn born(at: u64, leaving: bool) -> RegistryChange {
     RegistryChange::Put(UpstreamEntry {
         born: Some(at),
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_new_run_under_the_same_id_knows_nothing_of_before() {
+fn a_new_run_under_the_same_id_has_no_state_of_the_old_one() {
     let mut registry = UpstreamRegistry::default();
     registry.apply(born(100, false), true, START);
     let old = registry.key("a").expect("known");
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_new_run_under_the_id_of_one_that_drained_takes_work() {
+fn a_new_run_under_the_id_of_a_drained_one_accepts_calls() {
     let mut registry = UpstreamRegistry::default();
     registry.apply(born(100, true), true, START);
     assert!(usable(&registry).is_empty());
@@ -163,17 +163,17 @@
 
 #[test]
 fn a_departure_of_the_older_run_does_not_end_the_newer() {
-    let (mut teller, mut hearer) = (UpstreamRegistry::default(), UpstreamRegistry::default());
-    teller.apply(born(100, true), true, SECOND);
-    hearer.apply(born(100, false), true, SECOND);
-    hearer.apply(born(200, false), true, SECOND);
-    for hash in teller.departures(SECOND) {
-        assert!(hearer.receive_departure(hash, SECOND).is_none());
+    let (mut sender, mut receiver) = (UpstreamRegistry::default(), UpstreamRegistry::default());
+    sender.apply(born(100, true), true, SECOND);
+    receiver.apply(born(100, false), true, SECOND);
+    receiver.apply(born(200, false), true, SECOND);
+    for hash in sender.departures(SECOND) {
+        assert!(receiver.receive_departure(hash, SECOND).is_none());
     }
-    assert_eq!(usable(&hearer), ["a"]);
-    assert_ne!(teller.digest(), hearer.digest());
-    teller.apply(born(200, false), true, SECOND);
-    assert_eq!(teller.digest(), hearer.digest());
+    assert_eq!(usable(&receiver), ["a"]);
+    assert_ne!(sender.digest(), receiver.digest());
+    sender.apply(born(200, false), true, SECOND);
+    assert_eq!(sender.digest(), receiver.digest());
 }
 
 #[test]
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn digests_agree_for_the_same_knowledge_in_any_order() {
+fn digests_agree_for_the_same_entries_in_any_order() {
     let (mut one, mut other) = (UpstreamRegistry::default(), UpstreamRegistry::default());
     put(&mut one, "a", 1, false);
     put(&mut one, "b", 2, true);
@@ -201,24 +201,30 @@
 }
 
 #[test]
-fn a_departure_is_told_for_a_while_and_taken_from_others() {
-    let mut teller = UpstreamRegistry::default();
-    let mut hearer = UpstreamRegistry::default();
-    for registry in [&mut teller, &mut hearer] {
+fn a_departure_is_reported_for_a_while_and_applied_by_others() {
+    let mut sender = UpstreamRegistry::default();
+    let mut receiver = UpstreamRegistry::default();
+    for registry in [&mut sender, &mut receiver] {
         registry.apply(RegistryChange::Put(entry("i-1", 1, false)), true, SECOND);
     }
-    assert!(teller.departures(SECOND).is_empty());
-    teller.apply(RegistryChange::Put(entry("i-1", 1, true)), true, SECOND * 2);
-    let told = teller.departures(SECOND * 2);
-    assert_eq!(told.len(), 1);
-    assert!(teller.departures(SECOND * 4).is_empty());
-    assert!(hearer.receive_departure(told[0], SECOND * 2).is_some());
+    assert!(sender.departures(SECOND).is_empty());
+    sender.apply(RegistryChange::Put(entry("i-1", 1, true)), true, SECOND * 2);
+    let reported = sender.departures(SECOND * 2);
+    assert_eq!(reported.len(), 1);
+    assert!(sender.departures(SECOND * 4).is_empty());
     assert!(
-        hearer.receive_departure(told[0], SECOND * 2).is_none(),
-        "no news"
+        receiver
+            .receive_departure(reported[0], SECOND * 2)
+            .is_some()
     );
-    assert_eq!(hearer.usable("model").count(), 0);
-    assert_eq!(hearer.digest(), teller.digest());
+    assert!(
+        receiver
+            .receive_departure(reported[0], SECOND * 2)
+            .is_none(),
+        "not a change"
+    );
+    assert_eq!(receiver.usable("model").count(), 0);
+    assert_eq!(receiver.digest(), sender.digest());
 }
 
 #[test]
@@ -229,7 +235,8 @@
     assert!(registry.departures(SECOND).is_empty());
 }
 
-// Guards against an upstream whose answers say that it leaves, and whose entry still says that it is ready.
+// Guards against an upstream that announced in an answer that it leaves, while its entry is still
+// marked as ready.
 #[test]
 fn an_announced_departure_sticks_whatever_the_entry_says() {
     let mut registry = UpstreamRegistry::default();
@@ -242,7 +249,7 @@
     assert_eq!(registry.departures(SECOND).len(), 1);
 }
 
-// Guards against a lapsed entry that comes back after its upstream has announced that it leaves.
+// Guards against a lapsed entry that returns after its upstream announced that it leaves.
 #[test]
 fn an_announced_departure_outlasts_a_lapse() {
     for announced_first in [true, false] {
@@ -263,7 +270,7 @@
     }
 }
 
-// Guards against a new run under an old id that gets no calls, as the run before it left.
+// Guards against a new run under an old id that gets no calls because the previous run left.
 #[test]
 fn a_new_run_has_not_left() {
     let mut registry = UpstreamRegistry::default();
@@ -278,7 +285,7 @@
     assert_eq!(usable(&registry), ["a"]);
 }
 
-// Guards against a digest that stays behind what it stands for, so that nodes never learn what they lack.
+// Guards against a stale digest, with which nodes never learn that they lack changes.
 #[test]
 fn the_digest_follows_every_change() {
     let mut registry = UpstreamRegistry::default();
@@ -313,14 +320,14 @@
     differs(&registry, "lapsed");
 }
 
-/// The ids that a node sends to another one that knows less or something else.
+/// Number of entries that a node sends to another one with fewer or different ones.
 fn sent(from: &UpstreamRegistry, to: &UpstreamRegistry) -> usize {
     from.differing(&to.bucket_digests()).count()
 }
 
-// Guards against a registry that is passed on whole whenever one upstream comes or leaves.
+// Guards against sending the whole registry whenever one upstream is added or leaves.
 #[test]
-fn nodes_pass_on_the_upstreams_that_they_know_differently() {
+fn nodes_send_only_upstreams_that_differ() {
     const COUNT: u16 = 3_000;
     let mut full = UpstreamRegistry::default();
     for port in 1..=COUNT {
--- a/kernel/tests/gateway/rules.rs
+++ b/kernel/tests/gateway/rules.rs
@@ -1,4 +1,4 @@
-//! Which rule a call falls under, and its rank.
+//! Tests of the rule that matches a call, and of its tier.
 
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
     RuleTable::new(1, bounds, rules, Vec::new())
 }
 
-/// Names a case: a host and a path, and the rule that matches first.
+/// Each case gives a host and a path, and the matching rule.
 macro_rules! matches {
     ($($name:ident: $host:literal, $path:literal => $rule:expr;)*) => {$(
         #[test]
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_workspaces_rank_goes_before_the_rules() {
+fn a_workspaces_tier_precedes_the_rules() {
     let table = table(vec![
         rule("urgent", "/u/", 0, None),
         rule("bulk", "/b/", 2, None),
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn only_the_shortest_pauses_are_tight() {
+fn only_the_shortest_gaps_are_tight() {
     let table = table(vec![
         rule("chat", "/c/", 0, Some(250)),
         rule("digest", "/d/", 2, Some(1000)),
--- a/kernel/tests/gateway/scaling.rs
+++ b/kernel/tests/gateway/scaling.rs
@@ -1,5 +1,5 @@
-//! Engines ordered: spot ones take the place of firm ones before there is load, a zone's loss is made up
-//! for in others, a surge adds engines.
+//! Tests of ordering engines: spot engines replace firm ones before there is load, other zones
+//! replace those of a lost zone, and a surge adds engines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,14 +22,14 @@
     }
 }
 
-/// A platform that starts and ends engines as ordered.
+/// A platform that starts and stops engines as ordered.
 struct EngineWorld {
     spec: ScalingSpec,
     scaling: PoolScaling,
     zones: BTreeMap<Box<str>, ZoneEngines>,
     starting: Vec<(Duration, Box<str>, u32)>,
-    /// Zones in which no spot engines are to be had.
-    dry: Vec<&'static str>,
+    /// Zones in which no spot engines are available.
+    unavailable: Vec<&'static str>,
     load: PoolLoad,
     orders: Vec<(Duration, EngineOrder)>,
     fewest: u32,
@@ -45,7 +45,7 @@
             scaling: PoolScaling::default(),
             zones: zones.into(),
             starting: Vec::new(),
-            dry: Vec::new(),
+            unavailable: Vec::new(),
             load: PoolLoad::default(),
             orders: Vec::new(),
             fewest: u32::MAX,
@@ -61,9 +61,9 @@
         self.zones[zone]
     }
 
-    /// Takes a zone's spot engines away for good.
+    /// Reclaims a zone's spot engines for good.
     fn reclaim(&mut self, zone: &'static str) {
-        self.dry.push(zone);
+        self.unavailable.push(zone);
         if let Some(engines) = self.zones.get_mut(zone) {
             engines.spot = 0;
         }
@@ -97,9 +97,9 @@
 
     fn order(&mut self, order: EngineOrder) {
         self.orders.push((self.now, order.clone()));
-        let is_dry = self.dry.iter().any(|zone| **zone == *order.zone);
+        let is_unavailable = self.unavailable.iter().any(|zone| **zone == *order.zone);
         let is_spot = order.kind == EngineKind::Spot;
-        let outcome = if is_dry && is_spot {
+        let outcome = if is_unavailable && is_spot {
             OrderOutcome::Unavailable
         } else {
             OrderOutcome::Accepted
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn spot_engines_take_the_place_of_firm_ones_without_ever_having_too_few() {
+fn spot_engines_replace_firm_ones_and_capacity_never_falls_short() {
     let mut world = EngineWorld::new(Some(0.22), 20);
     world.run(20);
     assert_eq!(world.fewest, 60);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn nothing_more_is_ordered_once_all_is_there() {
+fn nothing_more_is_ordered_once_all_engines_are_present() {
     let mut world = EngineWorld::new(Some(0.22), 20);
     world.run(20);
     let orders = world.orders.len();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn the_loss_of_a_zone_is_made_up_for_in_the_others() {
+fn other_zones_replace_the_engines_of_a_lost_zone() {
     let mut world = EngineWorld::new(Some(0.22), 12);
     world.run(20);
     world.reclaim("west");
@@ -153,7 +153,7 @@
     assert_eq!(world.zone("east").total(), 36);
     assert_eq!(world.zone("north").total(), 36);
     assert!(world.fewest >= 36);
-    world.dry.clear();
+    world.unavailable.clear();
     world.run(8);
     assert_eq!(world.zone("west").spot, 23);
 }
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_holder_that_follows_another_goes_on_with_what_that_decided() {
+fn a_new_holder_continues_with_its_predecessors_decision() {
     let mut world = EngineWorld::new(Some(0.22), 12);
     world.run(20);
     world.reclaim("west");
@@ -226,20 +226,20 @@
 }
 
 #[test]
-fn firm_engines_come_back_when_more_spot_engines_are_lost_than_others_make_up_for() {
+fn firm_engines_return_when_other_zones_cannot_replace_lost_spot_engines() {
     let mut world = EngineWorld::new(Some(0.22), 20);
     world.run(20);
     world.reclaim("west");
     world.reclaim("north");
     world.run(8);
     assert!(world.present() >= 60, "{}", world.present());
-    world.dry.clear();
+    world.unavailable.clear();
     world.run(30);
     assert_eq!(world.zone("west"), ZoneEngines { firm: 1, spot: 39 });
 }
 
 #[test]
-fn firm_engines_stand_in_for_a_lost_zone_in_a_surge_and_leave_after_it() {
+fn firm_engines_replace_a_lost_zone_in_a_surge_and_stop_after_it() {
     let mut world = EngineWorld::new(Some(0.22), 20);
     world.run(20);
     world.load = PoolLoad {
@@ -251,7 +251,7 @@
     world.reclaim("west");
     world.run(4);
     assert_eq!(world.zone("west"), ZoneEngines { firm: 20, spot: 0 });
-    world.dry.clear();
+    world.unavailable.clear();
     world.load = PoolLoad::default();
     world.run(30);
     assert_eq!(world.zone("west"), ZoneEngines { firm: 1, spot: 39 });
@@ -270,5 +270,5 @@
 
 left_alone! {
     zones_with_more_engines_than_may_be_ordered: 41;
-    a_pool_so_large_that_its_registry_would_never_rest: 400;
+    a_pool_above_the_size_limit: 400;
 }
--- a/kernel/tests/gateway/surge.rs
+++ b/kernel/tests/gateway/surge.rs
@@ -1,10 +1,10 @@
-//! A surge of long prompts over several nodes that share engines and know of each other by heartbeats.
+//! Simulates a surge of long prompts over several nodes that share engines and exchange heartbeats.
 //!
-//! The pattern: twice as many calls as the engines can read, each with thousands of unread prompt
-//! tokens and wanted within 500 ms. Engines read 60 tokens in a ms in chunks of
-//! 2,048 and make one token of each running call a step, as the large deployments' engines do. Slots
-//! alone do not bound what waits to be read, so without a bound every first token is late; without
-//! fresh heartbeats nodes either fill engines over their slots or leave them idle.
+//! Twice as many calls arrive as the engines can prefill, each with thousands of unread prompt
+//! tokens and a target of 500 ms. Engines prefill 60 tokens per ms in chunks of 2,048 and generate
+//! one token of each running call per step. Without a limit on pending prefill every first token is
+//! late, as slots do not limit it; without fresh heartbeats nodes overfill engines or leave them
+//! idle.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -22,11 +22,11 @@
 const TARGET: Duration = Duration::from_millis(500);
 const CHUNK: u32 = 2048;
 const LENGTH_MS: u64 = 6000;
-/// Time for which a call waits for room before it is refused: none, so that what is late is late at
-/// its engine.
-const PATIENCE_MS: u64 = 1;
+/// Time for which a call waits for capacity before it is refused: none, so that any delay arises at
+/// the engine.
+const TIMEOUT_MS: u64 = 1;
 
-/// What the calls of a surge are like.
+/// Size of a surge's calls.
 #[derive(Clone, Copy)]
 struct SurgeKind {
     prompt: u32,
@@ -34,8 +34,8 @@
 }
 
 impl SurgeKind {
-    /// Calls that all engines can read in a second: 60,000 tokens each.
-    fn readable_per_s(self) -> u64 {
+    /// Number of calls that all engines can prefill in a second, with 60,000 tokens each.
+    fn prefillable_per_s(self) -> u64 {
         ENGINES as u64 * 60_000 / u64::from(self.prompt)
     }
 
@@ -56,7 +56,7 @@
     left: u32,
 }
 
-/// One engine: what it runs, what waits in its queue, and when its present step ends.
+/// One engine: its running and queued calls, and the end of its current step.
 #[derive(Default)]
 struct EngineModel {
     running: Vec<RunningCall>,
@@ -64,7 +64,7 @@
     step_ends_ms: u64,
 }
 
-/// What came of the surge.
+/// Result of a surge.
 #[derive(Debug, Default)]
 struct SurgeOutcome {
     ended: u64,
@@ -95,16 +95,16 @@
         }
     }
 
-    /// Sends the node's newest waiting calls while there is room.
+    /// Sends the node's waiting calls while there is capacity.
     fn send(&mut self, node: usize, prompt: &PromptShape, now_ms: u64) {
-        self.waiting[node].retain(|came| came + PATIENCE_MS > now_ms);
-        let rivals: Vec<u64> = (0..NODES as u64)
-            .filter(|rival| *rival != node as u64)
+        self.waiting[node].retain(|came| came + TIMEOUT_MS > now_ms);
+        let senders: Vec<u64> = (0..NODES as u64)
+            .filter(|sender| *sender != node as u64)
             .collect();
         while let Some(came_ms) = self.waiting[node].front().copied() {
             let call = ChoiceInput {
                 node: node as u64,
-                senders: &rivals,
+                senders: &senders,
                 target: TARGET,
                 tier: 1,
                 now: Duration::from_millis(now_ms),
@@ -173,20 +173,20 @@
         engine.step_ends_ms = now_ms + 6 + u64::from(CHUNK - chunk) / 60;
     }
 
-    /// Each node hears what all others have where.
-    fn exchange_words(&mut self, now_ms: u64) {
+    /// Delivers each node's work to all others.
+    fn exchange_heartbeats(&mut self, now_ms: u64) {
         for key in &self.keys {
             let counts: Vec<WorkCount> = self
                 .nodes
                 .iter()
                 .map(|node| node.get(*key).expect("known").load.own())
                 .collect();
-            for (hearer, node) in self.nodes.iter_mut().enumerate() {
+            for (receiver, node) in self.nodes.iter_mut().enumerate() {
                 let load = &mut node.get_mut(*key).expect("known").load;
-                for (speaker, count) in counts.iter().enumerate() {
-                    if speaker != hearer {
+                for (sender, count) in counts.iter().enumerate() {
+                    if sender != receiver {
                         let now = Duration::from_millis(now_ms);
-                        load.receive_report(&format!("n{speaker}"), *count, now);
+                        load.receive_report(&format!("n{sender}"), *count, now);
                     }
                 }
             }
@@ -194,19 +194,19 @@
     }
 }
 
-/// Plays a surge of twice the calls that can be read, with a pause between heartbeats.
-fn play(kind: SurgeKind, word_pause_ms: u64) -> SurgeOutcome {
+/// Runs a surge of twice the calls that can be prefilled, with an interval between heartbeats.
+fn run(kind: SurgeKind, heartbeat_ms: u64) -> SurgeOutcome {
     let mut model = SurgeModel::new(kind);
     let prompt = bulk(kind.prompt);
     let mut arrived = 0;
     for now_ms in 0..LENGTH_MS {
-        while arrived * 1000 < now_ms * kind.readable_per_s() * 2 {
+        while arrived * 1000 < now_ms * kind.prefillable_per_s() * 2 {
             // A stride that visits all nodes and is not in step with heartbeats.
             model.waiting[(arrived * 5 % 7) as usize % NODES].push_back(now_ms);
             arrived += 1;
         }
-        if now_ms % word_pause_ms == 0 {
-            model.exchange_words(now_ms);
+        if now_ms % heartbeat_ms == 0 {
+            model.exchange_heartbeats(now_ms);
         }
         for node in 0..NODES {
             model.send(node, &prompt, now_ms);
@@ -218,18 +218,18 @@
     model.outcome
 }
 
-/// Names a case: the calls, and least percentages of what can be read that ends, and of that which is
-/// in time.
+/// Each case gives the calls, the least percentage of the calls that can be prefilled that has to
+/// end, and the least percentage of those that has to meet the target.
 macro_rules! surges {
     ($($name:ident: $kind:expr => $ended:literal, $in_time:literal;)*) => {$(
         #[test]
         fn $name() {
             let kind = $kind;
-            let outcome = play(kind, 50);
-            let readable = kind.readable_per_s() * LENGTH_MS / 1000;
-            assert!(outcome.ended * 100 > readable * $ended, "{outcome:?} of {readable}");
+            let outcome = run(kind, 50);
+            let prefillable = kind.prefillable_per_s() * LENGTH_MS / 1000;
+            assert!(outcome.ended * 100 > prefillable * $ended, "{outcome:?} of {prefillable}");
             assert!(outcome.in_time * 100 > outcome.ended * $in_time, "{outcome:?}");
-            // Some more wait a moment in the engine's own queue: heartbeats are 50 ms old.
+            // Some more wait briefly in the engine's own queue, since heartbeats are 50 ms old.
             let most = (SLOTS + SLOTS / 8) as usize;
             assert!(outcome.most_at_engine <= most, "{outcome:?}");
         }
@@ -237,8 +237,8 @@
 }
 
 surges! {
-    // Slots bind: each call holds one for some 1.5 s.
+    // Slots are the limit: each call occupies one for some 1.5 s.
     answers_of_some_length: SurgeKind { prompt: 3000, output: 50 } => 58, 90;
-    // Prompts bind: all slots' prompts take 3.6 s to be read.
+    // Prefill is the limit: the prompts of all slots take 3.6 s.
     long_prompts_with_short_answers: SurgeKind { prompt: 9000, output: 5 } => 70, 45;
 }
--- a/kernel/tests/gateway/throttle.rs
+++ b/kernel/tests/gateway/throttle.rs
@@ -1,4 +1,4 @@
-//! Limits that upstreams name: who may send what, in fleets of all sizes.
+//! Tests of limits that upstreams advertise: shares of nodes in fleets of all sizes.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 
 const MS: Duration = Duration::from_millis(1);
 const S: Duration = Duration::from_secs(1);
-/// Time in which an upstream counts its requests.
+/// Window in which an upstream counts its requests.
 const WINDOW_S: f64 = 4.0;
 
-fn named(per_second: Option<f64>, at: Duration) -> AdvertisedLimit {
+fn advertised(per_second: Option<f64>, at: Duration) -> AdvertisedLimit {
     AdvertisedLimit { per_second, at }
 }
 
 fn throttled(per_second: f64, share: LimitShare) -> UpstreamThrottle {
     let mut throttle = UpstreamThrottle::default();
-    assert!(throttle.observe(named(Some(per_second), S), S));
+    assert!(throttle.observe(advertised(Some(per_second), S), S));
     throttle.set_share(share, S);
     throttle
 }
@@ -36,13 +36,14 @@
     }
 }
 
-/// The views of all nodes of a fleet in which each has heard its own zone and three of each other.
+/// Views of all nodes of a fleet in which each has received heartbeats of its own zone and of three
+/// nodes of each other zone.
 fn fleet(nodes: usize, zones: usize) -> Vec<FleetView> {
     let views = (0..nodes).map(|own| {
         let mut view = FleetView::new(card(own, zones), S);
         let is_hub = |other: usize| other / zones < 3;
-        let heard = (0..nodes).filter(|other| other % zones == own % zones || is_hub(*other));
-        for other in heard {
+        let received = (0..nodes).filter(|other| other % zones == own % zones || is_hub(*other));
+        for other in received {
             let zone_size = (nodes + zones - 1 - other % zones) / zones;
             let heartbeat = NodeHeartbeat {
                 fleet_size: nodes as u32,
@@ -67,8 +68,8 @@
     shares.collect()
 }
 
-/// Names a case: nodes, availability zones, and the limit. All nodes together keep within it, with room
-/// to spare for two that disagree, and use most of it.
+/// Each case gives the number of nodes and of availability zones, and the limit. All nodes together
+/// keep within it, with a margin for two that disagree, and use most of it.
 macro_rules! fleets {
     ($($name:ident: $nodes:literal, $zones:literal, $limit:literal;)*) => {$(
         #[test]
@@ -85,7 +86,7 @@
     )*};
 }
 
-// Guards against each node that takes a limit, or one request at once, for itself alone.
+// Guards against nodes that each use a whole limit, or one request at once, for themselves.
 fleets! {
     one_node: 1, 1, 1.0;
     six_nodes_share_half_a_request: 6, 3, 0.5;
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_small_limit_is_its_own_zones() {
+fn a_small_limit_is_used_only_in_the_upstreams_zone() {
     let shares = shares(&fleet(295, 5), 1.0);
     let senders = shares
         .iter()
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn a_pause_saves_up_no_more_than_a_burst() {
+fn an_idle_time_accumulates_no_more_than_a_burst() {
     let share = LimitShare {
         per_second: 2.0,
         burst: 1.0,
@@ -157,7 +158,7 @@
 }
 
 #[test]
-fn a_node_that_loses_its_share_keeps_nothing() {
+fn a_node_that_loses_its_share_keeps_no_tokens() {
     let share = LimitShare {
         per_second: 2.0,
         burst: 1.0,
@@ -170,31 +171,31 @@
 }
 
 #[test]
-fn an_answer_that_was_overtaken_does_not_end_a_limit() {
+fn a_reordered_answer_does_not_end_a_limit() {
     let mut throttle = throttled(1.0, LimitShare::default());
-    assert!(!throttle.observe(named(None, S + MS * 199), S + MS * 199));
+    assert!(!throttle.observe(advertised(None, S + MS * 199), S + MS * 199));
     assert_eq!(throttle.limit(), Some(1.0));
-    assert!(throttle.observe(named(None, S + MS * 200), S + MS * 200));
+    assert!(throttle.observe(advertised(None, S + MS * 200), S + MS * 200));
     assert!(throttle.is_open(S + MS * 200));
 }
 
 #[test]
-fn what_another_node_heard_before_changes_nothing() {
+fn an_older_report_of_another_node_changes_nothing() {
     let mut throttle = throttled(1.0, LimitShare::default());
-    assert!(throttle.observe(named(Some(3.0), S * 2), S * 2));
-    assert!(!throttle.observe(named(Some(1.0), S + MS * 900), S * 3));
+    assert!(throttle.observe(advertised(Some(3.0), S * 2), S * 2));
+    assert!(!throttle.observe(advertised(Some(1.0), S + MS * 900), S * 3));
     assert_eq!(throttle.limit(), Some(3.0));
 }
 
 #[test]
-fn what_an_upstream_said_is_told_for_a_while() {
+fn an_advertised_limit_is_reported_for_a_while() {
     let throttle = throttled(1.5, LimitShare::default());
     let report = throttle.report(7, S + MS * 300).expect("a report");
     assert_eq!(
         (report.run, report.per_second, report.age_ms),
         (7, Some(1.5), 300)
     );
-    assert_eq!(report.advertised(S * 5), named(Some(1.5), MS * 4700));
+    assert_eq!(report.advertised(S * 5), advertised(Some(1.5), MS * 4700));
     assert!(throttle.report(7, S * 3).is_none());
     assert!(UpstreamThrottle::default().report(7, S).is_none());
 }
--- a/kernel/tests/gateway/transfers.rs
+++ b/kernel/tests/gateway/transfers.rs
@@ -1,4 +1,4 @@
-//! Large answers to other nodes, a few at a time.
+//! Tests of the limit on large responses to other nodes.
 
 use std::time::Duration;
 
@@ -10,9 +10,10 @@
     std::iter::from_fn(|| list.begin(now)).collect()
 }
 
-// Guards against so many answers at once that each comes too slowly to be waited for.
+// Guards against so many concurrent responses that each arrives too slowly and its receiver gives
+// up.
 #[test]
-fn answers_begin_as_others_end() {
+fn responses_start_as_others_end() {
     let mut list = TransferList::default();
     let begun = begin_all(&mut list, S);
     assert_eq!(begun.len(), 8);
@@ -21,9 +22,9 @@
     assert_eq!(begin_all(&mut list, S).len(), 1);
 }
 
-// Guards against frozen nodes that take no answer and keep all others from theirs for good.
+// Guards against frozen nodes whose responses block those to all others for good.
 #[test]
-fn answers_that_nobody_takes_no_longer_count() {
+fn responses_that_are_not_received_no_longer_count() {
     let mut list = TransferList::default();
     let stuck = begin_all(&mut list, S);
     assert!(begin_all(&mut list, S * 10).is_empty());
--- a/kernel/tests/gateway/usage.rs
+++ b/kernel/tests/gateway/usage.rs
@@ -1,4 +1,5 @@
-//! Counts of calls by workspace: what nodes report, when a window is final, and what is reported.
+//! Tests of the counts of calls by workspace: reports of nodes, the time at which a window is
+//! final, and reports to the platform.
 
 use std::time::Duration;
 
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn reports_that_are_doubled_or_overtaken_change_nothing() {
+fn duplicate_and_reordered_reports_change_nothing() {
     let mut ledger = ledger();
     ledger.merge(7, report(WINDOW, 5), at(504.0));
     ledger.merge(7, report(WINDOW, 3), at(504.1));
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn a_written_window_is_never_counted_anew() {
+fn a_written_window_is_never_counted_again() {
     let (mut ledger, mut reports) = (ledger(), reports());
     let read = FinalWindow {
         window: WINDOW,
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn a_new_holder_listens_before_it_writes() {
+fn a_new_holder_collects_reports_before_it_writes() {
     let (ledger, reports) = (ledger(), reports());
     let new = ReportMoment {
         held_since: at(506.0),
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn windows_far_from_now_are_not_kept() {
+fn windows_far_from_now_are_not_retained() {
     let mut ledger = UsageLedger::new(LENGTH);
     ledger.merge(7, report(WINDOW + 2, 5), at(504.0));
     ledger.merge(7, report(WINDOW - 7, 5), at(504.0));
--- a/kernel/tests/gateway/waiting.rs
+++ b/kernel/tests/gateway/waiting.rs
@@ -1,4 +1,4 @@
-//! The order of calls that wait.
+//! Tests of the order of waiting calls.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn the_most_urgent_goes_first_then_the_earliest_deadline_then_the_first_come() {
+fn the_most_urgent_goes_first_then_the_earliest_deadline_then_the_first_arrival() {
     let mut list = WaitList::default();
     let late = list.join("model", 3, SECOND, SECOND);
     let patient = list.join("model", 1, SECOND, SECOND * 9);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn calls_that_can_be_in_time_go_before_those_that_are_late_already() {
+fn calls_that_can_be_in_time_go_before_late_ones() {
     let mut list = WaitList::default();
     let old = list.join("model", 1, SECOND, SECOND * 9);
     let new = list.join("model", 1, SECOND * 3, SECOND * 12);
