--- a/daemon/src/gateway/caches.rs
+++ b/daemon/src/gateway/caches.rs
@@ -113,7 +113,7 @@
     };
     let now = gateway.now();
     for part in &parts {
-        upstream.load.record_part_read(part.id, now);
+        upstream.load.record_part_prefilled(part.id, now);
     }
     gateway.decisions.line(&Decision::CacheListed {
         upstream: &upstream.entry.id,
--- a/daemon/src/gateway/relay.rs
+++ b/daemon/src/gateway/relay.rs
@@ -353,7 +353,7 @@
         upstream: &id,
         attempt: trail.history.sends,
         cost: choice.cost as i64,
-        unread: choice.unread_tokens,
+        unread: choice.prefill_tokens,
         shared: call.head.prompt.shared_tokens(),
         known: choice.known_tokens,
         kept: choice.cached_tokens,
--- a/daemon/src/gateway/work.rs
+++ b/daemon/src/gateway/work.rs
@@ -27,7 +27,7 @@
         let now = gateway.now();
         let prompt = &call.head.prompt;
         let item = WorkItem {
-            unread_tokens: choice.unread_tokens,
+            prefill_tokens: choice.prefill_tokens,
             held_tokens: prompt.prompt_tokens + prompt.output_tokens,
             tight: call.tight,
         };
@@ -65,16 +65,16 @@
         let now = self.gateway.now();
         if let Some(upstream) = self.gateway.registry.borrow_mut().get_mut(self.key) {
             for part in self.call.head.prompt.shared_parts() {
-                upstream.load.record_part_read(part.id, now);
+                upstream.load.record_part_prefilled(part.id, now);
             }
         }
         self.reading_ended();
     }
 
     fn reading_ended(&mut self) {
-        let unread = std::mem::take(&mut self.item.unread_tokens);
+        let unread = std::mem::take(&mut self.item.prefill_tokens);
         if let Some(upstream) = self.gateway.registry.borrow_mut().get_mut(self.key) {
-            upstream.load.prompt_read(unread);
+            upstream.load.record_prefill(unread);
         }
     }
 }
--- a/kernel/src/gateway/cache.rs
+++ b/kernel/src/gateway/cache.rs
@@ -10,7 +10,7 @@
 use crate::gateway::prompt::PromptShape;
 
 /// Time after its last use after which a part is no longer assumed to be cached, whatever the
-/// engine added since: other nodes' heartbeats may have been lost.
+/// engine added since: uses by nodes whose heartbeats were lost are unknown.
 const MAX_AGE: Duration = Duration::from_mins(1);
 /// Share of the cache that is assumed to be available for parts. Generated tokens, and prompts in
 /// lost heartbeats, occupy space too.
@@ -69,14 +69,14 @@
         self.total_tokens += total.checked_sub(before).unwrap_or(total);
     }
 
-    /// Records that a call uses a part now; the engine has prefilled it at `read_at` unless it was
+    /// Records that a call uses a part now; the engine has prefilled it at `prefilled_at` unless it was
     /// cached before. Returns whether it was not known to be cached.
-    pub fn record_use(&mut self, part: u64, read_at: Duration, moment: CacheMoment) -> bool {
+    pub fn record_use(&mut self, part: u64, prefilled_at: Duration, moment: CacheMoment) -> bool {
         let cached = self.parts.get(&part).copied();
         let cached = cached.filter(|old| self.is_cached(old, moment));
         let new = PartUse {
             at: moment.now,
-            read_at: cached.map_or(read_at, |old| old.read_at.min(read_at)),
+            prefilled_at: cached.map_or(prefilled_at, |old| old.prefilled_at.min(prefilled_at)),
             total_at_use: self.total_tokens,
         };
         self.parts.insert(part, new);
@@ -96,9 +96,9 @@
     }
 
     /// Number of such tokens that are prefilled already, so that other engines can fetch them.
-    pub fn read_tokens(&self, prompt: &PromptShape, moment: CacheMoment) -> u32 {
+    pub fn prefilled_tokens(&self, prompt: &PromptShape, moment: CacheMoment) -> u32 {
         self.tokens_up_to(prompt, |part| {
-            part.read_at <= moment.now && self.is_cached(part, moment)
+            part.prefilled_at <= moment.now && self.is_cached(part, moment)
         })
     }
 
@@ -130,6 +130,6 @@
 #[derive(Clone, Copy, Debug)]
 struct PartUse {
     at: Duration,
-    read_at: Duration,
+    prefilled_at: Duration,
     total_at_use: u64,
 }
--- a/kernel/src/gateway/capacity.rs
+++ b/kernel/src/gateway/capacity.rs
@@ -31,7 +31,7 @@
 
 /// Whether an upstream can accept the call without delaying or preempting others. Less urgent calls
 /// leave more capacity free.
-pub fn has_capacity(place: CandidatePlace, unread: u32, input: &ChoiceInput) -> bool {
+pub fn has_capacity(place: CandidatePlace, prefill: u32, input: &ChoiceInput) -> bool {
     if !place.candidate.upstream.throttle.is_open(input.now) {
         return false;
     }
@@ -41,7 +41,7 @@
         return f64::from(total.calls) < slots * PLAIN_CALLS_PER_SLOT;
     }
     let disrupts =
-        unread > CHUNK_TOKENS && f64::from(total.tight_streams) >= slots * UNDISTURBED_SHARE;
+        prefill > CHUNK_TOKENS && f64::from(total.tight_streams) >= slots * UNDISTURBED_SHARE;
     if place.reserved && !input.tight && disrupts {
         return false;
     }
--- a/kernel/src/gateway/choice.rs
+++ b/kernel/src/gateway/choice.rs
@@ -94,7 +94,7 @@
     /// Cost of the call there, in thousandths of its latency target.
     pub cost: f64,
     /// Prompt tokens that the upstream has to prefill.
-    pub unread_tokens: u32,
+    pub prefill_tokens: u32,
     /// Tokens of the prompt's shared parts that the upstream has cached or is about to prefill.
     pub cached_tokens: u32,
     /// Largest number of such tokens at any upstream of the pool.
@@ -153,7 +153,7 @@
                 };
                 (place, evaluate(place, input, source, known_tokens))
             })
-            .filter(|(place, choice)| capacity::has_capacity(*place, choice.unread_tokens, input))
+            .filter(|(place, choice)| capacity::has_capacity(*place, choice.prefill_tokens, input))
             .map(|(_, choice)| choice)
             .min_by(|one, other| one.cost.total_cmp(&other.cost))
     };
@@ -221,7 +221,7 @@
         .map(|candidate| {
             let cache = &candidate.upstream.load.cache;
             let moment = cache_moment(candidate, input);
-            (candidate, cache.read_tokens(input.prompt, moment))
+            (candidate, cache.prefilled_tokens(input.prompt, moment))
         })
         .max_by_key(|(candidate, tokens)| (*tokens, is_own_zone(candidate, input)))?;
     let key = candidate.key;
@@ -270,16 +270,16 @@
     let cached = cached_tokens(place.candidate, input);
     let source = source.filter(|source| source.key != key && source.tokens > cached);
     let fetched = source.map_or(0, |source| source.tokens - cached);
-    let unread = input.prompt.prompt_tokens.saturating_sub(cached + fetched);
+    let prefill = input.prompt.prompt_tokens.saturating_sub(cached + fetched);
     let mut cost = wait_cost(
         input,
         total,
-        f64::from(unread) + FETCH_RATIO * f64::from(fetched),
+        f64::from(prefill) + FETCH_RATIO * f64::from(fetched),
     );
     let prefilled_again = known_tokens.saturating_sub(cached + fetched);
     cost += (REPEATED_PREFILL_COST * f64::from(prefilled_again) + FETCH_COST * f64::from(fetched))
         / 1000.0;
-    cost += stall_cost(place, input, f64::from(unread));
+    cost += stall_cost(place, input, f64::from(prefill));
     cost += FAILURE_COST * upstream.health.failure_share();
     if upstream.health.unproven() && !input.repeatable {
         cost += FAILURE_COST;
@@ -295,10 +295,10 @@
     UpstreamChoice {
         key,
         cost,
-        unread_tokens: unread,
+        prefill_tokens: prefill,
         cached_tokens: cached,
         known_tokens,
-        taken_tokens: unread + fetched,
+        taken_tokens: prefill + fetched,
         fetch_from: source.map(|source| source.key),
     }
 }
@@ -313,16 +313,16 @@
 }
 
 /// Cost of the call's own wait.
-fn wait_cost(input: &ChoiceInput, total: WorkCount, unread: f64) -> f64 {
-    let wait_ms = (f64::from(total.prompt_tokens) + unread) / TOKENS_PER_MS
+fn wait_cost(input: &ChoiceInput, total: WorkCount, prefill: f64) -> f64 {
+    let wait_ms = (f64::from(total.prompt_tokens) + prefill) / TOKENS_PER_MS
         + CALL_DELAY_MS * f64::from(total.calls);
     wait_ms / input.target.as_secs_f64().max(0.001)
 }
 
 /// Cost to tight streams of prompts that are prefilled beside them, now and later.
-fn stall_cost(place: CandidatePlace, input: &ChoiceInput, unread: f64) -> f64 {
+fn stall_cost(place: CandidatePlace, input: &ChoiceInput, prefill: f64) -> f64 {
     let total = place.candidate.total;
-    let pending = (f64::from(total.prompt_tokens) + unread) / STALL_TOKENS;
+    let pending = (f64::from(total.prompt_tokens) + prefill) / STALL_TOKENS;
     let arriving = if input.tight && !place.reserved {
         ARRIVING_PROMPTS_COST
     } else {
--- a/kernel/src/gateway/load.rs
+++ b/kernel/src/gateway/load.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkItem {
     /// Prompt tokens that the upstream has to prefill.
-    pub unread_tokens: u32,
+    pub prefill_tokens: u32,
     /// Maximum number of tokens that the call may occupy in the KV cache.
     pub held_tokens: u32,
     /// Whether its stream needs the shortest gaps between events in its pool.
@@ -77,7 +77,7 @@
         self.own += WorkCount {
             calls: 1,
             tight_streams: u32::from(item.tight),
-            prompt_tokens: item.unread_tokens,
+            prompt_tokens: item.prefill_tokens,
             held_tokens: item.held_tokens,
         };
     }
@@ -100,13 +100,13 @@
         self.sent_at.iter().rev().take_while(fresh).count()
     }
 
-    /// Records that a call's prompt of this many unread tokens was prefilled, as the first part of
+    /// Records that a call's prompt of this many tokens was prefilled, as the first part of
     /// its answer arrived.
-    pub fn prompt_read(&mut self, tokens: u32) {
+    pub fn record_prefill(&mut self, tokens: u32) {
         self.own.prompt_tokens = self.own.prompt_tokens.saturating_sub(tokens);
     }
 
-    /// Removes a call from this node's work. Its prompt must have been removed with `prompt_read`
+    /// Removes a call from this node's work. Its prompt must have been removed with `record_prefill`
     /// before.
     pub fn end(&mut self, item: WorkItem) {
         self.own.calls = self.own.calls.saturating_sub(1);
@@ -138,12 +138,13 @@
     /// queued before it are prefilled. Returns whether it was not known to be cached.
     pub fn record_part_sent(&mut self, part: u64, now: Duration) -> bool {
         let total = self.total(now);
-        let read_at = now + prefill_time(total);
-        self.cache.record_use(part, read_at, moment(total, now))
+        let prefilled_at = now + prefill_time(total);
+        self.cache
+            .record_use(part, prefilled_at, moment(total, now))
     }
 
     /// Records that this prompt part has been prefilled here.
-    pub fn record_part_read(&mut self, part: u64, now: Duration) {
+    pub fn record_part_prefilled(&mut self, part: u64, now: Duration) {
         let moment = moment(self.total(now), now);
         self.cache.record_use(part, now, moment);
     }
--- a/kernel/src/gateway/reports.rs
+++ b/kernel/src/gateway/reports.rs
@@ -36,7 +36,7 @@
 pub struct ReportMoment {
     /// Current time.
     pub now: Duration,
-    /// Time since when nodes may know that this one holds the duty.
+    /// Time from which on nodes may know that this one is the holder.
     pub held_since: Duration,
     /// First window whose usage no earlier era of the log can have reported.
     pub first_window: u64,
--- a/kernel/src/gateway/scaling.rs
+++ b/kernel/src/gateway/scaling.rs
@@ -32,8 +32,8 @@
 const PEAK_RETENTION: Duration = Duration::from_mins(1);
 /// Time for which a measured load counts as current.
 const RECENT: Duration = Duration::from_secs(3);
-/// Number of engines, relative to the need during `PEAK_RETENTION`, below which a pool whose baseline
-/// was larger does not shrink.
+/// Number of engines, relative to the need during `PEAK_RETENTION`, below which a pool whose
+/// baseline was larger does not shrink.
 const SHRINK_MARGIN: f64 = 1.5;
 /// Time after which a rejected order is sent again.
 const REFUSED_DELAY: Duration = Duration::from_millis(2500);
--- a/kernel/src/gateway/waiting.rs
+++ b/kernel/src/gateway/waiting.rs
@@ -60,8 +60,8 @@
         if first.send_by > now {
             return Some(first);
         }
-        let hopeful = self.first_from(pool, first.tier, now);
-        hopeful
+        let timely = self.first_from(pool, first.tier, now);
+        timely
             .filter(|rank| rank.tier == first.tier)
             .or(Some(first))
     }
--- a/kernel/tests/gateway/cache.rs
+++ b/kernel/tests/gateway/cache.rs
@@ -79,6 +79,9 @@
     let is_new = cache.record_use(7, SECOND * 9, moment(SECOND * 8, 0));
     assert!(is_new);
     assert_eq!(cache.cached_tokens(&prompt(), moment(SECOND * 8, 0)), 6000);
-    assert_eq!(cache.read_tokens(&prompt(), moment(SECOND * 8, 0)), 0);
-    assert_eq!(cache.read_tokens(&prompt(), moment(SECOND * 9, 0)), 6000);
+    assert_eq!(cache.prefilled_tokens(&prompt(), moment(SECOND * 8, 0)), 0);
+    assert_eq!(
+        cache.prefilled_tokens(&prompt(), moment(SECOND * 9, 0)),
+        6000
+    );
 }
--- a/kernel/tests/gateway/choice.rs
+++ b/kernel/tests/gateway/choice.rs
@@ -47,7 +47,7 @@
         &mut registry,
         "i-0",
         WorkItem {
-            unread_tokens: 20_000,
+            prefill_tokens: 20_000,
             ..WorkItem::default()
         },
         1,
@@ -76,7 +76,7 @@
         &mut registry,
         "i-1",
         WorkItem {
-            unread_tokens: 10_000,
+            prefill_tokens: 10_000,
             ..WorkItem::default()
         },
         2,
@@ -96,18 +96,18 @@
         .get_mut(key)
         .expect("known")
         .load
-        .record_part_read(7, NOW);
+        .record_part_prefilled(7, NOW);
     let prompt = shared(7);
     let choice = choose(&registry, &input(&prompt, false)).expect("a choice");
     assert_eq!(
-        (choice.key, choice.unread_tokens, choice.fetch_from),
+        (choice.key, choice.prefill_tokens, choice.fetch_from),
         (key, 1000, None)
     );
     load(
         &mut registry,
         "i-1",
         WorkItem {
-            unread_tokens: 30_000,
+            prefill_tokens: 30_000,
             ..WorkItem::default()
         },
         1,
@@ -115,7 +115,7 @@
     let choice = choose(&registry, &input(&prompt, false)).expect("a choice");
     assert_eq!(id(&registry, Some(choice)), "i-0");
     assert_eq!(
-        (choice.unread_tokens, choice.fetch_from),
+        (choice.prefill_tokens, choice.fetch_from),
         (1000, Some(key)),
         "it fetches the part"
     );
@@ -161,7 +161,7 @@
         &mut registry,
         "i-0",
         WorkItem {
-            unread_tokens: 40_000,
+            prefill_tokens: 40_000,
             ..WorkItem::default()
         },
         1,
@@ -320,7 +320,7 @@
         (
             id(&registry, Some(early)),
             early.fetch_from,
-            early.unread_tokens
+            early.prefill_tokens
         ),
         ("i-1".to_owned(), None, 6000)
     );
@@ -329,7 +329,7 @@
         ..input(&prompt, false)
     };
     let later = choose(&registry, &later).expect("a choice");
-    assert_eq!((later.fetch_from, later.unread_tokens), (Some(key), 1000));
+    assert_eq!((later.fetch_from, later.prefill_tokens), (Some(key), 1000));
 }
 
 #[test]
@@ -341,7 +341,7 @@
     let load = &mut registry.get_mut(first.key).expect("known").load;
     load.record_part_sent(7, NOW);
     let item = WorkItem {
-        unread_tokens: 6000,
+        prefill_tokens: 6000,
         ..WorkItem::default()
     };
     load.begin(item);
@@ -389,7 +389,7 @@
     let mut registry = registry(&["east", "east"], 10);
     let key = registry.key("i-1").expect("known");
     let upstream = registry.get_mut(key).expect("known");
-    upstream.load.record_part_read(7, NOW);
+    upstream.load.record_part_prefilled(7, NOW);
     upstream.pause.extend(Duration::from_secs(3), NOW);
     let prompt = shared(7);
     let choice = choose(&registry, &input(&prompt, false)).expect("a choice");
--- a/kernel/tests/gateway/registry.rs
+++ b/kernel/tests/gateway/registry.rs
@@ -116,7 +116,7 @@
     registry.apply(born(100, false), true, START);
     let old = registry.key("a").expect("known");
     let upstream = registry.get_mut(old).expect("known");
-    upstream.load.record_part_read(7, START);
+    upstream.load.record_part_prefilled(7, START);
     upstream.health.unreachable(START);
     registry.apply(born(200, false), true, SECOND);
     let new = registry.key("a").expect("known");
--- a/kernel/tests/gateway/surge.rs
+++ b/kernel/tests/gateway/surge.rs
@@ -1,6 +1,6 @@
 //! Simulates a surge of long prompts over several nodes that share engines and exchange heartbeats.
 //!
-//! Twice as many calls arrive as the engines can prefill, each with thousands of unread prompt
+//! Twice as many calls arrive as the engines can prefill, each with thousands of uncached prompt
 //! tokens and a target of 500 ms. Engines prefill 60 tokens per ms in chunks of 2,048 and generate
 //! one token of each running call per step. Without a limit on pending prefill every first token is
 //! late, as slots do not limit it; without fresh heartbeats nodes overfill engines or leave them
@@ -41,7 +41,7 @@
 
     fn item(self) -> WorkItem {
         WorkItem {
-            unread_tokens: self.prompt,
+            prefill_tokens: self.prompt,
             held_tokens: self.prompt + self.output,
             tight: false,
         }
@@ -52,7 +52,7 @@
 struct RunningCall {
     node: usize,
     came_ms: u64,
-    unread: u32,
+    prefill: u32,
     left: u32,
 }
 
@@ -122,7 +122,7 @@
             engine.queued.push_back(RunningCall {
                 node,
                 came_ms,
-                unread: self.kind.prompt,
+                prefill: self.kind.prompt,
                 left: self.kind.output,
             });
             let calls = engine.running.len() + engine.queued.len();
@@ -144,19 +144,19 @@
         }
         let mut chunk = CHUNK;
         for call in &mut engine.running {
-            if call.unread == 0 {
+            if call.prefill == 0 {
                 call.left -= 1;
                 continue;
             }
-            let read = call.unread.min(chunk);
-            chunk -= read;
-            call.unread -= read;
-            if call.unread == 0 && read > 0 {
+            let done = call.prefill.min(chunk);
+            chunk -= done;
+            call.prefill -= done;
+            if call.prefill == 0 && done > 0 {
                 let load = &mut self.nodes[call.node]
                     .get_mut(self.keys[index])
                     .expect("known")
                     .load;
-                load.prompt_read(self.kind.prompt);
+                load.record_prefill(self.kind.prompt);
                 let late = now_ms - call.came_ms > TARGET.as_millis() as u64;
                 self.outcome.in_time += u64::from(!late);
             }
