--- a/kernel/src/gateway/crashes.rs
+++ b/kernel/src/gateway/crashes.rs
@@ -14,7 +14,7 @@
 
 use crate::gateway::content::ContentDigest;
 
-/// Crashed runs of upstreams at which content is quarantined.
+/// Number of crashed runs of upstreams at which content is quarantined.
 pub const QUARANTINE_CRASHES: usize = 3;
 /// Maximum number of runs recorded for each content; further ones would not change any decision.
 const MAX_RUNS: usize = 8;
