--- a/daemon/src/completions.rs
+++ b/daemon/src/completions.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions` and `/v1/completions`, whole and streamed.
+//! Handlers of `POST /v1/chat/completions` and `/v1/completions`, whole and streamed.
 
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -11,18 +11,18 @@
 use serde_json::{Map, Value};
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::assembler::CompletionAssembler;
 use crate::body::read_body;
 use crate::frame::{Chunk, RequestParts};
-use crate::intake::{self, OpenAnswer, RequestShape};
-use crate::message::WholeMessage;
 use crate::refusal::CallerError;
+use crate::requests::{self, CallHandle, RequestShape};
 use crate::shared::NodeShared;
 use crate::sink::CallerEvent;
 
-/// Bytes of a prompt that decide its cache affinity.
+/// Length of the prompt prefix that determines cache affinity, in bytes.
 const PREFIX_BYTES: usize = 256;
 
-/// Which of the two completion interfaces a request speaks.
+/// One of the two completion endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompletionKind {
     /// `/v1/chat/completions`.
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The `object` field of an answer or of a piece of one.
+    /// Value of the `object` field in an answer, or in a chunk of a streamed one.
     pub fn object(self, streamed: bool) -> &'static str {
         match (self, streamed) {
             (Self::Chat, true) => "chat.completion.chunk",
@@ -49,27 +49,27 @@
     }
 }
 
-/// Handles one of the two completion interfaces.
+/// Handler of one of the two completion endpoints.
 pub struct CompletionApi {
-    /// The node.
+    /// State of the node.
     pub shared: Arc<NodeShared>,
-    /// The interface.
+    /// Endpoint that this handler serves.
     pub kind: CompletionKind,
 }
 
-/// What every piece of one answer has in common.
+/// Fields that all chunks of one answer have in common.
 #[derive(Debug)]
-pub struct AnswerFrame {
-    /// The interface that it speaks.
+pub struct CompletionMetadata {
+    /// Endpoint of the request.
     pub kind: CompletionKind,
-    /// Its identifier.
+    /// Value of the `id` field.
     pub id: Box<str>,
-    /// The model that the caller named.
+    /// Model name from the request.
     pub model: Box<str>,
-    /// Second of the Unix epoch at which it began.
+    /// Value of the `created` field: Unix time of the request, in seconds.
     pub created: u64,
     class: Box<str>,
-    usage_wanted: bool,
+    include_usage: bool,
 }
 
 #[handler]
@@ -87,15 +87,15 @@
         request: &mut Request,
         response: &mut Response,
     ) -> Result<(), CallerError> {
-        let caller = intake::identify(&self.shared, request)?;
+        let caller = requests::authenticate(&self.shared, request)?;
         let body = read_body(&self.shared, request).await?;
         let fields = parse(&body)?;
         let shape = shape(self.kind, &fields)?;
-        let found = intake::classify(&caller, request, &shape, body.len())?;
+        let classification = requests::classify(&caller, request, &shape, body.len())?;
         let class = caller
             .config
             .classes
-            .get(&found.class)
+            .get(&classification.class)
             .map(|class| class.name.clone());
         let parts = RequestParts {
             method: "POST".into(),
@@ -104,40 +104,40 @@
             key: None,
             body,
         };
-        let answer = intake::open(&self.shared, &caller, found, &shape, parts)?;
-        let usage_wanted = fields
+        let handle = requests::open_call(&self.shared, &caller, classification, &shape, parts)?;
+        let include_usage = fields
             .get("stream_options")
             .and_then(|options| options.get("include_usage"))
             .and_then(Value::as_bool)
             .unwrap_or(false);
-        let frame = AnswerFrame {
+        let metadata = CompletionMetadata {
             kind: self.kind,
-            id: format!("cmpl-{}", answer.call).into(),
+            id: format!("cmpl-{}", handle.call).into(),
             model: shape.model.into(),
             created: unix_seconds(),
             class: class.unwrap_or_default(),
-            usage_wanted,
+            include_usage,
         };
         if shape.streamed {
-            self.stream(answer, frame, response).await
+            self.stream(handle, metadata, response).await
         } else {
-            self.whole(answer, &frame, response).await
+            self.whole(handle, &metadata, response).await
         }
     }
 
     async fn stream(
         &self,
-        mut answer: OpenAnswer,
-        frame: AnswerFrame,
+        mut handle: CallHandle,
+        metadata: CompletionMetadata,
         response: &mut Response,
     ) -> Result<(), CallerError> {
-        let first = first_piece(&self.shared, &mut answer, &frame).await?;
+        let first = first_event(&self.shared, &mut handle, &metadata).await?;
         let first = match first {
             CallerEvent::Chunk(Chunk::Head {
                 status,
                 content_type,
             }) => {
-                let body = rest_of_body(&mut answer).await;
+                let body = collect_body(&mut handle).await;
                 render_raw(response, status, content_type.as_deref(), body);
                 return Ok(());
             }
@@ -150,40 +150,40 @@
         );
         headers.insert("cache-control", HeaderValue::from_static("no-cache"));
         let shared = Arc::clone(&self.shared);
-        response.stream(event_stream(shared, answer, frame, first));
+        response.stream(event_stream(shared, handle, metadata, first));
         Ok(())
     }
 
     async fn whole(
         &self,
-        mut answer: OpenAnswer,
-        frame: &AnswerFrame,
+        mut handle: CallHandle,
+        metadata: &CompletionMetadata,
         response: &mut Response,
     ) -> Result<(), CallerError> {
-        let mut message = WholeMessage::default();
-        let mut event = first_piece(&self.shared, &mut answer, frame).await?;
+        let mut assembler = CompletionAssembler::default();
+        let mut event = first_event(&self.shared, &mut handle, metadata).await?;
         loop {
             match event {
                 CallerEvent::Chunk(Chunk::Head {
                     status,
                     content_type,
                 }) => {
-                    let body = rest_of_body(&mut answer).await;
+                    let body = collect_body(&mut handle).await;
                     render_raw(response, status, content_type.as_deref(), body);
                     return Ok(());
                 }
-                CallerEvent::Chunk(chunk) => message.add(&chunk),
+                CallerEvent::Chunk(chunk) => assembler.add(&chunk),
                 CallerEvent::Finished(outcome) => {
                     let error = CallerError::from_outcome(outcome);
-                    intake::count(&self.shared, &frame.class, error.as_ref());
+                    requests::count_outcome(&self.shared, &metadata.class, error.as_ref());
                     if let Some(error) = error {
                         return Err(error);
                     }
-                    response.render(Json(message.finish(frame)));
+                    response.render(Json(assembler.finish(metadata)));
                     return Ok(());
                 }
             }
-            event = answer
+            event = handle
                 .next()
                 .await
                 .unwrap_or(CallerEvent::Finished(CallOutcome::Unknown));
@@ -191,12 +191,12 @@
     }
 }
 
-async fn first_piece(
+async fn first_event(
     shared: &NodeShared,
-    answer: &mut OpenAnswer,
-    frame: &AnswerFrame,
+    handle: &mut CallHandle,
+    metadata: &CompletionMetadata,
 ) -> Result<CallerEvent, CallerError> {
-    let first = answer
+    let first = handle
         .next()
         .await
         .unwrap_or(CallerEvent::Finished(CallOutcome::Unknown));
@@ -206,18 +206,18 @@
     let Some(error) = CallerError::from_outcome(outcome) else {
         return Ok(first);
     };
-    intake::count(shared, &frame.class, Some(&error));
+    requests::count_outcome(shared, &metadata.class, Some(&error));
     Err(error)
 }
 
 fn event_stream(
     shared: Arc<NodeShared>,
-    answer: OpenAnswer,
-    frame: AnswerFrame,
+    handle: CallHandle,
+    metadata: CompletionMetadata,
     first: CallerEvent,
 ) -> impl Stream<Item = Result<Bytes, std::convert::Infallible>> + Send + 'static {
-    let state = (answer, frame, Some(first), false);
-    futures_util::stream::unfold(state, move |(mut answer, frame, first, ended)| {
+    let state = (handle, metadata, Some(first), false);
+    futures_util::stream::unfold(state, move |(mut handle, metadata, first, ended)| {
         let shared = Arc::clone(&shared);
         async move {
             if ended {
@@ -225,27 +225,27 @@
             }
             let event = match first {
                 Some(event) => event,
-                None => answer.next().await?,
+                None => handle.next().await?,
             };
             let ended = matches!(event, CallerEvent::Finished(_));
             let text = match event {
-                CallerEvent::Chunk(chunk) => event_text(&frame, &chunk),
-                CallerEvent::Finished(outcome) => end_text(&shared, &frame, outcome),
+                CallerEvent::Chunk(chunk) => event_text(&metadata, &chunk),
+                CallerEvent::Finished(outcome) => end_text(&shared, &metadata, outcome),
             };
-            Some((Ok(Bytes::from(text)), (answer, frame, None, ended)))
+            Some((Ok(Bytes::from(text)), (handle, metadata, None, ended)))
         }
     })
 }
 
-fn event_text(frame: &AnswerFrame, chunk: &Chunk) -> String {
+fn event_text(metadata: &CompletionMetadata, chunk: &Chunk) -> String {
     let (choices, usage) = match chunk {
         Chunk::Choices { json, .. } => (&**json, None),
-        Chunk::Usage(json) if frame.usage_wanted => ("[]", Some(json)),
+        Chunk::Usage(json) if metadata.include_usage => ("[]", Some(json)),
         Chunk::Usage(_) | Chunk::Head { .. } | Chunk::Data(_) => return String::new(),
     };
-    let object = frame.kind.object(true);
-    let (id, created) = (&frame.id, frame.created);
-    let model = Value::from(&*frame.model);
+    let object = metadata.kind.object(true);
+    let (id, created) = (&metadata.id, metadata.created);
+    let model = Value::from(&*metadata.model);
     let usage = usage.map_or_else(String::new, |json| format!(",\"usage\":{json}"));
     format!(
         "data: {{\"id\":\"{id}\",\"object\":\"{object}\",\"created\":{created},\
@@ -253,9 +253,9 @@
     )
 }
 
-fn end_text(shared: &NodeShared, frame: &AnswerFrame, outcome: CallOutcome) -> String {
+fn end_text(shared: &NodeShared, metadata: &CompletionMetadata, outcome: CallOutcome) -> String {
     let error = CallerError::from_outcome(outcome);
-    intake::count(shared, &frame.class, error.as_ref());
+    requests::count_outcome(shared, &metadata.class, error.as_ref());
     match error {
         None => "data: [DONE]\n\n".to_owned(),
         Some(error) => format!("data: {}\n\n", error.body()),
@@ -307,11 +307,11 @@
     })
 }
 
-/// Engines name prefixes by the hash of the first bytes of the prompt's text.
+/// Hash of the first bytes of the prompt's text, by which engines identify cached prefixes.
 fn prefix(kind: CompletionKind, fields: &Map<String, Value>) -> Result<u64, CallerError> {
     let text = match kind {
         CompletionKind::Chat => match fields.get("messages").and_then(Value::as_array) {
-            Some(messages) if !messages.is_empty() => joined_contents(messages),
+            Some(messages) if !messages.is_empty() => join_contents(messages),
             _ => return Err(wrong_field("messages", "a list with at least one message")),
         },
         CompletionKind::Text => match fields.get("prompt").and_then(Value::as_str) {
@@ -323,7 +323,7 @@
     Ok(xxh3_64(&bytes[..bytes.len().min(PREFIX_BYTES)]))
 }
 
-fn joined_contents(messages: &[Value]) -> String {
+fn join_contents(messages: &[Value]) -> String {
     let contents = messages
         .iter()
         .filter_map(|message| message.get("content")?.as_str());
@@ -338,10 +338,10 @@
     )
 }
 
-/// The bytes of an answer that is passed on as it is.
-pub async fn rest_of_body(answer: &mut OpenAnswer) -> Vec<u8> {
+/// Collects the body of an answer that is forwarded unchanged.
+pub async fn collect_body(handle: &mut CallHandle) -> Vec<u8> {
     let mut body = Vec::new();
-    while let Some(CallerEvent::Chunk(chunk)) = answer.next().await {
+    while let Some(CallerEvent::Chunk(chunk)) = handle.next().await {
         if let Chunk::Data(data) = chunk {
             body.extend_from_slice(&data);
         }
@@ -349,7 +349,7 @@
     body
 }
 
-/// Writes an answer that is passed on as it is.
+/// Writes an answer that is forwarded unchanged. An invalid status becomes 502.
 pub fn render_raw(response: &mut Response, status: u16, content_type: Option<&str>, body: Vec<u8>) {
     response.status_code(StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY));
     if let Some(value) = content_type.and_then(|text| HeaderValue::from_str(text).ok()) {
--- a/daemon/src/services.rs
+++ b/daemon/src/services.rs
@@ -1,4 +1,4 @@
-//! `/services/{name}/…`: calls to plain services, any method.
+//! Handler of `/services/{name}/…`: calls to plain services, with any method.
 
 use std::sync::Arc;
 
@@ -10,19 +10,19 @@
 use crate::body::read_body;
 use crate::completions::render_raw;
 use crate::frame::{Chunk, RequestParts};
-use crate::intake::{self, OpenAnswer, RequestShape};
 use crate::refusal::CallerError;
+use crate::requests::{self, CallHandle, RequestShape};
 use crate::shared::NodeShared;
 use crate::sink::CallerEvent;
 
-/// Path under which plain services stand.
+/// Path prefix of calls to plain services; the service's name follows.
 pub const SERVICES_PATH: &str = "/services/";
-/// Header of the idempotency key.
+/// Request header with the caller's idempotency key.
 pub const KEY_HEADER: &str = "idempotency-key";
 
-/// Handles calls to plain services.
+/// Handler of calls to plain services.
 pub struct ServiceApi {
-    /// The node.
+    /// State of the node.
     pub shared: Arc<NodeShared>,
 }
 
@@ -41,7 +41,7 @@
         request: &mut Request,
         response: &mut Response,
     ) -> Result<(), CallerError> {
-        let caller = intake::identify(&self.shared, request)?;
+        let caller = requests::authenticate(&self.shared, request)?;
         let body = read_body(&self.shared, request).await?;
         let target = request
             .uri()
@@ -53,26 +53,26 @@
             model: service,
             ..RequestShape::default()
         };
-        let found = intake::classify(&caller, request, &shape, body.len())?;
-        let class = caller.config.classes.get(&found.class).cloned();
+        let classification = requests::classify(&caller, request, &shape, body.len())?;
+        let class = caller.config.classes.get(&classification.class).cloned();
         let key = text_header(request, KEY_HEADER);
         if class.as_ref().is_some_and(|class| !class.repeatable) && key.is_none() {
             return Err(key_required(self.shared.fresh_key(caller.workspace)));
         }
         let parts = request_parts(request, path, key, body);
-        let answer = intake::open(&self.shared, &caller, found, &shape, parts)?;
+        let handle = requests::open_call(&self.shared, &caller, classification, &shape, parts)?;
         let name = class.map(|class| class.name.clone()).unwrap_or_default();
-        let result = collect(answer, response).await;
-        intake::count(&self.shared, &name, result.as_ref().err());
+        let result = collect(handle, response).await;
+        requests::count_outcome(&self.shared, &name, result.as_ref().err());
         result
     }
 }
 
-async fn collect(mut answer: OpenAnswer, response: &mut Response) -> Result<(), CallerError> {
+async fn collect(mut handle: CallHandle, response: &mut Response) -> Result<(), CallerError> {
     let mut head = None;
     let mut body = Vec::new();
     loop {
-        let event = answer
+        let event = handle
             .next()
             .await
             .unwrap_or(CallerEvent::Finished(CallOutcome::Unknown));
@@ -136,7 +136,8 @@
     request.headers().get(name)?.to_str().ok().map(Into::into)
 }
 
-/// The answer to a call that needs a key; `fresh` is one to use, unless this node leaves.
+/// Error for a call that needs an idempotency key and has none. `fresh` is a new key for the caller to
+/// use; `None` while this node shuts down.
 fn key_required(fresh: Option<Box<str>>) -> CallerError {
     let Some(key) = fresh else {
         return CallerError::not_run(
--- a/kernel/src/gateway/duty.rs
+++ b/kernel/src/gateway/duty.rs
@@ -69,7 +69,7 @@
 
 /// Fencing token of a held lease, always above 0, which means no holder.
 fn token_of(held: HeldLease) -> u64 {
-    held.claimed + 1
+    held.claim_offset + 1
 }
 
 /// This node's view of the lease on duties. All times are those of a clock that continues while the
@@ -92,7 +92,7 @@
     pub fn new(node: NodeId, incarnation: Incarnation, length: Duration) -> Self {
         let terms = LeaseTerms {
             length,
-            margin: DRIFT_MARGIN,
+            drift_margin: DRIFT_MARGIN,
             flight: CALL_FLIGHT,
             claim_wait: CLAIM_WAIT,
         };
@@ -119,7 +119,7 @@
         self.end = None;
         self.first_window = window;
         self.read_back = None;
-        self.state.start_over(now);
+        self.state.reset(now);
         true
     }
 
@@ -160,13 +160,13 @@
             record: record.lease.clone(),
         };
         let (node, incarnation) = (self.node, self.incarnation);
-        self.state.see(&head, node, incarnation, now, random);
+        self.state.apply(&head, node, incarnation, now, random);
     }
 
     /// Whether the topic has to be read before anything can be appended or the duties be performed
     /// under a claim.
     pub fn needs_read(&self, now: Duration) -> bool {
-        let unread = |held: HeldLease| self.read_back.is_none_or(|at| at < held.claimed);
+        let unread = |held: HeldLease| self.read_back.is_none_or(|at| at < held.claim_offset);
         self.end.is_none() || self.state.held(now).is_some_and(unread)
     }
 
@@ -214,7 +214,7 @@
     /// Records that the claim was rejected because the topic ended at another offset.
     pub fn refused(&mut self) {
         self.end = None;
-        self.state.refused();
+        self.state.claim_rejected();
     }
 
     /// Requires the log to be read before anything else is done: an unanswered claim may have been
@@ -227,7 +227,7 @@
     pub fn fenced(&mut self, now: Duration) {
         self.end = None;
         self.read_back = None;
-        self.state.start_over(now);
+        self.state.reset(now);
     }
 
     /// Fencing token of this node's claim if it holds the lease. The node may not send duty
@@ -257,7 +257,7 @@
 
     /// Position of the lease's newest record in the log; `None` if none is known.
     pub fn newest(&self) -> Option<u64> {
-        self.state.newest()
+        self.state.newest_offset()
     }
 
     /// Records the lease's newest record as received in another node's heartbeat. It counts as if
@@ -277,7 +277,7 @@
             },
         };
         let (node, incarnation) = (self.node, self.incarnation);
-        self.state.see(&head, node, incarnation, now, random);
+        self.state.apply(&head, node, incarnation, now, random);
     }
 
     /// First usage window that no earlier era can have reported.
