--- a/daemon/src/gateway/waiting.rs
+++ b/daemon/src/gateway/waiting.rs
@@ -66,12 +66,7 @@
 
 /// Whether a call is late already and cannot be expected to end in its time either. Such a call
 /// would take an engine's time from others and be cut. One that was sent before goes on.
-fn is_in_vain(
-    gateway: &Gateway,
-    call: &Call,
-    progress: &CallProgress,
-    send_by: Duration,
-) -> bool {
+fn is_in_vain(gateway: &Gateway, call: &Call, progress: &CallProgress, send_by: Duration) -> bool {
     let now = gateway.now();
     if send_by > now || progress.history.sends > 0 {
         return false;
