--- a/kernel/examples/owner_choice.rs
+++ b/kernel/examples/owner_choice.rs
@@ -94,7 +94,7 @@
     reported: Vec<u32>,
     open: BTreeMap<(usize, usize), u32>,
     queues: Vec<VecDeque<usize>>,
-    boards: Vec<OwnerTable>,
+    tables: Vec<OwnerTable>,
     owned: Vec<Vec<usize>>,
     waits: Vec<Duration>,
 }
@@ -166,14 +166,14 @@
             let holder = (0..site.nodes).find(|node| owners.owners[&upstream] == node_id(*node));
             owned[holder.expect("every engine has an owner")].push(engine);
         }
-        let board = |node: usize| {
-            let mut board = OwnerTable::new(policy);
+        let table = |node: usize| {
+            let mut table = OwnerTable::new(policy);
             let zone = ZoneId::named(&format!("z{}", node % ZONES));
-            board.rebuild(&config, &owners, &view, zone);
-            board
+            table.rebuild(&config, &owners, &view, zone);
+            table
         };
         Self {
-            boards: (0..site.nodes).map(board).collect(),
+            tables: (0..site.nodes).map(table).collect(),
             random: Pcg64Mcg::seed_from_u64(1),
             steps: BinaryHeap::new(),
             order: 0,
@@ -231,9 +231,9 @@
             Way::Direct => self.send_direct(call, entry, now),
             Way::Owner(_) => {
                 let spec = spec();
-                let owner = self.boards[entry].choose(&spec, &[], now, &mut self.random);
+                let owner = self.tables[entry].choose(&spec, &[], now, &mut self.random);
                 let owner = owner.expect("every node lives");
-                self.boards[entry].record_offer(spec.pool, owner);
+                self.tables[entry].record_offer(spec.pool, owner);
                 let owner = (0..self.site.nodes).find(|node| node_id(*node) == owner);
                 self.plan(now + HOP, Step::Reach(call, owner.expect("a node")));
             }
@@ -330,9 +330,9 @@
                     waiting: [0, 0, self.queues[at].len() as u32],
                 };
                 // The hop back is left out: news 1 ms old changes nothing at these rates.
-                let board = &mut self.boards[self.calls[call].entry];
-                board.record_close(spec().pool, node_id(at));
-                board.update(spec().pool, node_id(at), load, now);
+                let table = &mut self.tables[self.calls[call].entry];
+                table.record_close(spec().pool, node_id(at));
+                table.update(spec().pool, node_id(at), load, now);
             }
         }
     }
@@ -348,15 +348,15 @@
     };
     let (config, view) = (config(site), members(site));
     let owners = assign(&config, &view);
-    let mut board = OwnerTable::new(OwnerPolicy::Mixed);
-    board.rebuild(&config, &owners, &view, ZoneId::named("z0"));
+    let mut table = OwnerTable::new(OwnerPolicy::Mixed);
+    table.rebuild(&config, &owners, &view, ZoneId::named("z0"));
     let mut random = Pcg64Mcg::seed_from_u64(1);
     for prefix in [0, 7] {
         let spec = CallSpec { prefix, ..spec() };
         let start = Instant::now();
         for _ in 0..CHOICES {
-            let owner = board.choose(&spec, &[], Duration::ZERO, &mut random);
-            board.record_offer(spec.pool, owner.expect("every node lives"));
+            let owner = table.choose(&spec, &[], Duration::ZERO, &mut random);
+            table.record_offer(spec.pool, owner.expect("every node lives"));
         }
         let each = start.elapsed() / CHOICES;
         println!("980 nodes, prefix {prefix}: {each:?} a choice");
--- a/kernel/src/dispatch.rs
+++ b/kernel/src/dispatch.rs
@@ -78,9 +78,9 @@
 
     fn reconfigure(&mut self, context: &mut Context<'_>) {
         let node = context.profile.node;
-        let known = &self.config.upstreams;
+        let configured = &self.config.upstreams;
         self.leaving_upstreams
-            .retain(|upstream| known.contains_key(upstream));
+            .retain(|upstream| configured.contains_key(upstream));
         for (pool, spec) in self.config.pools.iter() {
             let owned = self.owned(*pool, node);
             if owned.is_empty() && !self.pools.contains_key(pool) {
@@ -98,13 +98,13 @@
                 state.mark_leaving(*upstream);
             }
         }
-        let gone: Vec<PoolId> = self
+        let removed: Vec<PoolId> = self
             .pools
             .keys()
             .filter(|pool| !self.config.pools.contains_key(pool))
             .copied()
             .collect();
-        for pool in gone {
+        for pool in removed {
             if let Some(state) = self.pools.get_mut(&pool) {
                 state.configure(context.now, &self.config, false, &BTreeMap::new());
             }
@@ -116,7 +116,7 @@
             .map(|(pool, _)| *pool)
             .collect();
         for pool in lost {
-            self.hand_back(pool, ReturnReason::NotOwner, context);
+            self.return_queued(pool, ReturnReason::NotOwner, context);
         }
         self.pools.retain(|_, state| !state.is_idle());
         self.fill_all(context);
@@ -129,11 +129,11 @@
         }
         let pool = work.spec.pool;
         let Some(state) = self.pools.get_mut(&pool).filter(|state| state.is_owned()) else {
-            self.give_back(entry, work, ReturnReason::NotOwner, context);
+            self.return_offer(entry, work, ReturnReason::NotOwner, context);
             return;
         };
         if self.leaving {
-            self.give_back(entry, work, ReturnReason::Leaving, context);
+            self.return_offer(entry, work, ReturnReason::Leaving, context);
             return;
         }
         self.notifier.record_offer(context.now, pool, entry);
@@ -141,7 +141,7 @@
         let prompt = work.spec.prompt_tokens + work.resume_from;
         let expected = state.outputs.tokens(&work.spec);
         let first_token = state.timing.first_token.estimate_high(prompt);
-        let held = WorkItem {
+        let item = WorkItem {
             work,
             entry,
             deadline,
@@ -152,7 +152,7 @@
             ran: false,
             run: None,
         };
-        let key = self.arena.insert(held);
+        let key = self.arena.insert(item);
         self.attempts.insert(attempt, key);
         state.offer(context.now, key, &self.arena, &mut self.decisions);
         self.fill(pool, context);
@@ -165,7 +165,7 @@
         state.fill(context.now, &mut self.arena, &mut self.decisions);
         let mut decisions = std::mem::take(&mut self.decisions);
         for decision in decisions.drain(..) {
-            self.carry_out(decision, context);
+            self.execute(decision, context);
         }
         self.decisions = decisions;
     }
@@ -177,30 +177,30 @@
         }
     }
 
-    fn carry_out(&mut self, decision: Decision, context: &mut Context<'_>) {
+    fn execute(&mut self, decision: Decision, context: &mut Context<'_>) {
         match decision {
             Decision::Start(key) => {
-                let held = &self.arena[key];
-                let Some(run) = held.run else {
+                let item = &self.arena[key];
+                let Some(run) = item.run else {
                     return;
                 };
                 self.counts.started += 1;
                 context.act(Action::StartAttempt(AttemptStart {
-                    work: held.work,
+                    work: item.work,
                     upstream: run.upstream,
                 }));
             }
             Decision::Stop(key) => {
-                let held = &self.arena[key];
-                match held.run.and_then(|run| run.stop) {
+                let item = &self.arena[key];
+                match item.run.and_then(|run| run.stop) {
                     Some(StopCause::Preempted) => self.counts.preempted += 1,
                     Some(StopCause::Moved) => self.counts.moved += 1,
                     _ => {}
                 }
-                context.act(Action::CancelAttempt(held.work.attempt));
+                context.act(Action::CancelAttempt(item.work.attempt));
             }
             Decision::Refuse(key, refusal) => {
-                let Some(held) = self.drop_work(key, context.now) else {
+                let Some(item) = self.drop_work(key, context.now) else {
                     return;
                 };
                 match refusal.reason {
@@ -211,23 +211,23 @@
                     reason: refusal.reason,
                     retry_after: Some(refusal.retry_after),
                 };
-                self.answer_returned(held.entry, &held.work, reason, context);
+                self.send_returned(item.entry, &item.work, reason, context);
             }
         }
     }
 
     /// Removes a piece of work and records its attempt as finished.
     fn drop_work(&mut self, key: WorkKey, now: Duration) -> Option<WorkItem> {
-        let held = self.arena.remove(key)?;
-        self.attempts.remove(&held.work.attempt);
-        self.finished.add(now, held.work.attempt);
-        Some(held)
+        let item = self.arena.remove(key)?;
+        self.attempts.remove(&item.work.attempt);
+        self.finished.add(now, item.work.attempt);
+        Some(item)
     }
 
-    fn withdraw(&mut self, key: WorkKey) {
-        let held = &self.arena[key];
-        if let Some(state) = self.pools.get_mut(&held.work.spec.pool) {
-            state.dequeue(key, held);
+    fn dequeue(&mut self, key: WorkKey) {
+        let item = &self.arena[key];
+        if let Some(state) = self.pools.get_mut(&item.work.spec.pool) {
+            state.dequeue(key, item);
         }
     }
 
@@ -235,14 +235,14 @@
         let Some(key) = self.attempts.get(&attempt) else {
             return;
         };
-        let held = &mut self.arena[*key];
-        let Some(run) = &mut held.run else {
+        let item = &mut self.arena[*key];
+        let Some(run) = &mut item.run else {
             return;
         };
-        let first = !run.sent && !held.ran;
+        let first = !run.sent && !item.ran;
         run.sent = true;
         if first {
-            let entry = held.entry;
+            let entry = item.entry;
             context.send(entry, WorkMessage::Started(attempt));
         }
     }
@@ -277,14 +277,14 @@
                 state.enqueue(context.now, key, &self.arena[key]);
             }
             RunEnd::Requeued => {
-                if let Some(held) = self.drop_work(key, context.now) {
-                    let tokens = held.forwarded;
-                    self.answer_ended(&held, AttemptEnd::Cancelled { tokens }, context);
+                if let Some(item) = self.drop_work(key, context.now) {
+                    let tokens = item.forwarded;
+                    self.send_ended(&item, AttemptEnd::Cancelled { tokens }, context);
                 }
             }
             RunEnd::Ended(end) => {
-                if let Some(held) = self.drop_work(key, context.now) {
-                    self.answer_ended(&held, end, context);
+                if let Some(item) = self.drop_work(key, context.now) {
+                    self.send_ended(&item, end, context);
                 }
             }
         }
@@ -297,27 +297,27 @@
             self.finished.add(context.now, attempt);
             return;
         };
-        let held = self.arena[key];
+        let item = self.arena[key];
         self.abandon(key, context);
-        if held.run.is_none() {
+        if item.run.is_none() {
             let reason = ReturnReason::Refused {
                 reason: RefusalReason::Cancelled,
                 retry_after: None,
             };
-            self.answer_waiting(&held, reason, context);
+            self.send_dequeued(&item, reason, context);
         }
     }
 
     /// Removes queued work, or requests cancellation of its run.
     fn abandon(&mut self, key: WorkKey, context: &mut Context<'_>) {
-        let held = &self.arena[key];
-        let attempt = held.work.attempt;
-        if held.run.is_none() {
-            self.withdraw(key);
+        let item = &self.arena[key];
+        let attempt = item.work.attempt;
+        if item.run.is_none() {
+            self.dequeue(key);
             self.drop_work(key, context.now);
             return;
         }
-        if let Some(state) = self.pools.get_mut(&held.work.spec.pool)
+        if let Some(state) = self.pools.get_mut(&item.work.spec.pool)
             && state.stop(key, StopCause::Cancelled, &mut self.arena)
         {
             context.act(Action::CancelAttempt(attempt));
@@ -329,8 +329,8 @@
         let orphans: Vec<WorkKey> = self
             .arena
             .iter()
-            .filter(|(_, held)| held.entry == node && node != context.profile.node)
-            .filter(|(_, held)| held.run.is_none() || held.work.spec.repeatable)
+            .filter(|(_, item)| item.entry == node && node != context.profile.node)
+            .filter(|(_, item)| item.run.is_none() || item.work.spec.repeatable)
             .map(|(key, _)| key)
             .collect();
         for key in orphans {
@@ -342,7 +342,7 @@
         self.leaving = true;
         let pools: Vec<PoolId> = self.pools.keys().copied().collect();
         for pool in pools {
-            self.hand_back(pool, ReturnReason::Leaving, context);
+            self.return_queued(pool, ReturnReason::Leaving, context);
         }
     }
 
@@ -428,7 +428,7 @@
             Event::PeerMessage {
                 from,
                 message: Message::Work(WorkMessage::Ask(attempts)),
-            } => self.asked(*from, attempts, context),
+            } => self.answer_query(*from, attempts, context),
             Event::AttemptSent(attempt) => self.sent(*attempt, context),
             Event::AttemptProgress { attempt, tokens } => {
                 self.progress(*attempt, *tokens, context);
--- a/kernel/src/dispatch/estimate.rs
+++ b/kernel/src/dispatch/estimate.rs
@@ -11,7 +11,7 @@
 pub const TOKEN_COST: u64 = 16;
 
 /// Assumed output length, in tokens, of a class without samples.
-const FIRST_GUESS: f64 = 128.0;
+const DEFAULT_OUTPUT: f64 = 128.0;
 
 /// Weight of the class mean, in samples of the workspace's own mean.
 const CLASS_WEIGHT: f64 = 8.0;
@@ -57,7 +57,7 @@
     /// while there are few samples, and never above the caller's `max_tokens`.
     pub fn tokens(&self, spec: &CallSpec) -> u32 {
         let class = self.classes.get(&spec.class).and_then(MovingMean::get);
-        let class = class.unwrap_or(FIRST_GUESS);
+        let class = class.unwrap_or(DEFAULT_OUTPUT);
         let pair = self.pairs.get(&(spec.class, spec.workspace));
         let expected = pair.map_or(class, |pair| {
             let samples = f64::from(pair.samples().min(64));
@@ -105,12 +105,12 @@
 }
 
 /// Mean errors added to the expected time for an upper bound.
-const SAFE_ERRORS: f64 = 4.0;
+const ERROR_FACTOR: f64 = 4.0;
 
 /// Samples that weigh most in the mean error.
 const ERROR_WINDOW: u32 = 200;
 
-const FADE: f64 = 0.995;
+const DECAY: f64 = 0.995;
 
 impl FirstTokenModel {
     /// Adds the measured time to first token of a prompt with this many tokens.
@@ -120,16 +120,16 @@
             let error = (y - self.estimate(tokens).as_secs_f64()).abs();
             self.error.add(error, ERROR_WINDOW);
         }
-        self.weight = self.weight * FADE + 1.0;
-        self.sum_x = self.sum_x * FADE + x;
-        self.sum_y = self.sum_y * FADE + y;
-        self.sum_xx = self.sum_xx * FADE + x * x;
-        self.sum_xy = self.sum_xy * FADE + x * y;
+        self.weight = self.weight * DECAY + 1.0;
+        self.sum_x = self.sum_x * DECAY + x;
+        self.sum_y = self.sum_y * DECAY + y;
+        self.sum_xx = self.sum_xx * DECAY + x * x;
+        self.sum_xy = self.sum_xy * DECAY + x * y;
     }
 
     /// Upper bound that the time to first token of such a prompt seldom exceeds.
     pub fn estimate_high(&self, tokens: u32) -> Duration {
-        let error = self.error.get().unwrap_or_default() * SAFE_ERRORS;
+        let error = self.error.get().unwrap_or_default() * ERROR_FACTOR;
         self.estimate(tokens) + Duration::from_secs_f64(error)
     }
 
--- a/kernel/src/dispatch/fair.rs
+++ b/kernel/src/dispatch/fair.rs
@@ -56,13 +56,13 @@
 #[derive(Debug)]
 pub struct FairQueue {
     lead: u64,
-    floor: u64,
-    ceiling: u64,
-    weight: u64,
+    virtual_time: u64,
+    max_start: u64,
+    total_weight: u64,
     len: usize,
     cost: u64,
     shares: Arena<WorkspaceShare>,
-    names: BTreeMap<WorkspaceId, ShareKey>,
+    keys: BTreeMap<WorkspaceId, ShareKey>,
     starts: BTreeSet<(u64, ShareKey)>,
     eligible: BTreeSet<(Duration, ShareKey)>,
     buckets: BTreeMap<u64, u64>,
@@ -83,13 +83,13 @@
     pub fn with_lead(lead: u64) -> Self {
         Self {
             lead: lead.saturating_mul(TAG_SCALE),
-            floor: 0,
-            ceiling: 0,
-            weight: 0,
+            virtual_time: 0,
+            max_start: 0,
+            total_weight: 0,
             len: 0,
             cost: 0,
             shares: Arena::default(),
-            names: BTreeMap::new(),
+            keys: BTreeMap::new(),
             starts: BTreeSet::new(),
             eligible: BTreeSet::new(),
             buckets: BTreeMap::new(),
@@ -132,16 +132,16 @@
 
     /// Removes a call; returns whether it was queued.
     pub fn remove(&mut self, item: QueueItem) -> bool {
-        let Some(key) = self.names.get(&item.workspace).copied() else {
+        let Some(key) = self.keys.get(&item.workspace).copied() else {
             return false;
         };
         self.detach(key);
         let found = self.shares[key].queue.remove(&(item.deadline, item.key));
         if found {
-            self.count_out(key, item);
+            self.subtract(key, item);
         }
         self.attach(key);
-        self.forget_when_idle();
+        self.reset_when_empty();
         found
     }
 
@@ -154,17 +154,17 @@
         let share = &mut self.shares[key];
         share.queue.pop_first();
         share.start += item.cost * TAG_SCALE / share.weight;
-        self.ceiling = self.ceiling.max(share.start);
-        self.count_out(key, item);
+        self.max_start = self.max_start.max(share.start);
+        self.subtract(key, item);
         self.attach(key);
-        self.forget_when_idle();
+        self.reset_when_empty();
     }
 
-    fn count_out(&mut self, key: ShareKey, item: QueueItem) {
+    fn subtract(&mut self, key: ShareKey, item: QueueItem) {
         self.shares[key].cost -= item.cost;
         self.len -= 1;
         self.cost -= item.cost;
-        self.take_bucket(bucket_of(item.deadline), item.cost);
+        self.subtract_from_bucket(bucket_of(item.deadline), item.cost);
     }
 
     /// The call to serve next, or `None` if the queue is empty.
@@ -192,9 +192,9 @@
         };
         self.detach(key);
         self.shares[key].start = start;
-        self.ceiling = self.ceiling.max(start);
+        self.max_start = self.max_start.max(start);
         self.attach(key);
-        self.forget_when_idle();
+        self.reset_when_empty();
     }
 
     /// Estimated cost queued with a deadline up to this one, rounded up to the end of its interval.
@@ -207,28 +207,28 @@
 
     /// Cost served, at fair shares, before a call that the workspace would queue now.
     pub fn fair_cost_before(&self, workspace: WorkspaceId, weight: u32) -> u64 {
-        let share = self.names.get(&workspace).map(|key| &self.shares[*key]);
+        let share = self.keys.get(&workspace).map(|key| &self.shares[*key]);
         let own = share.map_or(0, |share| share.cost);
         let weight = u64::from(weight.max(1));
         let others = match share {
-            Some(share) if !share.queue.is_empty() => self.weight,
-            _ => self.weight + weight,
+            Some(share) if !share.queue.is_empty() => self.total_weight,
+            _ => self.total_weight + weight,
         };
         (own / weight).saturating_mul(others).min(self.cost)
     }
 
     fn share(&mut self, workspace: WorkspaceId) -> ShareKey {
-        if let Some(key) = self.names.get(&workspace) {
+        if let Some(key) = self.keys.get(&workspace) {
             return *key;
         }
         let key = self.shares.insert(WorkspaceShare {
             weight: 1,
-            start: self.floor,
+            start: self.virtual_time,
             eligible: false,
             cost: 0,
             queue: BTreeSet::new(),
         });
-        self.names.insert(workspace, key);
+        self.keys.insert(workspace, key);
         key
     }
 
@@ -237,7 +237,7 @@
         let Some((head, _)) = share.queue.first() else {
             return;
         };
-        self.weight -= share.weight;
+        self.total_weight -= share.weight;
         self.starts.remove(&(share.start, key));
         if share.eligible {
             self.eligible.remove(&(*head, key));
@@ -248,27 +248,27 @@
     fn attach(&mut self, key: ShareKey) {
         let share = &mut self.shares[key];
         if let Some((head, _)) = share.queue.first() {
-            share.start = share.start.max(self.floor);
-            self.weight += share.weight;
+            share.start = share.start.max(self.virtual_time);
+            self.total_weight += share.weight;
             self.starts.insert((share.start, key));
-            share.eligible = share.start <= self.floor + self.lead;
+            share.eligible = share.start <= self.virtual_time + self.lead;
             if share.eligible {
                 self.eligible.insert((*head, key));
             }
         }
-        self.raise_floor();
+        self.advance_virtual_time();
     }
 
-    fn raise_floor(&mut self) {
+    fn advance_virtual_time(&mut self) {
         let Some((least, _)) = self.starts.first() else {
             return;
         };
-        if *least <= self.floor {
+        if *least <= self.virtual_time {
             return;
         }
-        let before = self.floor + self.lead;
-        self.floor = *least;
-        let after = self.floor + self.lead;
+        let before = self.virtual_time + self.lead;
+        self.virtual_time = *least;
+        let after = self.virtual_time + self.lead;
         let from = (before, ArenaKey::last());
         let to = (after, ArenaKey::last());
         for (_, key) in self.starts.range(from..=to) {
@@ -281,22 +281,22 @@
         }
     }
 
-    fn take_bucket(&mut self, bucket: u64, cost: u64) {
-        let Some(held) = self.buckets.get_mut(&bucket) else {
+    fn subtract_from_bucket(&mut self, bucket: u64, cost: u64) {
+        let Some(queued) = self.buckets.get_mut(&bucket) else {
             return;
         };
-        *held -= cost;
-        if *held == 0 {
+        *queued -= cost;
+        if *queued == 0 {
             self.buckets.remove(&bucket);
         }
     }
 
     /// Resets all shares once the queue is empty: past use counts only while calls are queued.
-    fn forget_when_idle(&mut self) {
+    fn reset_when_empty(&mut self) {
         if self.len == 0 {
-            self.floor = self.floor.max(self.ceiling);
+            self.virtual_time = self.virtual_time.max(self.max_start);
             self.shares = Arena::default();
-            self.names.clear();
+            self.keys.clear();
         }
     }
 }
--- a/kernel/src/dispatch/finished.rs
+++ b/kernel/src/dispatch/finished.rs
@@ -7,15 +7,15 @@
 use crate::ids::AttemptId;
 
 /// How long a finished attempt is retained.
-const REMEMBERED: Duration = Duration::from_mins(1);
+const RETENTION: Duration = Duration::from_mins(1);
 
 /// Most attempts that are retained.
-const MOST_REMEMBERED: usize = 131_072;
+const MAX_RETAINED: usize = 131_072;
 
 /// Attempts that are finished, or were cancelled before they were offered.
 #[derive(Debug, Default)]
 pub struct FinishedAttempts {
-    known: BTreeSet<AttemptId>,
+    attempts: BTreeSet<AttemptId>,
     order: VecDeque<(Duration, AttemptId)>,
 }
 
@@ -23,34 +23,34 @@
     /// Records an attempt as finished.
     pub fn add(&mut self, now: Duration, attempt: AttemptId) {
         self.expire(now);
-        if self.known.insert(attempt) {
+        if self.attempts.insert(attempt) {
             self.order.push_back((now, attempt));
         }
     }
 
     /// Whether the attempt is recorded as finished.
     pub fn contains(&self, attempt: AttemptId) -> bool {
-        self.known.contains(&attempt)
+        self.attempts.contains(&attempt)
     }
 
     /// Drops attempts that have expired.
     pub fn expire(&mut self, now: Duration) {
         while let Some((at, attempt)) = self.order.front().copied() {
-            if now < at + REMEMBERED && self.order.len() < MOST_REMEMBERED {
+            if now < at + RETENTION && self.order.len() < MAX_RETAINED {
                 return;
             }
-            self.known.remove(&attempt);
+            self.attempts.remove(&attempt);
             self.order.pop_front();
         }
     }
 
     /// Number of attempts retained.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.attempts.len()
     }
 
     /// Whether no attempt is retained.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.attempts.is_empty()
     }
 }
--- a/kernel/src/dispatch/floors.rs
+++ b/kernel/src/dispatch/floors.rs
@@ -9,21 +9,21 @@
 const DEFAULT_FLOOR: f64 = 0.05;
 
 /// Smallest floor of a lower tier, whatever the configuration says.
-const LEAST_FLOOR: f64 = 0.01;
+const MIN_FLOOR: f64 = 0.01;
 
 /// Largest sum of all floors of one pool.
-const MOST_FLOORS: f64 = 0.9;
+const MAX_TOTAL_FLOOR: f64 = 0.9;
 
 /// Most credit that a tier accumulates while below its floor, in seconds of the floor.
-const CATCH_UP: f64 = 1.0;
+const MAX_CREDIT: f64 = 1.0;
 
 /// Slots that a tier may use to catch up, relative to its floor. Runs are long, so a slot taken now
 /// stays taken.
-const MOST_TO_CATCH_UP: f64 = 1.25;
+const CATCH_UP_FACTOR: f64 = 1.25;
 
 /// Most debt that a tier accumulates, in seconds of the floor, so that a floor of half a slot is
 /// met on average.
-const AHEAD: f64 = 0.3;
+const MAX_DEBT: f64 = 0.3;
 
 /// Tracks whether one tier of one pool gets its floor.
 #[derive(Clone, Copy, Debug, Default)]
@@ -31,19 +31,19 @@
     /// Floor as a fraction of the pool's slots, from 0 to 1.
     pub share: f64,
     credit: f64,
-    settled: Duration,
+    updated: Duration,
 }
 
 impl TierFloor {
     /// Adds the time since the last update to the credit: the floor less the slots in use, in
     /// slot-seconds.
-    pub fn settle(&mut self, now: Duration, slots: u32, running: u32, waiting: bool) {
-        let time = now.saturating_sub(self.settled).as_secs_f64();
-        self.settled = now;
+    pub fn update_credit(&mut self, now: Duration, slots: u32, running: u32, waiting: bool) {
+        let time = now.saturating_sub(self.updated).as_secs_f64();
+        self.updated = now;
         let floor = self.slots(slots);
         self.credit += (floor - f64::from(running)) * time;
-        let most = if waiting { floor * CATCH_UP } else { 0.0 };
-        self.credit = self.credit.clamp(-floor * AHEAD, most);
+        let most = if waiting { floor * MAX_CREDIT } else { 0.0 };
+        self.credit = self.credit.clamp(-floor * MAX_DEBT, most);
     }
 
     /// The floor, in slots.
@@ -54,7 +54,7 @@
     /// Whether the next free slot goes to this tier regardless of queued work in higher tiers.
     pub fn is_due(&self, slots: u32, running: u32) -> bool {
         let floor = self.slots(slots);
-        let may_catch_up = f64::from(running) < (floor * MOST_TO_CATCH_UP).ceil();
+        let may_catch_up = f64::from(running) < (floor * CATCH_UP_FACTOR).ceil();
         f64::from(running + 1) <= floor || (self.credit > 0.0 && may_catch_up)
     }
 
@@ -71,19 +71,19 @@
     if tier.0 == 0 {
         return 0.0;
     }
-    let clean = |share: f64| {
+    let sanitize = |share: f64| {
         if share.is_nan() {
-            LEAST_FLOOR
+            MIN_FLOOR
         } else {
-            share.clamp(LEAST_FLOOR, 1.0)
+            share.clamp(MIN_FLOOR, 1.0)
         }
     };
     let total: f64 = config
         .tiers
         .iter()
         .filter(|(tier, _)| tier.0 > 0)
-        .map(|(_, share)| clean(*share))
+        .map(|(_, share)| sanitize(*share))
         .sum();
-    let share = clean(config.tiers.get(&tier).copied().unwrap_or(DEFAULT_FLOOR));
-    share * (MOST_FLOORS / total.max(MOST_FLOORS))
+    let share = sanitize(config.tiers.get(&tier).copied().unwrap_or(DEFAULT_FLOOR));
+    share * (MAX_TOTAL_FLOOR / total.max(MAX_TOTAL_FLOOR))
 }
--- a/kernel/src/dispatch/health.rs
+++ b/kernel/src/dispatch/health.rs
@@ -4,19 +4,19 @@
 use std::time::Duration;
 
 /// Time for which an upstream without a load report counts as unproven after a change of owner.
-const UNPROVEN: Duration = Duration::from_secs(1);
+const UNPROVEN_TIME: Duration = Duration::from_secs(1);
 
 /// Duration of the first ejection; each further one doubles it.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
 
 /// Longest ejection.
-const LONGEST_EJECTION: Duration = Duration::from_secs(4);
+const MAX_EJECTION: Duration = Duration::from_secs(4);
 
 /// Failure score at which an upstream is ejected.
-const STRIKES: u32 = 3;
+const EJECTION_SCORE: u32 = 3;
 
 /// Time in service after which earlier ejections no longer lengthen the next one.
-const FORGIVEN_AFTER: Duration = Duration::from_mins(1);
+const EJECTION_RESET: Duration = Duration::from_mins(1);
 
 /// Whether an upstream may be assigned work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -55,7 +55,7 @@
 pub struct EngineHealth {
     /// Current state.
     pub state: HealthState,
-    strikes: u32,
+    failure_score: u32,
     ejections: u32,
     healthy_since: Duration,
 }
@@ -80,11 +80,11 @@
     /// Applies the transitions that are due by `now`.
     pub fn tick(&mut self, now: Duration) {
         match self.state {
-            HealthState::Unproven { since } if now >= since + UNPROVEN => self.admit(now),
+            HealthState::Unproven { since } if now >= since + UNPROVEN_TIME => self.admit(now),
             HealthState::Ejected { until } if now >= until => {
                 self.state = HealthState::Probing { running: false };
             }
-            HealthState::Healthy if now >= self.healthy_since + FORGIVEN_AFTER => {
+            HealthState::Healthy if now >= self.healthy_since + EJECTION_RESET => {
                 self.ejections = 0;
             }
             _ => {}
@@ -100,16 +100,16 @@
 
     /// Records that it produces tokens or responses, which resets the failure score.
     pub fn record_progress(&mut self) {
-        self.strikes = 0;
+        self.failure_score = 0;
     }
 
     /// Records a failure; returns whether it took the upstream out of service.
-    pub fn record_failure(&mut self, now: Duration, sign: FailureSeverity) -> bool {
-        self.strikes += match sign {
+    pub fn record_failure(&mut self, now: Duration, severity: FailureSeverity) -> bool {
+        self.failure_score += match severity {
             FailureSeverity::Minor => 1,
             FailureSeverity::Major => 2,
         };
-        if self.strikes < STRIKES && self.in_service() {
+        if self.failure_score < EJECTION_SCORE && self.in_service() {
             return false;
         }
         self.eject(now)
@@ -123,9 +123,9 @@
         let was_in_service = self.in_service();
         let pause = FIRST_EJECTION.saturating_mul(1 << self.ejections.min(16));
         self.ejections += 1;
-        self.strikes = 0;
+        self.failure_score = 0;
         self.state = HealthState::Ejected {
-            until: now + pause.min(LONGEST_EJECTION),
+            until: now + pause.min(MAX_EJECTION),
         };
         was_in_service
     }
@@ -136,7 +136,7 @@
             HealthState::Ejected { until: earlier } => earlier.max(until),
             _ => until,
         };
-        self.strikes = 0;
+        self.failure_score = 0;
         self.state = HealthState::Ejected { until };
     }
 
@@ -151,7 +151,7 @@
     /// Puts it into service.
     pub fn admit(&mut self, now: Duration) {
         self.state = HealthState::Healthy;
-        self.strikes = 0;
+        self.failure_score = 0;
         self.healthy_since = now;
     }
 }
--- a/kernel/src/dispatch/pool.rs
+++ b/kernel/src/dispatch/pool.rs
@@ -79,7 +79,7 @@
     pub(super) config: Arc<Config>,
     pub(super) median: Option<f64>,
     pub(super) stall_deadlines: BTreeSet<(Duration, WorkKey)>,
-    pub(super) ejected: Vec<UpstreamId>,
+    pub(super) newly_ejected: Vec<UpstreamId>,
 }
 
 impl PoolState {
@@ -91,7 +91,7 @@
         plain: bool,
         owned: &BTreeMap<UpstreamId, u32>,
     ) {
-        self.settle(now);
+        self.update_floors(now);
         self.config = Arc::clone(config);
         self.plain = plain;
         for (tier, state) in &mut self.tiers {
@@ -165,39 +165,39 @@
                 ..TierState::default()
             };
             state.floor.share = floor_share(config, tier);
-            state.floor.settle(now, 0, 0, false);
+            state.floor.update_credit(now, 0, 0, false);
             state
         })
     }
 
     /// Adds work to the queue of its tier.
-    pub fn enqueue(&mut self, now: Duration, key: WorkKey, held: &WorkItem) {
-        let weight = self.weight(held.work.spec.workspace);
-        self.tier(now, held.work.spec.tier)
-            .enqueue(key, held, weight);
+    pub fn enqueue(&mut self, now: Duration, key: WorkKey, item: &WorkItem) {
+        let weight = self.weight(item.work.spec.workspace);
+        self.tier(now, item.work.spec.tier)
+            .enqueue(key, item, weight);
     }
 
     /// Removes queued work from the queue of its tier.
-    pub fn dequeue(&mut self, key: WorkKey, held: &WorkItem) {
-        if let Some(tier) = self.tiers.get_mut(&held.work.spec.tier) {
-            tier.dequeue(key, held);
+    pub fn dequeue(&mut self, key: WorkKey, item: &WorkItem) {
+        if let Some(tier) = self.tiers.get_mut(&item.work.spec.tier) {
+            tier.dequeue(key, item);
         }
     }
 
     /// Updates the floor credits for the time that passed. Must be called before any change to the
     /// slots in use.
-    pub fn settle(&mut self, now: Duration) {
+    pub fn update_floors(&mut self, now: Duration) {
         let slots = self.slots();
         for tier in self.tiers.values_mut() {
             let waiting = !tier.queue.is_empty();
-            tier.floor.settle(now, slots, tier.running, waiting);
+            tier.floor.update_credit(now, slots, tier.running, waiting);
         }
     }
 
     /// Rejects work that can no longer start in time, starts what fits into the free slots, and
     /// preempts lower tiers for urgent work.
     pub fn fill(&mut self, now: Duration, arena: &mut WorkArena, out: &mut Vec<Decision>) {
-        self.settle(now);
+        self.update_floors(now);
         self.check_stalls(now, arena, out);
         self.expire(now, arena, out);
         let slots = self.slots();
@@ -263,10 +263,10 @@
     }
 
     fn start(&mut self, now: Duration, key: WorkKey, upstream: UpstreamId, arena: &mut WorkArena) {
-        let held = &mut arena[key];
-        let prompt = held.work.spec.prompt_tokens + held.work.resume_from;
+        let item = &mut arena[key];
+        let prompt = item.work.spec.prompt_tokens + item.work.resume_from;
         let stall_due = self.stall_timeout(prompt).map(|patience| now + patience);
-        held.run = Some(WorkRun {
+        item.run = Some(WorkRun {
             upstream,
             started: now,
             sent: false,
@@ -275,7 +275,7 @@
             stall_due,
             stop: None,
         });
-        let spec = held.work.spec;
+        let spec = item.work.spec;
         if let Some(engine) = self.engines.get_mut(&upstream) {
             engine.set_in_flight(now, engine.in_flight + 1);
             if let HealthState::Probing { running } = &mut engine.health.state {
@@ -287,19 +287,19 @@
         }
         let tier = self.tier(now, spec.tier);
         tier.running += 1;
-        tier.serve(key, held);
-        tier.add_victim(key, held);
+        tier.serve(key, item);
+        tier.add_victim(key, item);
     }
 
     /// Asks a run to stop, so that it is requeued once its slot is free, or dropped if it was
     /// cancelled. Returns whether this is the first request to stop it.
     pub fn stop(&mut self, key: WorkKey, cause: StopCause, arena: &mut WorkArena) -> bool {
-        let held = &mut arena[key];
-        let Some(tier) = self.tiers.get_mut(&held.work.spec.tier) else {
+        let item = &mut arena[key];
+        let Some(tier) = self.tiers.get_mut(&item.work.spec.tier) else {
             return false;
         };
-        tier.remove_victim(key, held);
-        let Some(run) = &mut held.run else {
+        tier.remove_victim(key, item);
+        let Some(run) = &mut item.run else {
             return false;
         };
         let before = run.stop;
--- a/kernel/src/dispatch/preemption.rs
+++ b/kernel/src/dispatch/preemption.rs
@@ -9,19 +9,19 @@
 use crate::ids::UpstreamId;
 
 /// Most queued calls of a tier that are checked for missing their latest start.
-const MOST_AT_RISK: usize = 16;
+const MAX_AT_RISK: usize = 16;
 
 /// Safety factor on the expected time until a slot becomes free.
-const MARGIN: f64 = 1.5;
+const SLOT_WAIT_FACTOR: f64 = 1.5;
 
 /// Seconds from the request to stop a run until its slot is free, while there are no samples.
-const STOP_GUESS: f64 = 0.02;
+const DEFAULT_STOP_TIME: f64 = 0.02;
 
 /// Multiple of the expected time to first token after which a run counts as stalled.
 const STALL_FACTOR: u32 = 4;
 
 /// Shortest time without a token after which a run counts as stalled.
-const STALL_LEAST: Duration = Duration::from_millis(200);
+const MIN_STALL_TIME: Duration = Duration::from_millis(200);
 
 impl PoolState {
     /// Stops runs of lower tiers for queued work that would miss its latest start if it waited for
@@ -33,19 +33,19 @@
         arena: &mut WorkArena,
         out: &mut Vec<Decision>,
     ) {
-        let mut coming: u32 = self.tiers.values().map(|tier| tier.stopping).sum();
+        let mut freeing: u32 = self.tiers.values().map(|tier| tier.stopping).sum();
         let mut next = self.tier_after(None);
         while let Some(tier) = next {
             let needed = self.at_risk(now, tier);
-            while coming < needed {
+            while freeing < needed {
                 let Some(victim) = self.victim_below(tier) else {
                     return;
                 };
                 self.stop(victim, StopCause::Preempted, arena);
                 out.push(Decision::Stop(victim));
-                coming += 1;
+                freeing += 1;
             }
-            coming = coming.saturating_sub(needed);
+            freeing = freeing.saturating_sub(needed);
             next = self.tier_after(Some(tier));
         }
     }
@@ -62,14 +62,14 @@
         };
         let hold = self.timing.run_time.get().unwrap_or(1.0);
         let gap = hold / f64::from(self.running().max(1));
-        let stop = self.timing.stop_time.get().unwrap_or(STOP_GUESS);
+        let stop = self.timing.stop_time.get().unwrap_or(DEFAULT_STOP_TIME);
         let wait = |rank: usize| {
-            let seconds = rank as f64 * gap * MARGIN + stop;
+            let seconds = rank as f64 * gap * SLOT_WAIT_FACTOR + stop;
             now + Duration::from_secs_f64(seconds.min(3_600.0))
         };
-        let longest = wait(MOST_AT_RISK);
+        let longest = wait(MAX_AT_RISK);
         let mut needed = 0;
-        for (index, (latest, _)) in state.expiry.iter().take(MOST_AT_RISK).enumerate() {
+        for (index, (latest, _)) in state.expiry.iter().take(MAX_AT_RISK).enumerate() {
             if *latest >= longest {
                 break;
             }
@@ -95,7 +95,7 @@
     pub(super) fn stall_timeout(&self, prompt: u32) -> Option<Duration> {
         let expected = self.timing.first_token.estimate(prompt);
         (expected > Duration::ZERO && !self.plain)
-            .then(|| (expected * STALL_FACTOR).max(STALL_LEAST))
+            .then(|| (expected * STALL_FACTOR).max(MIN_STALL_TIME))
     }
 
     /// Records a failure of each upstream with an overdue first token, and moves the affected runs
@@ -111,13 +111,13 @@
                 break;
             }
             self.stall_deadlines.pop_first();
-            let Some(run) = arena.get(key).and_then(|held| held.run) else {
+            let Some(run) = arena.get(key).and_then(|item| item.run) else {
                 continue;
             };
             self.record_failure(now, run.upstream, FailureSeverity::Minor);
             self.move_run(key, arena, out);
         }
-        while let Some(upstream) = self.ejected.pop() {
+        while let Some(upstream) = self.newly_ejected.pop() {
             self.move_runs_off(upstream, arena, out);
         }
     }
@@ -127,7 +127,7 @@
         &mut self,
         now: Duration,
         upstream: UpstreamId,
-        sign: FailureSeverity,
+        severity: FailureSeverity,
     ) {
         let Some(engine) = self.engines.get_mut(&upstream) else {
             return;
@@ -135,8 +135,8 @@
         if !self.settings.ejection {
             return;
         }
-        if engine.health.record_failure(now, sign) {
-            self.ejected.push(upstream);
+        if engine.health.record_failure(now, severity) {
+            self.newly_ejected.push(upstream);
         }
     }
 
@@ -152,7 +152,7 @@
             .iter()
             .map(|(_, key)| *key)
             .filter(|key| {
-                let run = arena.get(*key).and_then(|held| held.run);
+                let run = arena.get(*key).and_then(|item| item.run);
                 run.is_some_and(|run| run.upstream == upstream)
             })
             .collect();
@@ -162,8 +162,8 @@
     }
 
     fn move_run(&mut self, key: WorkKey, arena: &mut WorkArena, out: &mut Vec<Decision>) {
-        let held = &arena[key];
-        let Some(run) = held.run else {
+        let item = &arena[key];
+        let Some(run) = item.run else {
             return;
         };
         let elsewhere = self.engines.iter().any(|(upstream, engine)| {
@@ -174,7 +174,7 @@
         });
         if run.tokens == 0
             && elsewhere
-            && held.can_move()
+            && item.can_move()
             && self.stop(key, StopCause::Moved, arena)
         {
             out.push(Decision::Stop(key));
--- a/kernel/src/dispatch/replies.rs
+++ b/kernel/src/dispatch/replies.rs
@@ -16,7 +16,7 @@
             .unwrap_or_default()
     }
 
-    pub(super) fn answer_returned(
+    pub(super) fn send_returned(
         &mut self,
         entry: NodeId,
         work: &WorkSpec,
@@ -38,7 +38,7 @@
     }
 
     /// Returns an offer that was not accepted.
-    pub(super) fn give_back(
+    pub(super) fn return_offer(
         &mut self,
         entry: NodeId,
         work: WorkSpec,
@@ -46,25 +46,25 @@
         context: &mut Context<'_>,
     ) {
         self.finished.add(context.now, work.attempt);
-        self.answer_returned(entry, &work, reason, context);
+        self.send_returned(entry, &work, reason, context);
     }
 
-    pub(super) fn answer_ended(
+    pub(super) fn send_ended(
         &mut self,
-        held: &WorkItem,
+        item: &WorkItem,
         end: AttemptEnd,
         context: &mut Context<'_>,
     ) {
-        let pool = held.work.spec.pool;
+        let pool = item.work.spec.pool;
         let load = self.load(pool);
         self.notifier
-            .record_sent(context.now, pool, held.entry, load);
-        let attempt = held.work.attempt;
-        context.send(held.entry, WorkMessage::Ended { attempt, end, load });
+            .record_sent(context.now, pool, item.entry, load);
+        let attempt = item.work.attempt;
+        context.send(item.entry, WorkMessage::Ended { attempt, end, load });
     }
 
     /// Returns all queued work of a pool to its entry nodes.
-    pub(super) fn hand_back(
+    pub(super) fn return_queued(
         &mut self,
         pool: PoolId,
         reason: ReturnReason,
@@ -73,36 +73,41 @@
         let waiting: Vec<WorkKey> = self
             .arena
             .iter()
-            .filter(|(_, held)| held.work.spec.pool == pool && held.run.is_none())
+            .filter(|(_, item)| item.work.spec.pool == pool && item.run.is_none())
             .map(|(key, _)| key)
             .collect();
         for key in waiting {
-            self.withdraw(key);
-            let Some(held) = self.drop_work(key, context.now) else {
+            self.dequeue(key);
+            let Some(item) = self.drop_work(key, context.now) else {
                 continue;
             };
-            self.answer_waiting(&held, reason, context);
+            self.send_dequeued(&item, reason, context);
         }
     }
 
     /// Replies for work that left the queue. It is reported as not run only if no earlier run of it
     /// can have reached an upstream.
-    pub(super) fn answer_waiting(
+    pub(super) fn send_dequeued(
         &mut self,
-        held: &WorkItem,
+        item: &WorkItem,
         reason: ReturnReason,
         context: &mut Context<'_>,
     ) {
-        if held.ran || held.forwarded > 0 {
-            let tokens = held.forwarded;
-            self.answer_ended(held, AttemptEnd::Cancelled { tokens }, context);
+        if item.ran || item.forwarded > 0 {
+            let tokens = item.forwarded;
+            self.send_ended(item, AttemptEnd::Cancelled { tokens }, context);
         } else {
-            self.answer_returned(held.entry, &held.work, reason, context);
+            self.send_returned(item.entry, &item.work, reason, context);
         }
     }
 
     /// Answers an entry node's query which of its attempts are still queued or running here.
-    pub(super) fn asked(&self, from: NodeId, attempts: &[AttemptId], context: &mut Context<'_>) {
+    pub(super) fn answer_query(
+        &self,
+        from: NodeId,
+        attempts: &[AttemptId],
+        context: &mut Context<'_>,
+    ) {
         let holds = |attempt: &AttemptId| self.attempts.contains_key(attempt);
         let (held, missing) = attempts.iter().copied().partition(holds);
         context.send(from, WorkMessage::Held { held, missing });
--- a/kernel/src/dispatch/runs.rs
+++ b/kernel/src/dispatch/runs.rs
@@ -13,13 +13,13 @@
 
 /// Multiple of the pool's median seconds per token above which an upstream is ejected as a
 /// straggler.
-const STRAGGLER: f64 = 3.0;
+const STRAGGLER_FACTOR: f64 = 3.0;
 
 /// Multiple of the pool's median seconds per token up to which a straggler counts as recovered.
-const RECOVERED: f64 = 2.0;
+const RECOVERY_FACTOR: f64 = 2.0;
 
 /// Speed samples required before an upstream can be ejected as a straggler.
-const LEAST_SPEED_SAMPLES: u32 = 8;
+const MIN_SPEED_SAMPLES: u32 = 8;
 
 /// Speed samples that weigh most.
 const SPEED_WINDOW: u32 = 24;
@@ -43,18 +43,18 @@
         tokens: u32,
         arena: &mut WorkArena,
     ) -> bool {
-        let held = &mut arena[key];
-        let Some(run) = held.run else {
+        let item = &mut arena[key];
+        let Some(run) = item.run else {
             return false;
         };
-        let fresh = tokens.saturating_sub(run.tokens);
-        if fresh == 0 {
+        let new_tokens = tokens.saturating_sub(run.tokens);
+        if new_tokens == 0 {
             return false;
         }
-        if let Some(tier) = self.tiers.get_mut(&held.work.spec.tier) {
-            tier.remove_victim(key, held);
+        if let Some(tier) = self.tiers.get_mut(&item.work.spec.tier) {
+            tier.remove_victim(key, item);
         }
-        let prompt = held.work.spec.prompt_tokens + held.work.resume_from;
+        let prompt = item.work.spec.prompt_tokens + item.work.resume_from;
         if run.tokens == 0 {
             self.clear_stall_deadline(key, &run);
             self.timing
@@ -62,38 +62,38 @@
                 .add(prompt, now.saturating_sub(run.started));
         } else {
             let time = now.saturating_sub(run.last_token).as_secs_f64();
-            self.speed_sample(run.upstream, time / f64::from(fresh));
+            self.speed_sample(run.upstream, time / f64::from(new_tokens));
         }
         if let Some(engine) = self.engines.get_mut(&run.upstream) {
             engine.health.record_progress();
             if run.tokens == 0 {
-                engine.prefixes.add(held.work.spec.prefix);
+                engine.prefixes.add(item.work.spec.prefix);
             }
         }
-        held.run = Some(WorkRun {
+        item.run = Some(WorkRun {
             tokens,
             last_token: now,
             ..run
         });
-        self.charge_excess(held, tokens);
+        self.charge_excess(item, tokens);
         if run.stop.is_none()
-            && let Some(tier) = self.tiers.get_mut(&held.work.spec.tier)
+            && let Some(tier) = self.tiers.get_mut(&item.work.spec.tier)
         {
-            tier.add_victim(key, held);
+            tier.add_victim(key, item);
         }
-        self.judge(now, run.upstream)
+        self.evaluate_speed(now, run.upstream)
     }
 
     /// Charges the workspace for tokens beyond the estimate as they are generated.
-    fn charge_excess(&mut self, held: &mut WorkItem, tokens: u32) {
-        let spent = cost_of(held.work.spec.prompt_tokens, tokens);
-        let Some(excess) = spent.checked_sub(held.cost).filter(|excess| *excess > 0) else {
+    fn charge_excess(&mut self, item: &mut WorkItem, tokens: u32) {
+        let spent = cost_of(item.work.spec.prompt_tokens, tokens);
+        let Some(excess) = spent.checked_sub(item.cost).filter(|excess| *excess > 0) else {
             return;
         };
-        held.cost = spent;
-        if let Some(tier) = self.tiers.get_mut(&held.work.spec.tier) {
+        item.cost = spent;
+        if let Some(tier) = self.tiers.get_mut(&item.work.spec.tier) {
             tier.queue
-                .charge(held.work.spec.workspace, excess.cast_signed());
+                .charge(item.work.spec.workspace, excess.cast_signed());
         }
     }
 
@@ -109,14 +109,14 @@
         };
         engine.speed.add(seconds, SPEED_WINDOW);
         let samples = engine.speed.samples();
-        if samples <= LEAST_SPEED_SAMPLES || samples.is_multiple_of(16) {
+        if samples <= MIN_SPEED_SAMPLES || samples.is_multiple_of(16) {
             self.median = median_speed(&self.engines);
         }
     }
 
     /// Ejects an upstream that is a straggler, or puts a recovered one back into service; returns
     /// whether either happened.
-    fn judge(&mut self, now: Duration, upstream: UpstreamId) -> bool {
+    fn evaluate_speed(&mut self, now: Duration, upstream: UpstreamId) -> bool {
         let others = self.in_service_beside(upstream);
         let most_are_fit = others * 2 >= self.engines.len();
         let Some(engine) = self.engines.get_mut(&upstream) else {
@@ -126,20 +126,20 @@
             return false;
         };
         let probing = matches!(engine.health.state, HealthState::Probing { .. });
-        let least = if probing { 2 } else { LEAST_SPEED_SAMPLES };
+        let least = if probing { 2 } else { MIN_SPEED_SAMPLES };
         if engine.speed.samples() < least || !self.settings.ejection {
             return false;
         }
-        if speed <= median * RECOVERED && !engine.health.in_service() {
+        if speed <= median * RECOVERY_FACTOR && !engine.health.in_service() {
             engine.health.admit(now);
             return true;
         }
-        if speed <= median * STRAGGLER || !(probing || most_are_fit) {
+        if speed <= median * STRAGGLER_FACTOR || !(probing || most_are_fit) {
             return false;
         }
         let was_in_service = engine.health.eject(now);
         if was_in_service {
-            self.ejected.push(upstream);
+            self.newly_ejected.push(upstream);
         }
         was_in_service
     }
@@ -159,38 +159,38 @@
         end: AttemptEnd,
         arena: &mut WorkArena,
     ) -> RunEnd {
-        self.settle(now);
-        let held = &mut arena[key];
-        let Some(run) = held.run.take() else {
+        self.update_floors(now);
+        let item = &mut arena[key];
+        let Some(run) = item.run.take() else {
             return RunEnd::Ended(end);
         };
-        self.release(now, key, held, &run);
+        self.release(now, key, item, &run);
         self.clear_stall_deadline(key, &run);
-        self.learn(now, held, &run, end);
-        let ran_before = held.ran;
-        held.ran |= run.sent;
+        self.record_run(now, item, &run, end);
+        let ran_before = item.ran;
+        item.ran |= run.sent;
         let tokens = tokens_of(end);
-        if self.goes_on(held, &run, end) {
-            held.forwarded += tokens;
-            held.work.resume_from += tokens;
-            held.requeues += 1;
-            if held.may_have_run() {
+        if self.should_requeue(item, &run, end) {
+            item.forwarded += tokens;
+            item.work.resume_from += tokens;
+            item.requeues += 1;
+            if item.may_have_run() {
                 // The caller waits for the next token, so the work is due now.
-                held.deadline = now;
+                item.deadline = now;
             }
-            held.cost = self.remaining_cost(held);
+            item.cost = self.remaining_cost(item);
             return RunEnd::Requeued;
         }
-        RunEnd::Ended(whole_end(held, ran_before, end))
+        RunEnd::Ended(total_end(item, ran_before, end))
     }
 
-    fn release(&mut self, now: Duration, key: WorkKey, held: &WorkItem, run: &WorkRun) {
-        if let Some(tier) = self.tiers.get_mut(&held.work.spec.tier) {
+    fn release(&mut self, now: Duration, key: WorkKey, item: &WorkItem, run: &WorkRun) {
+        if let Some(tier) = self.tiers.get_mut(&item.work.spec.tier) {
             tier.running -= 1;
             tier.stopping -= u32::from(run.stop.is_some());
             let with_run = WorkItem {
                 run: Some(*run),
-                ..*held
+                ..*item
             };
             tier.remove_victim(key, &with_run);
         }
@@ -201,18 +201,18 @@
             .retain(|_, engine| engine.owned || engine.in_flight > 0);
     }
 
-    fn learn(&mut self, now: Duration, held: &mut WorkItem, run: &WorkRun, end: AttemptEnd) {
-        let spec = held.work.spec;
+    fn record_run(&mut self, now: Duration, item: &mut WorkItem, run: &WorkRun, end: AttemptEnd) {
+        let spec = item.work.spec;
         let time = now.saturating_sub(run.started).as_secs_f64();
         let tokens = tokens_of(end);
         if let AttemptEnd::Complete { .. } = end {
-            self.outputs.observe(&spec, held.forwarded + tokens);
+            self.outputs.observe(&spec, item.forwarded + tokens);
             if self.plain {
                 self.timing
                     .first_token
                     .add(0, now.saturating_sub(run.started));
                 self.speed_sample(run.upstream, time);
-                self.judge(now, run.upstream);
+                self.evaluate_speed(now, run.upstream);
             }
         }
         let spent = cost_of(spec.prompt_tokens, tokens.max(run.tokens));
@@ -220,18 +220,18 @@
             self.timing.run_time.add(time, 500);
             self.timing.slot_rate.add(spent as f64 / time, 500);
         }
-        let charged = held.cost;
-        held.cost = spent;
+        let charged = item.cost;
+        item.cost = spent;
         if let Some(tier) = self.tiers.get_mut(&spec.tier) {
             let correction = spent.cast_signed() - charged.cast_signed();
             tier.queue.charge(spec.workspace, correction);
         }
-        self.judge_end(now, run, end);
+        self.record_health(now, run, end);
     }
 
-    fn judge_end(&mut self, now: Duration, run: &WorkRun, end: AttemptEnd) {
+    fn record_health(&mut self, now: Duration, run: &WorkRun, end: AttemptEnd) {
         match end {
-            AttemptEnd::Complete { .. } => self.judge_complete(now, run.upstream),
+            AttemptEnd::Complete { .. } => self.record_success(now, run.upstream),
             AttemptEnd::Refused => self.record_failure(now, run.upstream, FailureSeverity::Minor),
             AttemptEnd::Unsent | AttemptEnd::Broken { .. } => {
                 self.record_failure(now, run.upstream, FailureSeverity::Major);
@@ -246,7 +246,7 @@
         }
     }
 
-    fn judge_complete(&mut self, now: Duration, upstream: UpstreamId) {
+    fn record_success(&mut self, now: Duration, upstream: UpstreamId) {
         let Some(engine) = self.engines.get_mut(&upstream) else {
             return;
         };
@@ -255,7 +255,7 @@
             return;
         };
         let slow = match (engine.speed.get(), self.median) {
-            (Some(speed), Some(median)) => speed > median * RECOVERED,
+            (Some(speed), Some(median)) => speed > median * RECOVERY_FACTOR,
             _ => false,
         };
         if slow {
@@ -265,13 +265,13 @@
         }
     }
 
-    fn goes_on(&self, held: &WorkItem, run: &WorkRun, end: AttemptEnd) -> bool {
+    fn should_requeue(&self, item: &WorkItem, run: &WorkRun, end: AttemptEnd) -> bool {
         if run.stop == Some(StopCause::Cancelled) || !self.is_owned() {
             return false;
         }
         match end {
-            AttemptEnd::Cancelled { .. } => run.stop.is_some() && held.can_move(),
-            AttemptEnd::Unsent => !run.sent && held.requeues < MAX_REQUEUES && self.has_service(),
+            AttemptEnd::Cancelled { .. } => run.stop.is_some() && item.can_move(),
+            AttemptEnd::Unsent => !run.sent && item.requeues < MAX_REQUEUES && self.has_service(),
             _ => false,
         }
     }
@@ -283,10 +283,10 @@
     }
 
     /// Estimated cost of the rest of a call, after part of it was forwarded.
-    fn remaining_cost(&self, held: &WorkItem) -> u64 {
-        let spec = &held.work.spec;
+    fn remaining_cost(&self, item: &WorkItem) -> u64 {
+        let spec = &item.work.spec;
         let expected = self.outputs.tokens(spec);
-        let left = expected.saturating_sub(held.work.resume_from);
+        let left = expected.saturating_sub(item.work.resume_from);
         let left = left.max(expected / 4).max(1);
         cost_of(spec.prompt_tokens, left).max(TOKEN_COST)
     }
@@ -358,8 +358,8 @@
 /// The end that is sent to the entry node. It includes the tokens of earlier runs of the same
 /// attempt, and says that the attempt did not run only if no run of it can have reached an
 /// upstream.
-fn whole_end(held: &WorkItem, ran_before: bool, end: AttemptEnd) -> AttemptEnd {
-    let forwarded = held.forwarded;
+fn total_end(item: &WorkItem, ran_before: bool, end: AttemptEnd) -> AttemptEnd {
+    let forwarded = item.forwarded;
     match end {
         AttemptEnd::Complete { tokens } => AttemptEnd::Complete {
             tokens: forwarded + tokens,
@@ -370,7 +370,7 @@
         AttemptEnd::Cancelled { tokens } => AttemptEnd::Cancelled {
             tokens: forwarded + tokens,
         },
-        AttemptEnd::Unsent if held.ran => AttemptEnd::Broken { tokens: forwarded },
+        AttemptEnd::Unsent if item.ran => AttemptEnd::Broken { tokens: forwarded },
         AttemptEnd::Refused if ran_before => AttemptEnd::Broken { tokens: forwarded },
         AttemptEnd::Refused | AttemptEnd::Unsent => end,
     }
--- a/kernel/src/dispatch/state.rs
+++ b/kernel/src/dispatch/state.rs
@@ -72,8 +72,8 @@
 
 impl WorkDispatcher {
     /// Number of queued calls and number of running calls.
-    pub fn held(&self) -> (usize, usize) {
-        let running = self.arena.iter().filter(|(_, held)| held.run.is_some());
+    pub fn call_counts(&self) -> (usize, usize) {
+        let running = self.arena.iter().filter(|(_, item)| item.run.is_some());
         let running = running.count();
         (self.arena.len() - running, running)
     }
@@ -94,7 +94,7 @@
                 (pool, pool_value(state, name))
             })
             .collect();
-        let (queued, running) = self.held();
+        let (queued, running) = self.call_counts();
         json!({
             "queued": queued,
             "running": running,
--- a/kernel/src/dispatch/tier.rs
+++ b/kernel/src/dispatch/tier.rs
@@ -25,46 +25,46 @@
 }
 
 /// The queue's entry for a piece of work.
-pub fn queue_item(key: WorkKey, held: &WorkItem) -> QueueItem {
+pub fn queue_item(key: WorkKey, item: &WorkItem) -> QueueItem {
     QueueItem {
         key,
-        workspace: held.work.spec.workspace,
-        deadline: held.deadline,
-        cost: held.cost,
+        workspace: item.work.spec.workspace,
+        deadline: item.deadline,
+        cost: item.cost,
     }
 }
 
 impl TierState {
     /// Queues work for a workspace with this weight.
-    pub fn enqueue(&mut self, key: WorkKey, held: &WorkItem, weight: u32) {
-        self.queue.push(queue_item(key, held), weight);
-        if !held.may_have_run() {
-            self.expiry.insert((held.latest_start, key));
+    pub fn enqueue(&mut self, key: WorkKey, item: &WorkItem, weight: u32) {
+        self.queue.push(queue_item(key, item), weight);
+        if !item.may_have_run() {
+            self.expiry.insert((item.latest_start, key));
         }
     }
 
     /// Removes queued work.
-    pub fn dequeue(&mut self, key: WorkKey, held: &WorkItem) {
-        self.queue.remove(queue_item(key, held));
-        self.expiry.remove(&(held.latest_start, key));
+    pub fn dequeue(&mut self, key: WorkKey, item: &WorkItem) {
+        self.queue.remove(queue_item(key, item));
+        self.expiry.remove(&(item.latest_start, key));
     }
 
     /// Removes the first work in the queue to start it, and charges its cost to the workspace.
-    pub fn serve(&mut self, key: WorkKey, held: &WorkItem) {
-        self.queue.serve(queue_item(key, held));
-        self.expiry.remove(&(held.latest_start, key));
+    pub fn serve(&mut self, key: WorkKey, item: &WorkItem) {
+        self.queue.serve(queue_item(key, item));
+        self.expiry.remove(&(item.latest_start, key));
     }
 
     /// Adds a run to the preemption candidates, unless it may not be stopped.
-    pub fn add_victim(&mut self, key: WorkKey, held: &WorkItem) {
-        if held.can_move() {
-            self.victims.insert((held.restart_cost(), key));
+    pub fn add_victim(&mut self, key: WorkKey, item: &WorkItem) {
+        if item.can_move() {
+            self.victims.insert((item.restart_cost(), key));
         }
     }
 
     /// Removes a run from the preemption candidates.
-    pub fn remove_victim(&mut self, key: WorkKey, held: &WorkItem) {
-        self.victims.remove(&(held.restart_cost(), key));
+    pub fn remove_victim(&mut self, key: WorkKey, item: &WorkItem) {
+        self.victims.remove(&(item.restart_cost(), key));
     }
 
     /// Slots that the tier uses above its floor, out of `slots` in the pool.
--- a/kernel/src/keys.rs
+++ b/kernel/src/keys.rs
@@ -86,11 +86,11 @@
             return Err(KeyError::Malformed);
         }
         Ok(Self {
-            node: NodeId(number(node)?),
-            incarnation: Incarnation(number(incarnation)?),
-            sequence: number(sequence)?,
-            second: number(second)?,
-            mac: code(mac)?,
+            node: NodeId(parse_number(node)?),
+            incarnation: Incarnation(parse_number(incarnation)?),
+            sequence: parse_number(sequence)?,
+            second: parse_number(second)?,
+            mac: parse_mac(mac)?,
         })
     }
 
@@ -100,7 +100,7 @@
     }
 }
 
-fn number(text: &str) -> Result<u64, KeyError> {
+fn parse_number(text: &str) -> Result<u64, KeyError> {
     let canonical = !text.is_empty()
         && text.len() <= 16
         && (text.len() == 1 || !text.starts_with('0'))
@@ -111,7 +111,7 @@
     u64::from_str_radix(text, 16).map_err(|_| KeyError::Malformed)
 }
 
-fn code(text: &str) -> Result<[u8; MAC_BYTES], KeyError> {
+fn parse_mac(text: &str) -> Result<[u8; MAC_BYTES], KeyError> {
     if text.len() != 2 * MAC_BYTES || !text.bytes().all(lower_hex) {
         return Err(KeyError::Malformed);
     }
--- a/kernel/src/keys/outcomes.rs
+++ b/kernel/src/keys/outcomes.rs
@@ -19,9 +19,9 @@
 /// memory for retained responses to 64 MiB. A repeat of a larger response gets `unknown`.
 pub const MAX_ANSWER_BYTES: usize = 64 * 1_024;
 /// Shortest time for which an outcome is retained after its call ended.
-const KEEP: Duration = Duration::from_mins(5);
+const MIN_RETENTION: Duration = Duration::from_mins(5);
 /// Most calls with the same key that are accepted before one of them has run to an end.
-const MAX_CALLS: usize = 32;
+const MAX_CALLS_PER_KEY: usize = 32;
 
 /// Where a call came from, and therefore where its outcome is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -70,7 +70,7 @@
     state: KeyState,
     fingerprint: u64,
     /// Second of the kernel's clock until which the entry is retained.
-    until: u64,
+    expires: u64,
     /// Calls that ran or waited under this key, to detect duplicated messages.
     seen: Vec<CallId>,
     joined: Vec<(CallId, CallOrigin)>,
@@ -79,12 +79,12 @@
 /// The records of one workspace's keys.
 #[derive(Debug, Default)]
 struct WorkspaceKeys {
-    remembered: usize,
+    count: usize,
     /// Entries whose call is not running, by the second until which they are retained.
     expiry: BTreeSet<(u64, u64)>,
     answers: VecDeque<u64>,
     /// Keys with lower numbers may have been evicted.
-    floor: u64,
+    min_sequence: u64,
 }
 
 /// Outcomes by key, bounded in number and time.
@@ -96,7 +96,7 @@
     answers: VecDeque<u64>,
     workspaces: BTreeMap<WorkspaceId, WorkspaceKeys>,
     /// Calls whose retained responses may be discarded.
-    gone: Vec<CallId>,
+    discarded: Vec<CallId>,
 }
 
 impl KeyOutcomes {
@@ -113,22 +113,22 @@
         let sequence = key.sequence;
         let keys = self.workspaces.entry(workspace).or_default();
         if let Some(entry) = self.entries.get_mut(&sequence) {
-            let verdict = entry.admit(fingerprint, call, origin);
-            if verdict == KeyDecision::Run {
-                self.expiry.remove(&(entry.until, sequence));
-                keys.expiry.remove(&(entry.until, sequence));
+            let decision = entry.admit(fingerprint, call, origin);
+            if decision == KeyDecision::Run {
+                self.expiry.remove(&(entry.expires, sequence));
+                keys.expiry.remove(&(entry.expires, sequence));
             }
-            return verdict;
+            return decision;
         }
-        if sequence < keys.floor || key.age(now) > KEY_LIFETIME {
+        if sequence < keys.min_sequence || key.age(now) > KEY_LIFETIME {
             return KeyDecision::Expired;
         }
-        keys.remembered += 1;
+        keys.count += 1;
         let entry = KeyEntry {
             workspace,
             state: KeyState::Running(call),
             fingerprint,
-            until: key.second + KEY_LIFETIME.as_secs() + 1,
+            expires: key.second + KEY_LIFETIME.as_secs() + 1,
             seen: vec![call],
             joined: Vec::new(),
         };
@@ -153,12 +153,12 @@
             CallOutcome::NotRun { .. } => KeyState::NotRun,
             CallOutcome::Whole { .. } | CallOutcome::Unknown => KeyState::Ended(call, outcome),
         };
-        entry.until = entry.until.max((now + KEEP).as_secs());
+        entry.expires = entry.expires.max((now + MIN_RETENTION).as_secs());
         let joined = std::mem::take(&mut entry.joined);
-        let (workspace, until) = (entry.workspace, entry.until);
-        self.expiry.insert((until, sequence));
+        let (workspace, expires) = (entry.workspace, entry.expires);
+        self.expiry.insert((expires, sequence));
         let keys = self.workspaces.entry(workspace).or_default();
-        keys.expiry.insert((until, sequence));
+        keys.expiry.insert((expires, sequence));
         if matches!(outcome, CallOutcome::Whole { .. }) {
             self.answers.push_back(sequence);
             keys.answers.push_back(sequence);
@@ -177,7 +177,7 @@
         } else {
             None
         };
-        let key = if keys.remembered > MAX_WORKSPACE_KEYS {
+        let key = if keys.count > MAX_WORKSPACE_KEYS {
             keys.expiry.first().copied()
         } else {
             None
@@ -185,8 +185,8 @@
         if let Some(sequence) = answer {
             self.drop_answer(sequence);
         }
-        if let Some((until, sequence)) = key {
-            self.remove(until, sequence);
+        if let Some((expires, sequence)) = key {
+            self.remove(expires, sequence);
         }
     }
 
@@ -198,27 +198,27 @@
                 self.drop_answer(sequence);
             }
         }
-        while let Some(&(until, sequence)) = self.expiry.first() {
-            let old = until < now.as_secs();
+        while let Some(&(expires, sequence)) = self.expiry.first() {
+            let old = expires < now.as_secs();
             if !old && self.entries.len() <= MAX_KEYS {
                 break;
             }
-            self.remove(until, sequence);
+            self.remove(expires, sequence);
         }
-        std::mem::take(&mut self.gone)
+        std::mem::take(&mut self.discarded)
     }
 
     /// Removes a key. From now on no key of its workspace with this number or a lower one runs.
-    fn remove(&mut self, until: u64, sequence: u64) {
+    fn remove(&mut self, expires: u64, sequence: u64) {
         self.drop_answer(sequence);
-        self.expiry.remove(&(until, sequence));
+        self.expiry.remove(&(expires, sequence));
         let Some(entry) = self.entries.remove(&sequence) else {
             return;
         };
         let keys = self.workspaces.entry(entry.workspace).or_default();
-        keys.expiry.remove(&(until, sequence));
-        keys.remembered = keys.remembered.saturating_sub(1);
-        keys.floor = keys.floor.max(sequence + 1);
+        keys.expiry.remove(&(expires, sequence));
+        keys.count = keys.count.saturating_sub(1);
+        keys.min_sequence = keys.min_sequence.max(sequence + 1);
     }
 
     /// Number of keys retained.
@@ -242,7 +242,7 @@
         };
         if let KeyState::Ended(call, CallOutcome::Whole { .. }) = entry.state {
             entry.state = KeyState::Ended(call, CallOutcome::Unknown);
-            self.gone.push(call);
+            self.discarded.push(call);
         }
     }
 }
@@ -258,7 +258,7 @@
         if let KeyState::Ended(original, outcome) = self.state {
             return KeyDecision::Repeat { original, outcome };
         }
-        if self.seen.len() >= MAX_CALLS {
+        if self.seen.len() >= MAX_CALLS_PER_KEY {
             return KeyDecision::Expired;
         }
         self.seen.push(call);
--- a/kernel/src/leases.rs
+++ b/kernel/src/leases.rs
@@ -29,7 +29,7 @@
 pub mod orders;
 
 /// Interval at which a wanted order without an outcome is forwarded again.
-const HAND_AGAIN: Duration = Duration::from_secs(3);
+const FORWARD_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Most orders wanted by one node at a time; further ones are dropped.
 const MAX_WANTED: usize = 16_384;
@@ -89,8 +89,8 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct WantedOrder {
-    handed: u32,
-    hand_at: Duration,
+    forwards: u32,
+    forward_at: Duration,
 }
 
 /// Claims the lease while there are orders to send, and sends them.
@@ -110,7 +110,7 @@
 impl LeaseManager {
     /// The node to forward an order to: the holder, or else the claimant of the given rank; `None`
     /// without live nodes.
-    fn giver(&self, tries: u32, now: Duration) -> Option<NodeId> {
+    fn order_sender(&self, tries: u32, now: Duration) -> Option<NodeId> {
         let live = |node: &NodeId| {
             let member = self.view.members.get(node);
             member.is_some_and(|member| member.state == NodeState::Live)
@@ -124,24 +124,29 @@
         ranked.get(wanted).copied()
     }
 
-    fn hand_on(&mut self, context: &mut Context<'_>) {
+    fn forward_wanted(&mut self, context: &mut Context<'_>) {
         let now = context.now;
         let due: Vec<(OrderRequest, u32)> = self
             .wanted
             .iter()
-            .filter(|(_, wanted)| now >= wanted.hand_at)
-            .map(|(request, wanted)| (request.clone(), wanted.handed))
+            .filter(|(_, wanted)| now >= wanted.forward_at)
+            .map(|(request, wanted)| (request.clone(), wanted.forwards))
             .collect();
-        for (request, handed) in due {
+        for (request, forwards) in due {
             // Each claimant is tried four times before the next one.
-            let Some(giver) = self.giver(handed / 4, now) else {
+            let Some(order_sender) = self.order_sender(forwards / 4, now) else {
                 return;
             };
-            let hand_at = now + HAND_AGAIN;
-            let handed = handed + 1;
-            self.wanted
-                .insert(request.clone(), WantedOrder { handed, hand_at });
-            context.send(giver, OrderMessage::Give(request));
+            let forward_at = now + FORWARD_INTERVAL;
+            let forwards = forwards + 1;
+            self.wanted.insert(
+                request.clone(),
+                WantedOrder {
+                    forwards,
+                    forward_at,
+                },
+            );
+            context.send(order_sender, OrderMessage::Give(request));
         }
     }
 
@@ -155,7 +160,7 @@
         }
     }
 
-    fn ended(ended: EndedOrder, context: &mut Context<'_>) {
+    fn report_ended(ended: EndedOrder, context: &mut Context<'_>) {
         for node in ended.requesters {
             let message = OrderMessage::Ended {
                 request: ended.request.clone(),
@@ -185,9 +190,9 @@
     }
 
     fn tick(&mut self, context: &mut Context<'_>) {
-        self.hand_on(context);
+        self.forward_wanted(context);
         for ended in self.queue.expired(context.now) {
-            Self::ended(ended, context);
+            Self::report_ended(ended, context);
         }
         let (node, incarnation) = (context.profile.node, context.profile.incarnation);
         if self.lease.is_held_by_other(node, incarnation, context.now) {
@@ -198,7 +203,7 @@
             return;
         }
         self.claim(context);
-        self.give(context);
+        self.send_due(context);
     }
 
     fn claim(&mut self, context: &mut Context<'_>) {
@@ -213,7 +218,7 @@
 
     /// Sends the orders that are due, if this node has the lease now. The process checks the clock
     /// again before it sends each one.
-    fn give(&mut self, context: &mut Context<'_>) {
+    fn send_due(&mut self, context: &mut Context<'_>) {
         let Some(held) = self.lease.held(context.now) else {
             return;
         };
@@ -241,7 +246,7 @@
         }
     }
 
-    fn want(&mut self, request: &OrderRequest) {
+    fn add_wanted(&mut self, request: &OrderRequest) {
         if self.wanted.len() < MAX_WANTED {
             self.wanted.entry(request.clone()).or_default();
         }
@@ -258,12 +263,12 @@
                 let (node, incarnation) = (profile.node, profile.incarnation);
                 self.lease
                     .apply(head, node, incarnation, context.now, context.random);
-                self.give(context);
+                self.send_due(context);
             }
             Event::AppendDone { ticket, result } if ticket.is_of(AppendOwner::Lease) => {
                 self.appended(*result, context);
             }
-            Event::OrderRequested(request) => self.want(request),
+            Event::OrderRequested(request) => self.add_wanted(request),
             Event::OrderAnswered {
                 upstream,
                 fencing,
@@ -273,7 +278,7 @@
                     .queue
                     .answered(*upstream, *fencing, *accepted, context.now);
                 if let Some(ended) = ended {
-                    Self::ended(ended, context);
+                    Self::report_ended(ended, context);
                 }
             }
             Event::PeerMessage {
--- a/kernel/src/leases/lease.rs
+++ b/kernel/src/leases/lease.rs
@@ -66,7 +66,7 @@
 struct PendingClaim {
     follows: u64,
     first_sent: Duration,
-    again_at: Duration,
+    resend_at: Duration,
 }
 
 fn is_of(head: &LeaseHead, node: NodeId, incarnation: Incarnation) -> bool {
@@ -78,7 +78,7 @@
 pub struct LeaseState {
     terms: LeaseTerms,
     head: Option<LeaseHead>,
-    lapses: Duration,
+    expires: Duration,
     quiet_until: Duration,
     held: Option<HeldLease>,
     claim_offset: u64,
@@ -110,7 +110,7 @@
     pub fn reset(&mut self, now: Duration) {
         *self = Self {
             terms: self.terms,
-            lapses: now + self.terms.length,
+            expires: now + self.terms.length,
             quiet_until: now + self.terms.length + self.terms.flight,
             ..Self::default()
         };
@@ -138,18 +138,18 @@
             self.claim_offset = head.offset;
         }
         if own {
-            self.take(head, random);
+            self.update_held(head, random);
         } else {
             self.held = None;
             let quiet_until = now + head.record.length + self.terms.flight;
             self.quiet_until = self.quiet_until.max(quiet_until);
         }
-        self.lapses = now + head.record.length;
+        self.expires = now + head.record.length;
         self.claim = None;
         self.head = Some(head.clone());
     }
 
-    fn take(&mut self, head: &LeaseHead, random: &mut Pcg64Mcg) {
+    fn update_held(&mut self, head: &LeaseHead, random: &mut Pcg64Mcg) {
         // A record of this node that does not match its pending claim was sent earlier, at an
         // unknown time, so it grants nothing.
         let sent = self
@@ -178,14 +178,14 @@
     pub fn holder(&self, now: Duration) -> Option<NodeId> {
         self.head
             .as_ref()
-            .filter(|_| now < self.lapses)
+            .filter(|_| now < self.expires)
             .map(|head| head.record.node)
     }
 
     /// Whether another node, or an earlier run of this one, may have the lease.
     pub fn is_held_by_other(&self, node: NodeId, incarnation: Incarnation, now: Duration) -> bool {
         let other = |head: &LeaseHead| !is_of(head, node, incarnation);
-        now < self.lapses && self.head.as_ref().is_some_and(other)
+        now < self.expires && self.head.as_ref().is_some_and(other)
     }
 
     /// Discards the pending claim, which is not on the log, so that the next one is new.
@@ -209,7 +209,7 @@
         json!({
             "holder": self.head.as_ref().map(|head| head.record.node.to_string()),
             "fencing": self.head.as_ref().map(|head| head.offset),
-            "lapses": self.lapses,
+            "lapses": self.expires,
             "held_until": self.held.map(|held| held.until),
             "quiet_until": self.quiet_until,
         })
@@ -226,7 +226,7 @@
         if renewing && now < self.renew_at {
             return None;
         }
-        let unknown = self.head.is_none() && now < self.lapses;
+        let unknown = self.head.is_none() && now < self.expires;
         if unknown || self.is_held_by_other(node, incarnation, now) {
             return None;
         }
@@ -234,12 +234,12 @@
         let claim = self.claim.get_or_insert(PendingClaim {
             follows,
             first_sent: now,
-            again_at: now,
+            resend_at: now,
         });
-        if now < claim.again_at {
+        if now < claim.resend_at {
             return None;
         }
-        claim.again_at = now + self.terms.claim_wait;
+        claim.resend_at = now + self.terms.claim_wait;
         Some(LeaseRecord {
             node,
             incarnation,
--- a/kernel/src/leases/orders.rs
+++ b/kernel/src/leases/orders.rs
@@ -14,22 +14,22 @@
 const MAX_ORDERS: usize = 16_384;
 
 /// Attempts to send one order.
-const MAX_TRIES: u32 = 5;
+const MAX_ATTEMPTS: u32 = 5;
 
 /// Delay before a rejected or unanswered order is sent again, per attempt so far.
 const RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Most load orders that may be unanswered at a time.
-const OPEN_LOADS: usize = 4;
+const MAX_OPEN_LOADS: usize = 4;
 
 /// Shortest time between two load orders: the weight store limits its rate.
-const LOAD_EVERY: Duration = Duration::from_millis(500);
+const MIN_LOAD_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Shortest remaining lease time in which an order is sent.
 const SEND_MARGIN: Duration = Duration::from_millis(200);
 
 /// Outcomes that are retained for the state dump.
-const SHOWN_OUTCOMES: usize = 32;
+const MAX_OUTCOMES: usize = 32;
 
 /// How an order ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,8 +44,8 @@
 #[derive(Clone, Debug, Default)]
 struct OrderState {
     requesters: BTreeSet<NodeId>,
-    tries: u32,
-    next_try: Duration,
+    attempts: u32,
+    next_attempt: Duration,
     sent: Option<u64>,
 }
 
@@ -118,7 +118,7 @@
         if now + SEND_MARGIN >= lease.until {
             return Vec::new();
         }
-        let waiting = |state: &OrderState| state.sent.is_some() && now < state.next_try;
+        let waiting = |state: &OrderState| state.sent.is_some() && now < state.next_attempt;
         let open: Vec<&OrderRequest> = self
             .orders
             .iter()
@@ -133,24 +133,24 @@
         let mut due = Vec::new();
         for (request, state) in &mut self.orders {
             let load = is_load(&request.order);
-            let paced = load && (loads >= OPEN_LOADS || now < self.next_load);
+            let paced = load && (loads >= MAX_OPEN_LOADS || now < self.next_load);
             let checks = config
                 .upstreams
                 .get(&request.upstream)
                 .is_some_and(|upstream| upstream.spec.checks_fencing);
-            let quiet = !checks && now < quiet_until;
-            if now < state.next_try || state.tries >= MAX_TRIES || paced || quiet {
+            let settling = !checks && now < quiet_until;
+            if now < state.next_attempt || state.attempts >= MAX_ATTEMPTS || paced || settling {
                 continue;
             }
             if !busy.insert(request.upstream) {
                 continue;
             }
-            state.tries += 1;
+            state.attempts += 1;
             state.sent = Some(lease.fencing);
-            state.next_try = now + ORDER_TIMEOUT + RETRY_DELAY * state.tries;
+            state.next_attempt = now + ORDER_TIMEOUT + RETRY_DELAY * state.attempts;
             if load {
                 loads += 1;
-                self.next_load = now + LOAD_EVERY;
+                self.next_load = now + MIN_LOAD_INTERVAL;
             }
             due.push(request.clone());
         }
@@ -169,9 +169,9 @@
             .orders
             .iter_mut()
             .find(|(request, state)| request.upstream == upstream && state.sent == Some(fencing))?;
-        if !accepted && state.tries < MAX_TRIES {
+        if !accepted && state.attempts < MAX_ATTEMPTS {
             state.sent = None;
-            state.next_try = now + RETRY_DELAY * state.tries;
+            state.next_attempt = now + RETRY_DELAY * state.attempts;
             return None;
         }
         let outcome = if accepted {
@@ -188,7 +188,7 @@
         let expired: Vec<OrderRequest> = self
             .orders
             .iter()
-            .filter(|(_, state)| state.tries >= MAX_TRIES && now >= state.next_try)
+            .filter(|(_, state)| state.attempts >= MAX_ATTEMPTS && now >= state.next_attempt)
             .map(|(request, _)| request.clone())
             .collect();
         expired
@@ -200,7 +200,7 @@
     fn end(&mut self, request: &OrderRequest, outcome: OrderOutcome) -> Option<EndedOrder> {
         let state = self.orders.remove(request)?;
         self.outcomes.push_back((request.clone(), outcome));
-        if self.outcomes.len() > SHOWN_OUTCOMES {
+        if self.outcomes.len() > MAX_OUTCOMES {
             self.outcomes.pop_front();
         }
         Some(EndedOrder {
--- a/kernel/src/limits.rs
+++ b/kernel/src/limits.rs
@@ -67,12 +67,12 @@
 
 /// Most demand messages that a node sends at one tick, to stay within the budget of control
 /// traffic.
-const MOST_AT_ONCE: usize = 4;
+const MAX_DEMANDS_PER_TICK: usize = 4;
 
 /// Demand messages that a node sends per second over all workspaces, and the largest burst. Without
 /// a reply in time a node uses an even share.
 const MESSAGES_PER_SECOND: f64 = 4.0;
-const MOST_MESSAGES: f64 = 64.0;
+const MAX_MESSAGE_BURST: f64 = 64.0;
 
 /// Rate and concurrency that stand for no limit: more than a fleet can accept, and small enough to
 /// be divided safely.
@@ -80,7 +80,7 @@
 const UNLIMITED_CALLS: u32 = 1_000_000_000;
 
 /// Most calls of one workspace that wait for a share or for their turn.
-const MOST_WAITING: usize = 1_024;
+const MAX_WAITING_CALLS: usize = 1_024;
 
 /// Admits calls within the limits of their workspaces.
 #[derive(Debug, Default)]
@@ -118,7 +118,7 @@
 
     /// When this node replaced another limiter for the workspace, whose shares may still be in use;
     /// `None` if the last change of membership did not change the limiter.
-    fn took_over(&self, workspace: WorkspaceId) -> Option<Duration> {
+    fn became_limiter(&self, workspace: WorkspaceId) -> Option<Duration> {
         let same = limiter_among(&self.former_nodes, workspace) == self.limiter(workspace);
         (!same).then_some(self.nodes_changed)
     }
@@ -152,8 +152,8 @@
         if self.limits(workspace).is_some() {
             let allowance = self.local.entry(workspace).or_default();
             allowance.arrived(context.now);
-            if allowance.should_ask_now(context.now) {
-                self.ask(workspace, context);
+            if allowance.needs_first_share(context.now) {
+                self.request_share(workspace, context);
             }
         }
         let call = WaitingCall {
@@ -167,10 +167,10 @@
     fn decide(&mut self, call: WaitingCall, context: &mut Context<'_>) {
         let workspace = call.spec.workspace;
         match self.admit(context.now, &call, context.profile.node) {
-            LimitDecision::Unlimited => pass(call, context),
+            LimitDecision::Unlimited => admit_call(call, context),
             LimitDecision::Admitted => {
                 self.admitted.insert(call.spec.call, workspace);
-                pass(call, context);
+                admit_call(call, context);
             }
             LimitDecision::Wait => self.wait(call, context),
             LimitDecision::Limited { retry_after } => self.refuse(&call, retry_after, context),
@@ -183,13 +183,13 @@
         let Some(allowance) = self.local.get_mut(&workspace) else {
             return;
         };
-        if allowance.waiting.len() >= MOST_WAITING {
+        if allowance.waiting.len() >= MAX_WAITING_CALLS {
             self.refuse(&call, Duration::from_secs(1), context);
             return;
         }
         allowance.waiting.push_back(call);
-        if allowance.should_ask_for_growth(context.now) {
-            self.ask(workspace, context);
+        if allowance.needs_larger_share(context.now) {
+            self.request_share(workspace, context);
         }
     }
 
@@ -215,25 +215,25 @@
     }
 
     /// Sends the demand to the limiter, unless the message budget is exhausted.
-    fn ask(&mut self, workspace: WorkspaceId, context: &mut Context<'_>) {
-        let passed = context.now.saturating_sub(self.refilled).as_secs_f64();
+    fn request_share(&mut self, workspace: WorkspaceId, context: &mut Context<'_>) {
+        let elapsed = context.now.saturating_sub(self.refilled).as_secs_f64();
         self.refilled = context.now;
-        self.messages = (self.messages + passed * MESSAGES_PER_SECOND).min(MOST_MESSAGES);
+        self.messages = (self.messages + elapsed * MESSAGES_PER_SECOND).min(MAX_MESSAGE_BURST);
         if self.messages >= 1.0 {
             self.messages -= 1.0;
-            self.tell_demand(workspace, context);
+            self.send_demand(workspace, context);
         }
     }
 
-    fn tell_demand(&mut self, workspace: WorkspaceId, context: &mut Context<'_>) {
+    fn send_demand(&mut self, workspace: WorkspaceId, context: &mut Context<'_>) {
         let Some(limiter) = self.limiter(workspace) else {
             return;
         };
         let Some(allowance) = self.local.get_mut(&workspace) else {
             return;
         };
-        let wanted = allowance.ask(context.now);
-        let held = allowance.held(context.now);
+        let wanted = allowance.record_demand(context.now);
+        let held = allowance.current_share(context.now);
         context.send(
             limiter,
             LimitMessage::Demand {
@@ -264,7 +264,7 @@
         let terms = ShareTerms {
             limits,
             nodes: self.nodes.len(),
-            took_over: self.took_over(workspace),
+            became_limiter: self.became_limiter(workspace),
         };
         let grants = self.ledger.demand(context.now, workspace, terms, demand);
         for grant in grants {
@@ -295,7 +295,7 @@
         // A grant in response to a node's own demand is not acknowledged; otherwise two nodes would
         // exchange messages without end.
         if reclaim {
-            self.tell_demand(workspace, context);
+            self.send_demand(workspace, context);
         }
         self.release_waiting(workspace, context);
     }
@@ -336,11 +336,11 @@
             .local
             .iter()
             .filter(|(_, allowance)| allowance.should_renew(now))
-            .map(|(workspace, allowance)| (allowance.asked_at(), *workspace))
+            .map(|(workspace, allowance)| (allowance.demand_sent_at(), *workspace))
             .collect();
         due.sort_unstable();
-        for (_, workspace) in due.into_iter().take(MOST_AT_ONCE) {
-            self.ask(workspace, context);
+        for (_, workspace) in due.into_iter().take(MAX_DEMANDS_PER_TICK) {
+            self.request_share(workspace, context);
         }
         let waiting: Vec<WorkspaceId> = self
             .local
@@ -377,7 +377,7 @@
     nodes.iter().copied().max_by_key(weight)
 }
 
-fn pass(call: WaitingCall, context: &mut Context<'_>) {
+fn admit_call(call: WaitingCall, context: &mut Context<'_>) {
     context.raise(Event::CallAdmitted {
         spec: CallSpec {
             time_left: call
--- a/kernel/src/limits/allowance.rs
+++ b/kernel/src/limits/allowance.rs
@@ -13,7 +13,7 @@
 const FIRST_WAIT: Duration = Duration::from_millis(200);
 
 /// Shortest time between two demand messages.
-const LEAST_GAP: Duration = Duration::from_secs(1);
+const MIN_DEMAND_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Fraction of its time left that a call above the rate may wait for its turn, and the longest such
 /// wait.
@@ -21,17 +21,17 @@
 const LONGEST_PACE: Duration = Duration::from_secs(5);
 
 /// Shortest time between two demand messages while calls wait for a larger share.
-const URGENT_GAP: Duration = Duration::from_millis(100);
+const MIN_GROWTH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a call waits for a larger share: the limiter may have to reclaim it from another node
 /// first.
 const GROWTH_WAIT: Duration = Duration::from_millis(100);
 
 /// Time after which unchanged demand is sent again.
-const RENEWAL: Duration = Duration::from_secs(8);
+const DEMAND_RENEWAL: Duration = Duration::from_secs(8);
 
 /// Time without calls after which a workspace's state is dropped.
-const IDLE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Averaging time of the arrival rate, in seconds.
 const RATE_WINDOW: f64 = 2.0;
@@ -68,7 +68,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct HeldShare {
+struct ShareLease {
     share: LimitShare,
     until: Duration,
 }
@@ -78,17 +78,17 @@
 pub struct LocalAllowance {
     /// Calls that wait for a share or for their turn.
     pub waiting: VecDeque<WaitingCall>,
-    held: Option<HeldShare>,
+    lease: Option<ShareLease>,
     /// Until this time the limit is assumed to be fully used.
-    denied: Duration,
+    saturated_until: Duration,
     running: u32,
     limited: u32,
     tokens: f64,
-    filled: Duration,
+    refilled: Duration,
     rate: f64,
     last_arrival: Duration,
-    first_ask: Option<Duration>,
-    asked: Duration,
+    first_demand: Option<Duration>,
+    demand_sent: Duration,
     wanted: LimitShare,
 }
 
@@ -105,15 +105,15 @@
         self.rate * (-gap / RATE_WINDOW).exp()
     }
 
-    fn share(&self, now: Duration) -> Option<LimitShare> {
-        self.held
-            .filter(|held| now < held.until)
-            .map(|held| held.share)
+    fn leased_share(&self, now: Duration) -> Option<LimitShare> {
+        self.lease
+            .filter(|lease| now < lease.until)
+            .map(|lease| lease.share)
     }
 
     /// The share of an unexpired lease; zero without one.
-    pub fn held(&self, now: Duration) -> LimitShare {
-        self.share(now).unwrap_or_default()
+    pub fn current_share(&self, now: Duration) -> LimitShare {
+        self.leased_share(now).unwrap_or_default()
     }
 
     /// Decides on one call. `even` is the share of a node that cannot reach the limiter, and
@@ -125,8 +125,10 @@
         even: LimitShare,
         limits: LimitShare,
     ) -> LimitDecision {
-        let answer_due = self.first_ask.map_or(now, |asked| asked + FIRST_WAIT);
-        let share = match self.share(now) {
+        let answer_due = self
+            .first_demand
+            .map_or(now, |demand_sent| demand_sent + FIRST_WAIT);
+        let share = match self.leased_share(now) {
             Some(share) => share,
             None if now < answer_due => return LimitDecision::Wait,
             None => even,
@@ -144,10 +146,10 @@
             return LimitDecision::Wait;
         }
         self.limited += 1;
-        self.denied = now + LEAST_GAP;
+        self.saturated_until = now + MIN_DEMAND_INTERVAL;
         if self.running >= share.concurrent {
             return LimitDecision::Limited {
-                retry_after: LEAST_GAP,
+                retry_after: MIN_DEMAND_INTERVAL,
             };
         }
         let missing = (1.0 - self.tokens) / share.rate.max(0.001);
@@ -163,14 +165,14 @@
         share: LimitShare,
         limits: LimitShare,
     ) -> bool {
-        let short_of_calls = self.running >= share.concurrent;
-        let whole = if short_of_calls {
+        let concurrency_used_up = self.running >= share.concurrent;
+        let has_whole_limit = if concurrency_used_up {
             share.concurrent >= limits.concurrent
         } else {
             share.rate >= limits.rate
         };
-        let reachable = self.share(now).is_some();
-        reachable && !whole && now >= self.denied && now < since + GROWTH_WAIT
+        let reachable = self.leased_share(now).is_some();
+        reachable && !has_whole_limit && now >= self.saturated_until && now < since + GROWTH_WAIT
     }
 
     /// Whether a call above the rate may wait for its turn without using too much of its time.
@@ -184,8 +186,8 @@
     /// Refills a token bucket that contains at most one second's worth of calls, and at least one
     /// call.
     fn refill(&mut self, now: Duration, rate: f64) {
-        let time = now.saturating_sub(self.filled).as_secs_f64();
-        self.filled = now;
+        let time = now.saturating_sub(self.refilled).as_secs_f64();
+        self.refilled = now;
         let most = rate.max(1.0);
         self.tokens = (self.tokens + rate * time).min(most);
     }
@@ -199,33 +201,34 @@
         let waiting = self.waiting.len() as u32;
         let refused = self.limited.min(self.running + 1);
         let concurrent = self.running + refused + waiting;
-        let roomy = (f64::from(concurrent) * HEADROOM).ceil() as u32;
+        let requested = (f64::from(concurrent) * HEADROOM).ceil() as u32;
         LimitShare {
             rate: self.rate_now(now) * HEADROOM + 1.0,
-            concurrent: roomy.max(1),
+            concurrent: requested.max(1),
         }
     }
 
     /// Whether an arrival must send the demand at once: there is no share, and no demand was sent
     /// recently.
-    pub fn should_ask_now(&self, now: Duration) -> bool {
-        self.share(now).is_none() && (self.first_ask.is_none() || now >= self.asked + LEAST_GAP)
+    pub fn needs_first_share(&self, now: Duration) -> bool {
+        self.leased_share(now).is_none()
+            && (self.first_demand.is_none() || now >= self.demand_sent + MIN_DEMAND_INTERVAL)
     }
 
     /// Whether a call that starts to wait must send the demand: the current share is used up.
-    pub fn should_ask_for_growth(&self, now: Duration) -> bool {
-        self.share(now).is_some() && now >= self.asked + URGENT_GAP
+    pub fn needs_larger_share(&self, now: Duration) -> bool {
+        self.leased_share(now).is_some() && now >= self.demand_sent + MIN_GROWTH_INTERVAL
     }
 
     /// Has the demand sent to the new limiter at the next opportunity.
     pub fn limiter_changed(&mut self) {
-        self.asked = Duration::ZERO;
+        self.demand_sent = Duration::ZERO;
         self.wanted = LimitShare::default();
     }
 
     /// Whether the demand is due to be sent again.
     pub fn should_renew(&self, now: Duration) -> bool {
-        if now < self.asked + LEAST_GAP || self.first_ask.is_none() {
+        if now < self.demand_sent + MIN_DEMAND_INTERVAL || self.first_demand.is_none() {
             return false;
         }
         let demand = self.demand(now);
@@ -233,31 +236,31 @@
             || demand.concurrent > self.wanted.concurrent.saturating_mul(2);
         let fallen = demand.rate * 2.0 < self.wanted.rate
             || demand.concurrent.saturating_mul(2) < self.wanted.concurrent;
-        let fallen = fallen && now >= self.asked + LEAST_GAP * 2;
-        grown || fallen || now >= self.asked + RENEWAL
+        let fallen = fallen && now >= self.demand_sent + MIN_DEMAND_INTERVAL * 2;
+        grown || fallen || now >= self.demand_sent + DEMAND_RENEWAL
     }
 
     /// When the demand was last sent.
-    pub fn asked_at(&self) -> Duration {
-        self.asked
+    pub fn demand_sent_at(&self) -> Duration {
+        self.demand_sent
     }
 
     /// Records that the demand is sent now, and returns it.
-    pub fn ask(&mut self, now: Duration) -> LimitShare {
+    pub fn record_demand(&mut self, now: Duration) -> LimitShare {
         self.wanted = self.demand(now);
         self.limited = 0;
-        self.asked = now;
-        self.first_ask.get_or_insert(now);
+        self.demand_sent = now;
+        self.first_demand.get_or_insert(now);
         self.wanted
     }
 
     /// Applies a granted share with a lease of this length.
     pub fn granted(&mut self, now: Duration, share: LimitShare, length: Duration) {
-        if self.share(now).is_none() {
+        if self.leased_share(now).is_none() {
             self.tokens = self.tokens.max(1.0);
-            self.filled = now;
+            self.refilled = now;
         }
-        self.held = Some(HeldShare {
+        self.lease = Some(ShareLease {
             share,
             until: now + length,
         });
@@ -265,7 +268,7 @@
 
     /// Whether the state may be dropped: no calls run or wait, and none arrived recently.
     pub fn is_idle(&self, now: Duration) -> bool {
-        self.running == 0 && self.waiting.is_empty() && now > self.last_arrival + IDLE
+        self.running == 0 && self.waiting.is_empty() && now > self.last_arrival + IDLE_TIMEOUT
     }
 
     /// The workspace's entry in the state dump.
@@ -273,8 +276,8 @@
         json!({
             "running": self.running,
             "waiting": self.waiting.len(),
-            "share_rate": self.held.map(|held| held.share.rate),
-            "share_concurrent": self.held.map(|held| held.share.concurrent),
+            "share_rate": self.lease.map(|lease| lease.share.rate),
+            "share_concurrent": self.lease.map(|lease| lease.share.concurrent),
         })
     }
 }
--- a/kernel/src/limits/ledger.rs
+++ b/kernel/src/limits/ledger.rs
@@ -10,11 +10,11 @@
 pub const SHARE_LENGTH: Duration = Duration::from_secs(20);
 
 /// Shortest time between two unsolicited messages to one holder.
-const SHRINK_GAP: Duration = Duration::from_millis(200);
+const MIN_SHRINK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time for the holders of a former limiter's shares to report them to the new one. Until then the
 /// new limiter grants nobody more than it already has, or than an even share.
-const TAKE_OVER: Duration = Duration::from_secs(3);
+const TAKEOVER_TIME: Duration = Duration::from_secs(3);
 
 /// Factor above its fair share from which a holder's share is reduced.
 const TOLERANCE: f64 = 1.1;
@@ -37,8 +37,8 @@
     wanted: LimitShare,
     held: LimitShare,
     even: LimitShare,
-    until: Duration,
-    told: Duration,
+    expires: Duration,
+    last_sent: Duration,
 }
 
 /// Parameters by which a workspace's limits are divided.
@@ -49,7 +49,7 @@
     /// Number of live nodes.
     pub nodes: usize,
     /// When this node replaced another limiter; `None` if it did not do so recently.
-    pub took_over: Option<Duration>,
+    pub became_limiter: Option<Duration>,
 }
 
 #[derive(Debug, Default)]
@@ -130,8 +130,8 @@
                 wanted: demand.wanted,
                 held: demand.held,
                 even: demand.even,
-                until: now + SHARE_LENGTH,
-                told: now,
+                expires: now + SHARE_LENGTH,
+                last_sent: now,
             },
         );
         let mut grants = vec![ledger.grant(now, terms, demand.node)];
@@ -142,14 +142,14 @@
     /// Drops expired shares.
     pub fn expire(&mut self, now: Duration) {
         for ledger in self.workspaces.values_mut() {
-            ledger.holders.retain(|_, holder| now < holder.until);
+            ledger.holders.retain(|_, holder| now < holder.expires);
         }
         self.workspaces
             .retain(|_, ledger| !ledger.holders.is_empty());
     }
 }
 
-fn smaller(a: LimitShare, b: LimitShare) -> LimitShare {
+fn min_share(a: LimitShare, b: LimitShare) -> LimitShare {
     LimitShare {
         rate: a.rate.min(b.rate),
         concurrent: a.concurrent.min(b.concurrent),
@@ -176,7 +176,7 @@
     }
 
     /// What the shares of the other holders leave of the limits.
-    fn free(&self, limits: LimitShare, node: NodeId) -> LimitShare {
+    fn unclaimed(&self, limits: LimitShare, node: NodeId) -> LimitShare {
         let others = || self.holders.iter().filter(|(other, _)| **other != node);
         let rate: f64 = others().map(|(_, holder)| holder.held.rate).sum();
         let concurrent = others().map(|(_, holder)| holder.held.concurrent);
@@ -190,30 +190,32 @@
     /// Grants a holder its fair share, as far as the shares of the others allow.
     fn grant(&mut self, now: Duration, terms: ShareTerms, node: NodeId) -> ShareGrant {
         let part = self.parts(terms)[&node];
-        let mut share = smaller(part, self.free(terms.limits, node));
-        let taking_over = terms.took_over.is_some_and(|since| now < since + TAKE_OVER);
+        let mut share = min_share(part, self.unclaimed(terms.limits, node));
+        let taking_over = terms
+            .became_limiter
+            .is_some_and(|since| now < since + TAKEOVER_TIME);
         if let Some(holder) = self.holders.get_mut(&node) {
             if taking_over {
-                share = smaller(share, greater(holder.held, holder.even));
+                share = min_share(share, max_share(holder.held, holder.even));
             }
             holder.held = share;
-            holder.told = now;
+            holder.last_sent = now;
         }
-        let until = self.holders.get(&node).map_or(now, |holder| holder.until);
+        let expires = self.holders.get(&node).map_or(now, |holder| holder.expires);
         ShareGrant {
             node,
             share,
-            length: until.saturating_sub(now),
+            length: expires.saturating_sub(now),
             reclaim: false,
         }
     }
 
     /// Reduced shares for holders above their fair share while another holder is below its own, and
     /// larger ones for holders below it once there is capacity.
-    fn balance(&mut self, now: Duration, terms: ShareTerms, asker: NodeId) -> Vec<ShareGrant> {
+    fn balance(&mut self, now: Duration, terms: ShareTerms, requester: NodeId) -> Vec<ShareGrant> {
         let parts = self.parts(terms);
         let lacks = |holder: &ShareHolder, part: &LimitShare| {
-            let wanted = smaller(holder.wanted, *part);
+            let wanted = min_share(holder.wanted, *part);
             holder.held.rate * TOLERANCE < wanted.rate || holder.held.concurrent < wanted.concurrent
         };
         let lacking: Vec<NodeId> = self
@@ -230,27 +232,28 @@
             let part = &parts[node];
             let above = holder.held.rate > part.rate * TOLERANCE
                 || holder.held.concurrent > part.concurrent;
-            if *node == asker || !above || now < holder.told + SHRINK_GAP {
+            if *node == requester || !above || now < holder.last_sent + MIN_SHRINK_INTERVAL {
                 continue;
             }
             // A reduced share counts in full until the holder confirms the reduction.
             grants.push(ShareGrant {
                 node: *node,
-                share: smaller(holder.held, *part),
-                length: holder.until.saturating_sub(now),
+                share: min_share(holder.held, *part),
+                length: holder.expires.saturating_sub(now),
                 reclaim: true,
             });
         }
         for grant in &grants {
             if let Some(holder) = self.holders.get_mut(&grant.node) {
-                holder.told = now;
+                holder.last_sent = now;
             }
         }
         for node in lacking {
-            let free = self.free(terms.limits, node);
+            let unclaimed = self.unclaimed(terms.limits, node);
             let held = self.holders[&node].held;
-            let room = free.rate > held.rate * TOLERANCE || free.concurrent > held.concurrent;
-            if node != asker && room {
+            let room =
+                unclaimed.rate > held.rate * TOLERANCE || unclaimed.concurrent > held.concurrent;
+            if node != requester && room {
                 grants.push(self.grant(now, terms, node));
             }
         }
@@ -258,7 +261,7 @@
     }
 }
 
-fn greater(a: LimitShare, b: LimitShare) -> LimitShare {
+fn max_share(a: LimitShare, b: LimitShare) -> LimitShare {
     LimitShare {
         rate: a.rate.max(b.rate),
         concurrent: a.concurrent.max(b.concurrent),
--- a/kernel/src/routing.rs
+++ b/kernel/src/routing.rs
@@ -6,15 +6,15 @@
 //! `unknown`. A call that is not repeatable is offered to another owner only while no part of it
 //! can have run. Any other call is resumed elsewhere after the tokens that its caller already has.
 
-mod answers;
 pub mod attempt;
+mod checks;
 mod keyed;
 mod load;
 mod offers;
 pub mod open;
 pub mod owners;
 pub mod retry;
-mod watch;
+mod updates;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -63,14 +63,14 @@
     config: Arc<Config>,
     owners: Arc<OwnerMap>,
     view: Arc<MemberView>,
-    board: OwnerTable,
+    table: OwnerTable,
     budget: RetryBudget,
     calls: BTreeMap<CallId, OpenCall>,
     relayed: BTreeMap<CallId, RelayedCall>,
     joined: BTreeSet<CallId>,
-    wakes: BTreeSet<(Duration, CallId)>,
+    checks: BTreeSet<(Duration, CallId)>,
     checker: KeyChecker,
-    memory: KeyOutcomes,
+    outcomes: KeyOutcomes,
     leaving: bool,
     totals: RouterTotals,
 }
@@ -83,14 +83,14 @@
             config: Arc::default(),
             owners: Arc::default(),
             view: Arc::default(),
-            board: OwnerTable::default(),
+            table: OwnerTable::default(),
             budget: RetryBudget::default(),
             calls: BTreeMap::new(),
             relayed: BTreeMap::new(),
             joined: BTreeSet::new(),
-            wakes: BTreeSet::new(),
+            checks: BTreeSet::new(),
             checker: KeyChecker::new(profile),
-            memory: KeyOutcomes::default(),
+            outcomes: KeyOutcomes::default(),
             leaving: false,
             totals: RouterTotals::default(),
         }
@@ -98,7 +98,7 @@
 
     fn rebuild(&mut self, context: &Context<'_>) {
         let zone = context.profile.zone;
-        self.board
+        self.table
             .rebuild(&self.config, &self.owners, &self.view, zone);
     }
 
@@ -107,17 +107,17 @@
         let Some(open) = self.calls.remove(&call) else {
             return;
         };
-        self.wakes.remove(&(open.next_check, call));
+        self.checks.remove(&(open.next_check, call));
         for attempt in open.attempts() {
-            self.board.record_close(open.spec.pool, attempt.owner);
+            self.table.record_close(open.spec.pool, attempt.owner);
         }
-        self.settle(call, open.origin, outcome, context);
+        self.send_outcome(call, open.origin, outcome, context);
         let Some(sequence) = open.key else {
             return;
         };
-        for (repeat, origin) in self.memory.record_outcome(sequence, outcome, context.now) {
+        for (repeat, origin) in self.outcomes.record_outcome(sequence, outcome, context.now) {
             self.joined.remove(&repeat);
-            self.settle(repeat, origin, outcome, context);
+            self.send_outcome(repeat, origin, outcome, context);
         }
         if !matches!(outcome, CallOutcome::Whole { .. }) {
             context.act(Action::ForgetAnswer(call));
@@ -126,7 +126,7 @@
 
     /// Reports the outcome of a call to its caller, the node that relayed it and the other
     /// plug-ins.
-    fn settle(
+    fn send_outcome(
         &mut self,
         call: CallId,
         origin: CallOrigin,
@@ -166,7 +166,7 @@
         self.view = Arc::clone(view);
         self.rebuild(context);
         for node in ended {
-            self.node_gone(node, context);
+            self.withdraw_from_node(node, context);
         }
     }
 }
@@ -187,10 +187,10 @@
                 sent,
             } => self.attempt_lost(*attempt, *tokens, *sent, context),
             Event::LinkDown(node) => {
-                self.board.link_down(*node, context.now);
-                self.minter_gone(*node, context);
+                self.table.link_down(*node, context.now);
+                self.end_relayed_to(*node, context);
             }
-            Event::LinkUp(node) => self.board.link_up(*node),
+            Event::LinkUp(node) => self.table.link_up(*node),
             Event::Tick => self.tick(context),
             Event::ConfigApplied(config) => {
                 self.config = Arc::clone(config);
@@ -213,11 +213,11 @@
     fn dump(&self) -> Value {
         json!({
             "open_calls": self.calls.len(),
-            "open_offers": self.board.open(),
+            "open_offers": self.table.open(),
             "relayed_calls": self.relayed.len(),
-            "timers": self.wakes.len(),
-            "keys_remembered": self.memory.len(),
-            "answers_kept": self.memory.answers(),
+            "timers": self.checks.len(),
+            "keys_remembered": self.outcomes.len(),
+            "answers_kept": self.outcomes.answers(),
             "repeats_waiting": self.joined.len(),
             "reduced_retry_budgets": self.budget.len(),
             "retries": self.totals.retries,
@@ -254,7 +254,7 @@
                 "keys_remembered",
                 "Idempotency keys whose outcome is remembered.",
                 "",
-                self.memory.len() as f64,
+                self.outcomes.len() as f64,
             ),
         ]
     }
--- a/kernel/src/routing/attempt.rs
+++ b/kernel/src/routing/attempt.rs
@@ -109,9 +109,9 @@
     }
 
     /// Applies an update and returns what it means for the call.
-    pub fn apply(&mut self, news: AttemptUpdate) -> AttemptStatus {
+    pub fn apply(&mut self, update: AttemptUpdate) -> AttemptStatus {
         self.unanswered = 0;
-        match (self.phase, news) {
+        match (self.phase, update) {
             (AttemptPhase::Offered, AttemptUpdate::Started) => {
                 self.phase = AttemptPhase::Started;
                 AttemptStatus::Open
--- a/kernel/src/routing/watch.rs
+++ b/kernel/src/routing/checks.rs
@@ -14,11 +14,11 @@
 use crate::wire::WorkMessage;
 
 /// Time between queries while the owner does not reply.
-const ASK_AGAIN: Duration = Duration::from_secs(2);
+const QUERY_RETRY: Duration = Duration::from_secs(2);
 /// Unanswered queries after which an attempt is withdrawn or a relayed call is given up.
 pub(super) const MAX_UNANSWERED: u32 = 3;
 /// Longest time between two queries.
-const MAX_PATIENCE: Duration = Duration::from_mins(5);
+const MAX_QUERY_INTERVAL: Duration = Duration::from_mins(5);
 /// Time for an owner to confirm that it dropped a cancelled call.
 const CANCEL_TIME: Duration = Duration::from_secs(5);
 /// The most urgent tier, whose calls are moved when they wait long at an owner.
@@ -26,43 +26,43 @@
 /// Fraction of the time left at the offer after which such a call is moved.
 const MOVE_SHARE: f64 = 0.5;
 
-type Questions = BTreeMap<NodeId, Vec<AttemptId>>;
+type QueryBatch = BTreeMap<NodeId, Vec<AttemptId>>;
 
 impl CallRouter {
     /// Checks each call that is due.
     pub(super) fn tick(&mut self, context: &mut Context<'_>) {
-        let mut questions = Questions::new();
-        while let Some(&(due, call)) = self.wakes.first() {
+        let mut queries = QueryBatch::new();
+        while let Some(&(due, call)) = self.checks.first() {
             if due > context.now {
                 break;
             }
-            self.wakes.pop_first();
+            self.checks.pop_first();
             if self.calls.contains_key(&call) {
-                self.look_at(call, &mut questions, context);
+                self.check_call(call, &mut queries, context);
             } else {
-                self.look_at_relayed(call, context);
+                self.check_relayed(call, context);
             }
         }
-        for (owner, attempts) in questions {
+        for (owner, attempts) in queries {
             context.send(owner, WorkMessage::Ask(attempts));
         }
-        for call in self.memory.expire(context.now) {
+        for call in self.outcomes.expire(context.now) {
             context.act(Action::ForgetAnswer(call));
         }
     }
 
     /// Schedules the next check of a call without an open attempt.
-    pub(super) fn wake_at(&mut self, call: CallId, due: Duration) {
+    pub(super) fn check_at(&mut self, call: CallId, due: Duration) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
         };
-        self.wakes.remove(&(open.next_check, call));
+        self.checks.remove(&(open.next_check, call));
         open.next_check = due;
-        self.wakes.insert((due, call));
+        self.checks.insert((due, call));
     }
 
     /// Schedules the next check of a call with an open attempt.
-    pub(super) fn watch(&mut self, call: CallId, now: Duration) {
+    pub(super) fn schedule_check(&mut self, call: CallId, now: Duration) {
         let Some(open) = self.calls.get(&call) else {
             return;
         };
@@ -75,10 +75,10 @@
                 .unwrap_or(now)
         };
         // A check within the same tick would repeat without end.
-        self.wake_at(call, due.max(now + Duration::from_millis(1)));
+        self.check_at(call, due.max(now + Duration::from_millis(1)));
     }
 
-    fn look_at(&mut self, call: CallId, questions: &mut Questions, context: &mut Context<'_>) {
+    fn check_call(&mut self, call: CallId, queries: &mut QueryBatch, context: &mut Context<'_>) {
         let Some(open) = self.calls.get(&call) else {
             return;
         };
@@ -93,17 +93,17 @@
         let attempt_id = open.attempt_id(attempt.number);
         if matches!(attempt.phase, AttemptPhase::Withdrawn { .. }) {
             context.act(Action::WithdrawAttempt(attempt_id));
-            self.watch(call, context.now);
+            self.schedule_check(call, context.now);
         } else if self.may_move(open, &attempt, context.now) {
-            self.move_on(call, attempt, context);
+            self.move_or_hedge(call, attempt, context);
         } else {
-            self.ask(call, questions, context);
+            self.query_owners(call, queries, context);
         }
     }
 
     /// Adds a query to the owner of each open attempt, or withdraws an attempt whose owner does not
     /// reply.
-    fn ask(&mut self, call: CallId, questions: &mut Questions, context: &mut Context<'_>) {
+    fn query_owners(&mut self, call: CallId, queries: &mut QueryBatch, context: &mut Context<'_>) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
         };
@@ -118,16 +118,16 @@
                 continue;
             }
             attempt.unanswered += 1;
-            questions.entry(attempt.owner).or_default().push(id);
+            queries.entry(attempt.owner).or_default().push(id);
         }
         for attempt in silent {
             self.withdraw(attempt, context);
         }
-        self.watch(call, context.now);
+        self.schedule_check(call, context.now);
     }
 
     /// Applies an owner's reply to a query. Attempts that the owner does not have are withdrawn.
-    pub(super) fn told_held(
+    pub(super) fn update_held(
         &mut self,
         held: &[AttemptId],
         missing: &[AttemptId],
@@ -139,8 +139,8 @@
             };
             if let Some(found) = open.find(attempt.number) {
                 found.unanswered = 0;
-                found.query_interval = (found.query_interval * 2).min(MAX_PATIENCE);
-                self.watch(attempt.call, context.now);
+                found.query_interval = (found.query_interval * 2).min(MAX_QUERY_INTERVAL);
+                self.schedule_check(attempt.call, context.now);
             }
         }
         for attempt in missing {
@@ -149,7 +149,7 @@
     }
 
     /// Moves or hedges an urgent call that waits long at its owner, if another owner has capacity.
-    fn move_on(&mut self, call: CallId, attempt: OpenAttempt, context: &mut Context<'_>) {
+    fn move_or_hedge(&mut self, call: CallId, attempt: OpenAttempt, context: &mut Context<'_>) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
         };
@@ -157,10 +157,10 @@
         open.tried.push(attempt.owner);
         let (spec, tried) = (open.spec, open.tried.clone());
         let room = self
-            .board
+            .table
             .has_capacity(&spec, &tried, context.now, context.random);
         if !room || !self.budget.spend(spec.workspace, spec.class) {
-            self.watch(call, context.now);
+            self.schedule_check(call, context.now);
         } else if self.waiting == WaitPolicy::Hedge {
             self.hedge(call, context);
         } else {
@@ -178,15 +178,15 @@
         };
         let spec = open.offer_spec(context.now);
         let owner = self
-            .board
+            .table
             .choose(&spec, &open.tried, context.now, context.random);
         if let Some(owner) = owner {
             let attempt = send_offer(open, owner, context);
             open.hedge = Some(attempt);
-            self.board.record_offer(spec.pool, owner);
+            self.table.record_offer(spec.pool, owner);
             self.totals.hedges += 1;
         }
-        self.watch(call, context.now);
+        self.schedule_check(call, context.now);
     }
 
     fn may_move(&self, open: &OpenCall, attempt: &OpenAttempt, now: Duration) -> bool {
@@ -204,16 +204,16 @@
 
     fn wait_time(&self, open: &OpenCall, attempt: &OpenAttempt, now: Duration) -> Duration {
         let withdrawn = matches!(attempt.phase, AttemptPhase::Withdrawn { .. });
-        let question = if attempt.unanswered > 0 || withdrawn {
-            ASK_AGAIN
+        let query = if attempt.unanswered > 0 || withdrawn {
+            QUERY_RETRY
         } else {
             attempt.query_interval
         };
         if !self.movable(open, attempt) {
-            return question;
+            return query;
         }
         let moved = (attempt.offered + move_time(open)).saturating_sub(now);
-        question.min(moved)
+        query.min(moved)
     }
 }
 
--- a/kernel/src/routing/keyed.rs
+++ b/kernel/src/routing/keyed.rs
@@ -11,17 +11,17 @@
 use crate::membership::NodeState;
 use crate::plugin::Context;
 use crate::routing::CallRouter;
+use crate::routing::checks::MAX_UNANSWERED;
 use crate::routing::offers::not_run;
 use crate::routing::open::RelayedCall;
-use crate::routing::watch::MAX_UNANSWERED;
 use crate::wire::RelayMessage;
 
 /// Time without a message after which the minter is first queried about a relayed call.
-const RELAY_PATIENCE: Duration = Duration::from_secs(5);
+const RELAY_QUERY_INTERVAL: Duration = Duration::from_secs(5);
 /// Longest time between two queries.
-const MAX_RELAY_PATIENCE: Duration = Duration::from_mins(1);
+const MAX_RELAY_QUERY_INTERVAL: Duration = Duration::from_mins(1);
 /// Time between queries while the minter does not reply.
-const ASK_AGAIN: Duration = Duration::from_secs(2);
+const QUERY_RETRY: Duration = Duration::from_secs(2);
 
 impl CallRouter {
     /// Admits a call that is not repeatable and has an idempotency key.
@@ -45,7 +45,7 @@
             Ok(()) => self.admit_own(spec, key.fingerprint, &parts, origin, context),
             // The run that minted it has ended, and its records of the key are lost.
             Err(KeyError::OtherMinter) => {
-                self.settle(spec.call, origin, CallOutcome::Unknown, context);
+                self.send_outcome(spec.call, origin, CallOutcome::Unknown, context);
             }
             Err(KeyError::Malformed | KeyError::Forged) => {
                 self.refuse_key(spec.call, origin, context);
@@ -54,7 +54,7 @@
     }
 
     fn refuse_key(&mut self, call: CallId, origin: CallOrigin, context: &mut Context<'_>) {
-        self.settle(call, origin, not_run(RefusalReason::Key, None), context);
+        self.send_outcome(call, origin, not_run(RefusalReason::Key, None), context);
     }
 
     fn admit_own(
@@ -66,10 +66,10 @@
         context: &mut Context<'_>,
     ) {
         let (call, workspace, now) = (spec.call, spec.workspace, context.now);
-        let verdict = self
-            .memory
+        let decision = self
+            .outcomes
             .admit(parts, workspace, fingerprint, call, origin, now);
-        match verdict {
+        match decision {
             KeyDecision::Run => self.open(spec, origin, Some(parts.sequence), context),
             KeyDecision::Join { original } => {
                 self.joined.insert(call);
@@ -79,11 +79,11 @@
                 if matches!(outcome, CallOutcome::Whole { .. }) {
                     context.act(Action::AttachCall { call, original });
                 }
-                self.settle(call, origin, outcome, context);
+                self.send_outcome(call, origin, outcome, context);
             }
             KeyDecision::Duplicate => {}
             KeyDecision::Conflict => self.refuse_key(call, origin, context),
-            KeyDecision::Expired => self.settle(call, origin, CallOutcome::Unknown, context),
+            KeyDecision::Expired => self.send_outcome(call, origin, CallOutcome::Unknown, context),
         }
     }
 
@@ -101,7 +101,7 @@
             member.state != NodeState::Dead && member.incarnation <= parts.incarnation
         });
         if !reachable {
-            self.settle(call, CallOrigin::Caller, CallOutcome::Unknown, context);
+            self.send_outcome(call, CallOrigin::Caller, CallOutcome::Unknown, context);
             return;
         }
         let key = key.clone();
@@ -109,10 +109,10 @@
         let relayed = RelayedCall {
             minter: parts.node,
             unanswered: 0,
-            query_interval: RELAY_PATIENCE,
-            next_check: context.now + RELAY_PATIENCE,
+            query_interval: RELAY_QUERY_INTERVAL,
+            next_check: context.now + RELAY_QUERY_INTERVAL,
         };
-        self.wakes.insert((relayed.next_check, call));
+        self.checks.insert((relayed.next_check, call));
         self.relayed.insert(call, relayed);
     }
 
@@ -155,8 +155,8 @@
             return;
         }
         if let Some(relayed) = self.relayed.remove(&call) {
-            self.wakes.remove(&(relayed.next_check, call));
-            self.settle(call, CallOrigin::Caller, outcome, context);
+            self.checks.remove(&(relayed.next_check, call));
+            self.send_outcome(call, CallOrigin::Caller, outcome, context);
         }
     }
 
@@ -172,7 +172,7 @@
 
     /// Ends the calls relayed to a node that is unreachable or gone as `unknown`, since it may have
     /// run them.
-    pub(super) fn minter_gone(&mut self, node: NodeId, context: &mut Context<'_>) {
+    pub(super) fn end_relayed_to(&mut self, node: NodeId, context: &mut Context<'_>) {
         let lost: Vec<CallId> = self
             .relayed
             .iter()
@@ -185,7 +185,7 @@
     }
 
     /// Queries the minter about a relayed call, or ends the call if the minter does not reply.
-    pub(super) fn look_at_relayed(&mut self, call: CallId, context: &mut Context<'_>) {
+    pub(super) fn check_relayed(&mut self, call: CallId, context: &mut Context<'_>) {
         let Some(relayed) = self.relayed.get_mut(&call) else {
             return;
         };
@@ -196,18 +196,18 @@
         }
         relayed.unanswered += 1;
         context.send(relayed.minter, RelayMessage::Ask(call));
-        relayed.next_check = context.now + ASK_AGAIN;
-        self.wakes.insert((relayed.next_check, call));
+        relayed.next_check = context.now + QUERY_RETRY;
+        self.checks.insert((relayed.next_check, call));
     }
 
     fn relayed_held(&mut self, call: CallId, now: Duration) {
         let Some(relayed) = self.relayed.get_mut(&call) else {
             return;
         };
-        self.wakes.remove(&(relayed.next_check, call));
+        self.checks.remove(&(relayed.next_check, call));
         relayed.unanswered = 0;
-        relayed.query_interval = (relayed.query_interval * 2).min(MAX_RELAY_PATIENCE);
+        relayed.query_interval = (relayed.query_interval * 2).min(MAX_RELAY_QUERY_INTERVAL);
         relayed.next_check = now + relayed.query_interval;
-        self.wakes.insert((relayed.next_check, call));
+        self.checks.insert((relayed.next_check, call));
     }
 }
--- a/kernel/src/routing/load.rs
+++ b/kernel/src/routing/load.rs
@@ -6,7 +6,7 @@
 
 /// Age at which a load summary has half its weight. With 1 s, an owner that is offered one call in
 /// two seconds looks idle while its queue grows; `examples/owner_choice.rs` shows it.
-const NEWS_HALF_LIFE: Duration = Duration::from_secs(20);
+const SUMMARY_HALF_LIFE: Duration = Duration::from_secs(20);
 /// Time without offers for an owner that reported no healthy slot.
 const NO_SLOTS_TIME: Duration = Duration::from_secs(2);
 
@@ -26,22 +26,22 @@
     /// `configured` is the owner's number of slots by the configuration.
     pub fn ahead(&self, spec: &CallSpec, configured: u32, now: Duration) -> f64 {
         let open = f64::from(self.open_offers);
-        let Some((at, told)) = self.summary else {
+        let Some((at, summary)) = self.summary else {
             return open / f64::from(configured.max(1));
         };
         let age = now.saturating_sub(at);
-        let weight = 0.5_f64.powf(age.as_secs_f64() / NEWS_HALF_LIFE.as_secs_f64());
-        if told.slots == 0 && age < NO_SLOTS_TIME {
+        let weight = 0.5_f64.powf(age.as_secs_f64() / SUMMARY_HALF_LIFE.as_secs_f64());
+        if summary.slots == 0 && age < NO_SLOTS_TIME {
             return f64::INFINITY;
         }
-        let slots = if told.slots == 0 {
+        let slots = if summary.slots == 0 {
             configured
         } else {
-            told.slots
+            summary.slots
         };
-        let tier = usize::from(spec.tier.0).min(told.waiting.len() - 1);
-        let waiting: u32 = told.waiting[..=tier].iter().sum();
-        let counted = f64::from(told.running + waiting) * weight + f64::from(self.offers_since);
+        let tier = usize::from(spec.tier.0).min(summary.waiting.len() - 1);
+        let waiting: u32 = summary.waiting[..=tier].iter().sum();
+        let counted = f64::from(summary.running + waiting) * weight + f64::from(self.offers_since);
         counted.max(open) / f64::from(slots.max(1))
     }
 }
--- a/kernel/src/routing/offers.rs
+++ b/kernel/src/routing/offers.rs
@@ -22,7 +22,7 @@
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Shortest and longest time without a message after which an owner is first queried about an
 /// attempt.
-const PATIENCE: [Duration; 2] = [Duration::from_secs(2), Duration::from_secs(30)];
+const QUERY_INTERVALS: [Duration; 2] = [Duration::from_secs(2), Duration::from_secs(30)];
 
 /// When a call is retried, and whether the retry budget pays for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,7 +53,7 @@
             self.admit_keyed(spec, key, CallOrigin::Caller, context);
         } else if self.leaving {
             let outcome = not_run(RefusalReason::Leaving, Some(Duration::ZERO));
-            self.settle(spec.call, CallOrigin::Caller, outcome, context);
+            self.send_outcome(spec.call, CallOrigin::Caller, outcome, context);
         } else {
             self.open(spec, CallOrigin::Caller, None, context);
         }
@@ -85,12 +85,12 @@
         }
         let offered = open.offer_spec(context.now);
         let mut owner = self
-            .board
+            .table
             .choose(&offered, &open.tried, context.now, context.random);
         if owner.is_none() && !open.tried.is_empty() {
             open.tried.clear();
             owner = self
-                .board
+                .table
                 .choose(&offered, &[], context.now, context.random);
         }
         let Some(owner) = owner else {
@@ -100,8 +100,8 @@
         open.searching = None;
         let attempt = send_offer(open, owner, context);
         open.attempt = Some(attempt);
-        self.board.record_offer(offered.pool, owner);
-        self.watch(call, context.now);
+        self.table.record_offer(offered.pool, owner);
+        self.schedule_check(call, context.now);
     }
 
     /// Delays a call while no owner can be reached, and gives it up after [`SEARCH_TIME`].
@@ -110,7 +110,7 @@
             return;
         };
         let since = *open.searching.get_or_insert(context.now);
-        let hopeless = !self.board.has_pool(open.spec.pool);
+        let hopeless = !self.table.has_pool(open.spec.pool);
         if hopeless || context.now.saturating_sub(since) >= SEARCH_TIME {
             let reason = if self.config.version == 0 {
                 RefusalReason::NoConfiguration
@@ -133,7 +133,7 @@
         if due >= open.deadline && !open.may_have_run() {
             self.give_up(call, RefusalReason::Deadline, None, context);
         } else {
-            self.wake_at(call, due);
+            self.check_at(call, due);
         }
     }
 
@@ -170,7 +170,7 @@
         };
         open.refusal = reason;
         let refused = matches!(cause, NotRunCause::Returned(ReturnReason::Refused { .. }));
-        if refused && kind == RetryKind::Paid && !self.worth_another(call, reason, context) {
+        if refused && kind == RetryKind::Paid && !self.is_worth_retrying(call, reason, context) {
             self.give_up(call, reason, retry_after, context);
         } else {
             self.retry(call, kind, context);
@@ -178,7 +178,7 @@
     }
 
     /// Whether another owner may accept a call that one has rejected.
-    fn worth_another(
+    fn is_worth_retrying(
         &mut self,
         call: CallId,
         reason: RefusalReason,
@@ -195,7 +195,7 @@
             | RefusalReason::UpstreamRefused => {
                 open.possibly_run
                     || self
-                        .board
+                        .table
                         .has_capacity(&open.spec, &open.tried, context.now, context.random)
             }
             RefusalReason::Limit
@@ -284,7 +284,7 @@
         if open.attempts().next().is_none() {
             self.give_up(call, RefusalReason::Cancelled, None, context);
         } else {
-            self.watch(call, context.now);
+            self.schedule_check(call, context.now);
         }
     }
 }
@@ -311,7 +311,7 @@
         resume_from,
     };
     context.send(owner, WorkMessage::Offer(work));
-    let [least, most] = PATIENCE;
+    let [least, most] = QUERY_INTERVALS;
     OpenAttempt {
         number: open.number,
         owner,
--- a/kernel/src/routing/owners.rs
+++ b/kernel/src/routing/owners.rs
@@ -26,7 +26,7 @@
 /// Number of candidates drawn when there are more.
 const DRAWS: u8 = 2;
 /// Load per slot below which an owner has capacity.
-const ROOM: f64 = 0.9;
+const CAPACITY_LOAD: f64 = 0.9;
 /// Load per slot by which an owner in another availability zone must be better.
 const ZONE_MARGIN: f64 = 0.25;
 /// Load per slot by which another owner must be better than the one that probably has the prefix
@@ -35,7 +35,7 @@
 /// Load per slot added for a suspected node.
 const SUSPECT_LOAD: f64 = 10.0;
 /// Time without offers for a node whose link broke.
-const LINK_REST: Duration = Duration::from_secs(1);
+const LINK_BACKOFF: Duration = Duration::from_secs(1);
 
 /// How an owner is selected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -71,7 +71,7 @@
     policy: OwnerPolicy,
     pools: BTreeMap<PoolId, PoolOwners>,
     loads: BTreeMap<(PoolId, NodeId), OwnerLoad>,
-    resting: BTreeMap<NodeId, Duration>,
+    backed_off: BTreeMap<NodeId, Duration>,
 }
 
 impl OwnerTable {
@@ -154,13 +154,13 @@
 
     /// Backs off from a node whose link broke.
     pub fn link_down(&mut self, node: NodeId, now: Duration) {
-        self.resting.retain(|_, until| *until > now);
-        self.resting.insert(node, now + LINK_REST);
+        self.backed_off.retain(|_, until| *until > now);
+        self.backed_off.insert(node, now + LINK_BACKOFF);
     }
 
     /// Ends the backoff from a node whose link was restored.
     pub fn link_up(&mut self, node: NodeId) {
-        self.resting.remove(&node);
+        self.backed_off.remove(&node);
     }
 
     /// Number of offers that have not ended, at all owners.
@@ -179,7 +179,7 @@
     ) -> Option<NodeId> {
         let owners = self.pools.get(&spec.pool)?;
         let search = OwnerSearch {
-            board: self,
+            table: self,
             spec,
             tried,
             now,
@@ -189,7 +189,7 @@
         }
         let near = search.best(&owners.near, random);
         if let Some((node, load)) = near
-            && load < ROOM
+            && load < CAPACITY_LOAD
         {
             return Some(node);
         }
@@ -210,7 +210,7 @@
         random: &mut Pcg64Mcg,
     ) -> bool {
         self.choose(spec, tried, now, random)
-            .is_some_and(|node| self.node_load(spec, node, now) < ROOM)
+            .is_some_and(|node| self.node_load(spec, node, now) < CAPACITY_LOAD)
     }
 
     fn node_load(&self, spec: &CallSpec, node: NodeId, now: Duration) -> f64 {
@@ -230,7 +230,7 @@
 
 /// One selection among the owners of a pool.
 struct OwnerSearch<'a> {
-    board: &'a OwnerTable,
+    table: &'a OwnerTable,
     spec: &'a CallSpec,
     tried: &'a [NodeId],
     now: Duration,
@@ -241,22 +241,22 @@
         if among.is_empty() {
             return None;
         }
-        let best = match self.board.policy {
+        let best = match self.table.policy {
             OwnerPolicy::LeastLoaded => self.least(among, random),
             OwnerPolicy::Mixed if among.len() <= COMPARE_ALL => self.least(among, random),
             OwnerPolicy::Mixed | OwnerPolicy::EqualShares => self.best_of(DRAWS, among, random),
             OwnerPolicy::BestOf(draws) => self.best_of(draws, among, random),
         }?;
-        let keeper = self.prefix_keeper(among);
+        let prefix_owner = self.prefix_owner(among);
         Some(
-            keeper
-                .filter(|(_, load)| keeps(*load, best.1))
+            prefix_owner
+                .filter(|(_, load)| is_prefix_preferred(*load, best.1))
                 .unwrap_or(best),
         )
     }
 
     /// The owner that the prefix is assigned to by rendezvous hashing, and its load.
-    fn prefix_keeper(&self, among: &[Candidate]) -> Option<(NodeId, f64)> {
+    fn prefix_owner(&self, among: &[Candidate]) -> Option<(NodeId, f64)> {
         if self.spec.prefix == 0 {
             return None;
         }
@@ -319,21 +319,21 @@
     }
 
     fn weigh(&self, candidate: &Candidate) -> (NodeId, f64) {
-        let load = self.board.load(self.spec, *candidate, self.now);
+        let load = self.table.load(self.spec, *candidate, self.now);
         (candidate.node, load)
     }
 
     fn allowed(&self, candidate: &Candidate) -> bool {
-        let resting = self
-            .board
-            .resting
+        let backed_off = self
+            .table
+            .backed_off
             .get(&candidate.node)
             .is_some_and(|until| *until > self.now);
-        !resting && !self.tried.contains(&candidate.node)
+        !backed_off && !self.tried.contains(&candidate.node)
     }
 }
 
 /// Whether the owner assigned to the prefix is preferred over the least loaded one.
-fn keeps(load: f64, best: f64) -> bool {
-    load < ROOM || load <= best + PREFIX_MARGIN
+fn is_prefix_preferred(load: f64, best: f64) -> bool {
+    load < CAPACITY_LOAD || load <= best + PREFIX_MARGIN
 }
--- a/kernel/src/routing/answers.rs
+++ b/kernel/src/routing/updates.rs
@@ -18,29 +18,35 @@
     ) {
         match message {
             WorkMessage::Started(attempt) => {
-                self.hear(*attempt, AttemptUpdate::Started, context);
+                self.apply_update(*attempt, AttemptUpdate::Started, context);
             }
             WorkMessage::Returned {
                 attempt,
                 reason,
                 load,
             } => {
-                self.learn(from, attempt.call, *load, context);
-                self.hear(*attempt, AttemptUpdate::Returned(*reason), context);
+                self.record_load(from, attempt.call, *load, context);
+                self.apply_update(*attempt, AttemptUpdate::Returned(*reason), context);
             }
             WorkMessage::Ended { attempt, end, load } => {
-                self.learn(from, attempt.call, *load, context);
-                self.hear(*attempt, AttemptUpdate::Ended(*end), context);
+                self.record_load(from, attempt.call, *load, context);
+                self.apply_update(*attempt, AttemptUpdate::Ended(*end), context);
             }
-            WorkMessage::Load { pool, load } => self.board.update(*pool, from, *load, context.now),
-            WorkMessage::Held { held, missing } => self.told_held(held, missing, context),
+            WorkMessage::Load { pool, load } => self.table.update(*pool, from, *load, context.now),
+            WorkMessage::Held { held, missing } => self.update_held(held, missing, context),
             WorkMessage::Offer(_) | WorkMessage::Cancel(_) | WorkMessage::Ask(_) => {}
         }
     }
 
-    fn learn(&mut self, from: NodeId, call: CallId, load: LoadSummary, context: &Context<'_>) {
+    fn record_load(
+        &mut self,
+        from: NodeId,
+        call: CallId,
+        load: LoadSummary,
+        context: &Context<'_>,
+    ) {
         if let Some(open) = self.calls.get(&call) {
-            self.board.update(open.spec.pool, from, load, context.now);
+            self.table.update(open.spec.pool, from, load, context.now);
         }
     }
 
@@ -52,70 +58,80 @@
         sent: bool,
         context: &mut Context<'_>,
     ) {
-        self.hear(attempt, AttemptUpdate::Lost { tokens, sent }, context);
+        self.apply_update(attempt, AttemptUpdate::Lost { tokens, sent }, context);
     }
 
-    fn hear(&mut self, attempt: AttemptId, news: AttemptUpdate, context: &mut Context<'_>) {
+    fn apply_update(
+        &mut self,
+        attempt: AttemptId,
+        update: AttemptUpdate,
+        context: &mut Context<'_>,
+    ) {
         let call = attempt.call;
         let Some(open) = self.calls.get_mut(&call) else {
             return;
         };
         let hedge = open.hedge.as_ref().map(|hedge| hedge.number);
         if hedge == Some(attempt.number) {
-            self.hear_hedge(attempt, news, context);
+            self.apply_hedge_update(attempt, update, context);
             return;
         }
         let Some(found) = open.find(attempt.number) else {
-            self.hear_old(attempt, news);
+            self.apply_late_update(attempt, update);
             return;
         };
-        let verdict = found.apply(news);
+        let status = found.apply(update);
         let found = *found;
-        if verdict != AttemptStatus::Open {
+        if status != AttemptStatus::Open {
             open.attempt = None;
-            self.board.record_close(open.spec.pool, found.owner);
-            self.conclude(call, &found, verdict, context);
-        } else if news == AttemptUpdate::Started {
+            self.table.record_close(open.spec.pool, found.owner);
+            self.handle_status(call, &found, status, context);
+        } else if update == AttemptUpdate::Started {
             self.drop_hedge(call, context);
-            self.watch(call, context.now);
+            self.schedule_check(call, context.now);
         }
     }
 
     /// Applies an update to an attempt that was withdrawn: only whether it ran still matters.
-    fn hear_old(&mut self, attempt: AttemptId, news: AttemptUpdate) {
+    fn apply_late_update(&mut self, attempt: AttemptId, update: AttemptUpdate) {
         let Some(open) = self.calls.get_mut(&attempt.call) else {
             return;
         };
-        let Some(place) = open
+        let Some(index) = open
             .unconfirmed
             .iter()
             .position(|old| *old == attempt.number)
         else {
             return;
         };
-        match news {
+        match update {
             AttemptUpdate::Returned(_) => {}
             AttemptUpdate::Started | AttemptUpdate::Ended(_) => open.possibly_run = true,
             AttemptUpdate::Lost { .. } => return,
         }
-        open.unconfirmed.swap_remove(place);
+        open.unconfirmed.swap_remove(index);
     }
 
     /// Applies an update to a call's hedge. If the hedge starts first, the first attempt is
     /// withdrawn; the hedge replaces it only once the edge has reported that no token of the first
     /// was forwarded.
-    fn hear_hedge(&mut self, attempt: AttemptId, news: AttemptUpdate, context: &mut Context<'_>) {
+    fn apply_hedge_update(
+        &mut self,
+        attempt: AttemptId,
+        update: AttemptUpdate,
+        context: &mut Context<'_>,
+    ) {
         let Some(open) = self.calls.get_mut(&attempt.call) else {
             return;
         };
         let Some(mut hedge) = open.hedge else {
             return;
         };
-        let verdict = hedge.apply(news);
+        let status = hedge.apply(update);
         open.hedge = Some(hedge);
-        if verdict == AttemptStatus::Open {
+        if status == AttemptStatus::Open {
             if let Some(first) = open.attempt
-                && news == AttemptUpdate::Started
+                && update == AttemptUpdate::Started
             {
                 let first = open.attempt_id(first.number);
                 self.withdraw(first, context);
@@ -123,21 +139,21 @@
             return;
         }
         open.hedge = None;
-        open.possibly_run |= !matches!(verdict, AttemptStatus::NotRun(_));
-        self.board.record_close(open.spec.pool, hedge.owner);
+        open.possibly_run |= !matches!(status, AttemptStatus::NotRun(_));
+        self.table.record_close(open.spec.pool, hedge.owner);
     }
 
-    fn conclude(
+    fn handle_status(
         &mut self,
         call: CallId,
         attempt: &OpenAttempt,
-        verdict: AttemptStatus,
+        status: AttemptStatus,
         context: &mut Context<'_>,
     ) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
         };
-        match verdict {
+        match status {
             AttemptStatus::Open => {}
             AttemptStatus::Whole { tokens } => {
                 let tokens = open.tokens + tokens;
@@ -159,13 +175,13 @@
                     open.possibly_run = true;
                 }
                 open.tokens += tokens;
-                self.go_on(call, attempt, tokens, context);
+                self.continue_or_end(call, attempt, tokens, context);
             }
         }
     }
 
     /// Continues or ends a call whose attempt may have run.
-    fn go_on(
+    fn continue_or_end(
         &mut self,
         call: CallId,
         attempt: &OpenAttempt,
@@ -202,7 +218,7 @@
             resume_from: open.tokens,
         });
         open.attempt = Some(hedge);
-        self.watch(call, context.now);
+        self.schedule_check(call, context.now);
         true
     }
 
@@ -216,7 +232,7 @@
         };
         open.unconfirmed.push(hedge.number);
         let cancel = WorkMessage::Cancel(open.attempt_id(hedge.number));
-        self.board.record_close(open.spec.pool, hedge.owner);
+        self.table.record_close(open.spec.pool, hedge.owner);
         context.send(hedge.owner, cancel);
     }
 
@@ -233,11 +249,11 @@
         let owner = found.owner;
         context.send(owner, WorkMessage::Cancel(attempt));
         context.act(Action::WithdrawAttempt(attempt));
-        self.watch(attempt.call, context.now);
+        self.schedule_check(attempt.call, context.now);
     }
 
     /// Withdraws every attempt at a node whose run has ended.
-    pub(super) fn node_gone(&mut self, node: NodeId, context: &mut Context<'_>) {
+    pub(super) fn withdraw_from_node(&mut self, node: NodeId, context: &mut Context<'_>) {
         let lost: Vec<AttemptId> = self
             .calls
             .values()
@@ -248,6 +264,6 @@
         for attempt in lost {
             self.withdraw(attempt, context);
         }
-        self.minter_gone(node, context);
+        self.end_relayed_to(node, context);
     }
 }
--- a/kernel/tests/calls/attempts.rs
+++ b/kernel/tests/calls/attempts.rs
@@ -27,7 +27,7 @@
 const MAY_HAVE_RUN: AttemptStatus = AttemptStatus::MayHaveRun { tokens: 2 };
 
 macro_rules! verdicts {
-    ($($name:ident: $phase:expr, $news:expr => $verdict:expr;)*) => {
+    ($($name:ident: $phase:expr, $update:expr => $status:expr;)*) => {
         $(
             #[test]
             fn $name() {
@@ -39,7 +39,7 @@
                     unanswered: 0,
                     query_interval: Duration::ZERO,
                 };
-                assert_eq!(attempt.apply($news), $verdict);
+                assert_eq!(attempt.apply($update), $status);
             }
         )*
     };
--- a/kernel/tests/calls/owners.rs
+++ b/kernel/tests/calls/owners.rs
@@ -16,7 +16,7 @@
 
 /// Four nodes, each with one upstream of ten slots; nodes 0 and 1 share the chooser's zone.
 struct Choice {
-    board: OwnerTable,
+    table: OwnerTable,
     config: Config,
     owners: OwnerMap,
     view: MemberView,
@@ -41,10 +41,10 @@
             *owner = node_id(node);
         }
         let spec = call_spec(0);
-        let board = OwnerTable::default();
+        let table = OwnerTable::default();
         let tried = Vec::new();
         let mut choice = Self {
-            board,
+            table,
             config,
             owners,
             view,
@@ -57,7 +57,7 @@
 
     fn rebuild(&mut self) {
         let zone = ZoneId::named("near");
-        self.board
+        self.table
             .rebuild(&self.config, &self.owners, &self.view, zone);
     }
 
@@ -73,7 +73,7 @@
             waiting,
         };
         let pool = PoolId::named("m");
-        self.board.update(pool, node_id(node), load, Duration::ZERO);
+        self.table.update(pool, node_id(node), load, Duration::ZERO);
     }
 
     /// The nodes that are chosen in a hundred choices.
@@ -82,7 +82,7 @@
         let mut chosen: BTreeMap<usize, u32> = BTreeMap::new();
         for _ in 0..100 {
             let owner = self
-                .board
+                .table
                 .choose(&self.spec, &self.tried, Duration::ZERO, &mut random);
             let Some(owner) = owner else { continue };
             let node = (0..4).find(|node| node_id(*node) == owner).unwrap();
@@ -133,10 +133,10 @@
     } => [2, 3];
     tried_owner: |choice| choice.tried.push(node_id(1)) => [0];
     all_tried: |choice| choice.tried.extend((0..4).map(node_id)) => [];
-    broken_link: |choice| choice.board.link_down(node_id(0), Duration::ZERO) => [1];
+    broken_link: |choice| choice.table.link_down(node_id(0), Duration::ZERO) => [1];
     mended_link: |choice| {
-        choice.board.link_down(node_id(0), Duration::ZERO);
-        choice.board.link_up(node_id(0));
+        choice.table.link_down(node_id(0), Duration::ZERO);
+        choice.table.link_up(node_id(0));
     } => [0, 1];
     prefix_has_one_owner: |choice| choice.spec.prefix = 1 => [0];
     other_prefix_has_another_owner: |choice| choice.spec.prefix = 5 => [1];
