--- a/kernel/benches/decision.rs
+++ b/kernel/benches/decision.rs
@@ -1,7 +1,8 @@
-//! Cost of a scheduling decision with many calls queued: one run ends, the next one starts.
+//! Cost of a dispatch decision with many calls queued: one run ends, and the next one starts.
 //!
-//! Beside Criterion's means it prints percentiles of single decisions and the memory of a queued
-//! call, which Criterion does not give.
+//!
+//! Besides Criterion's means it prints percentiles of single decisions and the memory per queued
+//! call, which Criterion does not measure.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::hint::black_box;
@@ -32,7 +33,7 @@
 
 static HELD: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: every call goes to the system's allocator unchanged.
+// SAFETY: every call is forwarded to the system allocator unchanged.
 #[allow(unsafe_code)]
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
@@ -165,7 +166,7 @@
         });
     }
 
-    /// One run ends and the next one starts.
+    /// Ends one run, so that the next one starts.
     fn decide(&mut self) {
         let index = self.sequence as usize * 7 % self.running.len();
         let attempt = self.running.swap_remove(index);
@@ -187,7 +188,7 @@
     held / queued as usize
 }
 
-/// The pool alone, so that a decision can be timed without what comes before and after it.
+/// A pool without the dispatcher, to time a decision by itself.
 struct PoolBench {
     pool: PoolState,
     arena: WorkArena,
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Frees one slot and times the choice of what starts there.
+    /// Frees one slot and times the decision about the next run.
     fn decide(&mut self) -> Duration {
         let index = self.sequence as usize * 7 % self.running.len();
         let key = self.running.swap_remove(index);
--- a/kernel/benches/traffic.rs
+++ b/kernel/benches/traffic.rs
@@ -1,10 +1,11 @@
-//! Bytes that the exchange of configuration costs a node, and the time until a change is in force
-//! everywhere, in virtual time, by the number of nodes.
+//! Traffic per node for the exchange of configuration, and the time until a change is in force on
+//! every node, in virtual time, by number of nodes.
+//!
 //!
 //! Run with `cargo bench -p monsoonbank-kernel --bench traffic`. Messages are counted as CBOR with
-//! the headers of WebSocket (6 B), TCP (32 B), IP (20 B), and an acknowledgement (52 B); reads of
-//! the log as JSON with [`HTTP_BYTES`] for the request, the headers and the segments. A message
-//! takes one step of 20 ms.
+//! the headers of WebSocket (6 B), TCP (32 B) and IP (20 B), and an acknowledgement (52 B); reads
+//! of the log are counted as JSON with [`HTTP_BYTES`] for the request, the headers and the
+//! segments. A message takes one step of 20 ms.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,7 +24,7 @@
 const HTTP_BYTES: usize = 600;
 const LONG_POLL: Duration = Duration::from_secs(5);
 const ZONES: usize = 23;
-/// 14,000 changes a day.
+/// Interval at a rate of 14,000 changes per day.
 const CHANGE_EVERY: Duration = Duration::from_millis(86_400_000 / 14_000);
 const CHANGES: u32 = 10;
 
@@ -163,7 +164,7 @@
         }));
     }
 
-    /// Steps until the log's newest record is in force on every node.
+    /// Runs until the newest record of the log is in force on every node; returns the time taken.
     fn until_in_force(&mut self) -> Duration {
         let start = self.now;
         while self
@@ -177,8 +178,9 @@
     }
 }
 
-/// Runs a while with changes at the day's rate: bytes a second a node (sent and received) between
-/// nodes and with the log, messages sent a second a node, and the longest time to in force.
+/// Simulates a period with changes at the daily rate. Returns the bytes per second and node (sent
+/// and received) between nodes and to the log, the messages sent per second and node, and the
+/// longest time until a change is in force.
 fn measure(count: usize, changes: u32) -> (f64, f64, f64, Duration) {
     let mut sim = Sim::new(count);
     sim.change(0);
@@ -206,7 +208,7 @@
     )
 }
 
-/// The log goes down for all nodes but one, which reads one more change.
+/// Time until one more change is in force while only one node can read the log.
 fn outage(count: usize) -> Duration {
     let mut sim = Sim::new(count);
     sim.change(0);
--- a/kernel/examples/owner_choice.rs
+++ b/kernel/examples/owner_choice.rs
@@ -1,13 +1,17 @@
-//! Compares ways of spreading calls over engines: prints the time that calls wait for a slot.
+//! Compares strategies for distributing calls over engines: prints the time that calls wait for a
+//! slot.
+//!
 //!
 //! `cargo run --release -p monsoonbank-kernel --example owner_choice`
 //!
-//! Every way gets the same calls with the same service times. Between two nodes a message takes
-//! 1 ms. `owner/...`: the entry node offers a call to the owner of some engines, which counts its
-//! slots exactly. `direct`: every node sends to every engine, the better of two by the engine's
-//! report (1 s old) and its own open calls; engines queue. `shares`: every node has an equal share
-//! of each engine's slots and queues by itself. Then a node of the largest site makes choices on
-//! the machine's own clock. An argument chooses the ways whose name contains it.
+//!
+//! Every strategy gets the same calls with the same service times. A message between two nodes
+//! takes 1 ms. `owner/...`: the entry node offers a call to the owner of some engines, which counts
+//! its slots exactly. `direct`: every node sends to every engine, to the better of two by the
+//! engine's report (1 s old) and the node's own open calls; engines queue. `shares`: every node has
+//! an equal share of each engine's slots and queues its own calls. After that, a node of the
+//! largest site is timed in real time while it chooses owners. An argument selects the strategies
+//! whose name contains it.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -66,7 +70,7 @@
     (0..site.calls)
         .map(|_| {
             at += exponential(&mut random) / rate;
-            // A quarter of the callers know one address only.
+            // A quarter of the callers are configured with one address only.
             let one = random.random_range(0..4) == 0;
             let entry = if one {
                 0
@@ -89,7 +93,7 @@
     random: Pcg64Mcg,
     steps: BinaryHeap<Reverse<(Duration, usize, Step)>>,
     order: usize,
-    /// Calls at an engine, running or waiting there.
+    /// Calls at each engine, running or queued there.
     held: Vec<u32>,
     reported: Vec<u32>,
     open: BTreeMap<(usize, usize), u32>,
@@ -217,7 +221,7 @@
                 Step::Report => {}
             }
         }
-        // The first third warms up.
+        // The first third of the calls is warm-up.
         self.waits.split_off(self.calls.len() / 3)
     }
 
@@ -287,7 +291,7 @@
         let engine = if seen(two) < seen(one) { two } else { one };
         *self.open.entry((entry, engine)).or_default() += 1;
         self.held[engine] += 1;
-        // The engine's own queue is modelled by the call that leaves first.
+        // The engine's queue is modelled by the call that leaves it first.
         if self.held[engine] <= self.site.slots {
             self.waits.push(now.saturating_sub(self.calls[call].at));
             self.plan(
@@ -329,7 +333,8 @@
                     running: self.owned[at].iter().map(|engine| self.held[*engine]).sum(),
                     waiting: [0, 0, self.queues[at].len() as u32],
                 };
-                // The hop back is left out: news 1 ms old changes nothing at these rates.
+                // The delay of the reply is not simulated: a load summary that is 1 ms old makes no
+                // difference at these rates.
                 let table = &mut self.tables[self.calls[call].entry];
                 table.record_close(spec().pool, node_id(at));
                 table.update(spec().pool, node_id(at), load, now);
@@ -338,7 +343,7 @@
     }
 }
 
-/// Prints the time that one choice takes among the owners of 10,000 engines at 980 nodes.
+/// Prints the time taken by one choice among the owners of 10,000 engines at 980 nodes.
 fn print_cost() {
     let site = Site {
         nodes: 980,
--- a/kernel/examples/waiting_calls.rs
+++ b/kernel/examples/waiting_calls.rs
@@ -1,11 +1,13 @@
-//! Compares what can be done with urgent calls that wait long at their owner: prints attainment,
-//! time to the first token, and the work thrown away.
+//! Compares policies for urgent calls that wait long at their owner: prints attainment, time to
+//! first token, and wasted work.
+//!
 //!
 //! `cargo run --release -p monsoonbank-kernel --example waiting_calls`
 //!
-//! Three nodes' kernels on virtual time, 1 ms between them, six engines of ten slots. Calls are
-//! urgent, with a target of 1 s; an engine serves one in 0.4 s on average. For a third of the run
-//! the engines of node 1 are ten times slower.
+//!
+//! The kernels of three nodes run in virtual time, 1 ms apart, with six engines of ten slots. Calls
+//! are urgent, with a target of 1 s; an engine serves one in 0.4 s on average. For a third of the
+//! run the engines of node 1 are ten times slower.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -31,7 +33,7 @@
 const TICK: Duration = Duration::from_millis(10);
 const TARGET: Duration = Duration::from_secs(1);
 const MEAN_SERVICE: f64 = 0.4;
-/// Share of the service time that passes before the first token.
+/// Fraction of the service time before the first token.
 const FIRST_TOKEN: f64 = 0.25;
 const LENGTH: Duration = Duration::from_mins(2);
 const SLOW: [Duration; 2] = [Duration::from_secs(40), Duration::from_secs(80)];
@@ -192,7 +194,7 @@
         self.plan(self.now + service, node, ended);
     }
 
-    /// What the fake engine does at this moment; false when the try is cancelled by now.
+    /// Simulates the engine's part in an event; returns false if the attempt was cancelled before.
     fn engine(&mut self, event: &Event) -> bool {
         match event {
             Event::AttemptProgress { attempt, .. } => {
--- a/kernel/tests/calls/attempts.rs
+++ b/kernel/tests/calls/attempts.rs
@@ -1,4 +1,4 @@
-//! What each piece of news means for a try, and when a call is tried again.
+//! What each update means for an attempt, and when a call is retried.
 
 use std::time::Duration;
 
@@ -100,7 +100,8 @@
     }
 }
 
-/// A refusal by an owner: with room elsewhere the call goes there, without it ends at once.
+/// A refusal by an owner: the call moves to another owner with capacity, or ends at once without
+/// one.
 fn refused(reason: RefusalReason, full: bool) -> (Fleet, Option<CallOutcome>) {
     let mut fleet = Fleet::new(2, 1);
     let load = LoadSummary {
--- a/kernel/tests/calls/faults.rs
+++ b/kernel/tests/calls/faults.rs
@@ -1,4 +1,4 @@
-//! One fault each, and the outcome that the caller must see.
+//! Single faults, and the outcome that the caller must receive.
 
 use std::time::Duration;
 
@@ -20,12 +20,12 @@
     matches!(outcome, CallOutcome::NotRun { .. })
 }
 
-/// The owner that got the call's first offer, if it is not the entry node.
+/// The owner that received the call's first offer, if it is not the entry node.
 fn offered(fleet: &Fleet) -> usize {
     fleet.wire[0].to
 }
 
-/// Takes every slot of the entry node, so that the next call goes to another owner.
+/// Fills every slot of the entry node, so that the next call is offered to another owner.
 fn busy(fleet: &mut Fleet) {
     while fleet.wire.is_empty() {
         fleet.arrive(0, true, None);
@@ -33,8 +33,8 @@
     fleet.wire.clear();
 }
 
-/// Names each case: what kind of call arrives at node 0 with its offer on the wire, what goes
-/// wrong, what its caller must be told, and how often it has run.
+/// Defines each case: the kind of call that arrives at node 0 with its offer in flight, the fault,
+/// the outcome for the caller, and how often the call runs.
 macro_rules! cases {
     ($($name:ident: $repeatable:ident, $fault:expr => $outcome:path, $runs:expr;)*) => {
         $(
@@ -59,7 +59,7 @@
     };
 }
 
-/// Delivers the offer; the call's try is the last one at the engines.
+/// Delivers the offer; the call's attempt is the last one at the engines.
 fn queued(fleet: &mut Fleet) -> usize {
     fleet.deliver_all();
     fleet.runs.len() - 1
@@ -172,7 +172,7 @@
     } => not_run, 0;
 }
 
-/// An offer to a node whose link cannot be made has not left, so it is made to another.
+/// An offer to a node whose link cannot be established was not sent, so another node gets it.
 #[test]
 fn link_cannot_be_made() {
     let mut fleet = Fleet::new(3, 1);
@@ -192,7 +192,7 @@
     }
 }
 
-/// An owner that no longer owns gives its queue back, and the calls go to the new owner.
+/// An owner that loses its upstreams returns its queue, and the calls move to the new owner.
 #[test]
 fn owner_changes_while_queued() {
     let mut fleet = Fleet::new(2, 1);
@@ -211,7 +211,7 @@
     }
 }
 
-/// With no owner at all a call waits a little, then ends without having run.
+/// Without any owner a call waits for a short time, then ends as not run.
 #[test]
 fn no_owner() {
     let mut fleet = Fleet::new(1, 1);
@@ -233,7 +233,7 @@
     assert!(retry_after.is_some());
 }
 
-/// A caller leaves while its call waits at the owner, which confirms that it did not run.
+/// A caller leaves while its call is queued at the owner, which confirms that it did not run.
 #[test]
 fn caller_leaves_queue() {
     let mut fleet = Fleet::new(1, 1);
@@ -248,7 +248,7 @@
     assert!(!fleet.ran.contains_key(&calls[2]));
 }
 
-/// A dead node's calls are given up when it is known to be dead, though its link stays open.
+/// The calls of a dead node are given up once it is known to be dead, though its link stays open.
 #[test]
 fn owner_vanishes() {
     for repeatable in [true, false] {
@@ -266,8 +266,8 @@
     }
 }
 
-/// An urgent call that this node takes back from its own queue goes elsewhere; its caller is not
-/// told that it was cancelled.
+/// An urgent call that this node withdraws from its own queue moves to another owner; its caller
+/// does not receive a cancellation.
 #[test]
 fn waiting_call_moves() {
     let mut fleet = Fleet::new(2, 1);
@@ -295,7 +295,7 @@
     }
 }
 
-/// A late answer of an older try changes nothing.
+/// A late reply to an earlier attempt is ignored.
 #[test]
 fn older_try_answers_late() {
     let mut fleet = Fleet::new(3, 1);
--- a/kernel/tests/calls/fleet.rs
+++ b/kernel/tests/calls/fleet.rs
@@ -1,4 +1,4 @@
-//! Kernels that exchange messages by the test's hand, with fake edges and fake engines.
+//! A fleet of kernels with fake edges and fake engines, whose messages are delivered by the test.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 
 use crate::trace::describe;
 
-/// Tokens of every whole answer.
+/// Tokens in every whole response.
 pub const TOKENS: u32 = 3;
 const PLUGINS: [&str; 4] = ["limits", "ownership", "routing", "dispatch"];
 
@@ -28,7 +28,7 @@
     pub message: Message,
 }
 
-/// What an edge holds; lost with its process.
+/// The state of an edge, which is lost with its process.
 #[derive(Default)]
 pub struct Edge {
     /// Offers sent to other nodes, and whether they left the socket.
@@ -38,7 +38,7 @@
     held: BTreeMap<AttemptId, Vec<u32>>,
 }
 
-/// A try at an engine.
+/// An attempt at an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Run {
     pub owner: usize,
@@ -57,10 +57,10 @@
     pub cut: BTreeSet<(usize, usize)>,
     pub wire: Vec<Frame>,
     pub runs: Vec<Run>,
-    /// Times that a call ran at an engine.
+    /// Number of times that each call ran at an engine.
     pub ran: BTreeMap<CallId, u32>,
     pub outcomes: BTreeMap<CallId, Vec<CallOutcome>>,
-    /// Tokens that the caller got.
+    /// Tokens that each caller received.
     pub got: BTreeMap<CallId, Vec<u32>>,
     pub attached: BTreeMap<CallId, CallId>,
     pub trace: Vec<String>,
@@ -193,7 +193,7 @@
         Arc::new(MemberView { members })
     }
 
-    /// Hands an event to a kernel and carries out its actions.
+    /// Handles an event in a kernel and executes its actions.
     pub fn tell(&mut self, node: usize, event: Event) {
         let mut actions = Vec::new();
         let Some(kernel) = &mut self.kernels[node] else {
@@ -253,7 +253,7 @@
         }
     }
 
-    /// The edge passes nothing more of an attempt on and says how far it came.
+    /// Stops forwarding an attempt's tokens and reports how many were forwarded.
     fn lose(&mut self, node: usize, attempt: AttemptId) {
         let edge = &mut self.edges[node];
         if edge.accepted.get(&attempt.call) == Some(&attempt) {
@@ -304,7 +304,7 @@
         }
     }
 
-    /// A new call at a node.
+    /// Lets a new call arrive at a node.
     pub fn arrive(&mut self, node: usize, repeatable: bool, key: Option<RequestKey>) -> CallId {
         self.sequence += 1;
         let call = CallId {
@@ -325,7 +325,7 @@
         RequestKey::from(&*self.mints[node].mint(WorkspaceId(7), self.now))
     }
 
-    /// Delivers the frame at a place on the wire.
+    /// Delivers the frame at this index.
     pub fn deliver(&mut self, place: usize) {
         let frame = self.wire.remove(place);
         let from = node_id(frame.from);
@@ -333,7 +333,7 @@
         self.tell(frame.to, Event::PeerMessage { from, message });
     }
 
-    /// Delivers everything in order, also what is sent because of it.
+    /// Delivers all frames in order, including those sent in response.
     pub fn deliver_all(&mut self) {
         let mut left = 100_000;
         while !self.wire.is_empty() {
@@ -343,7 +343,7 @@
         }
     }
 
-    /// The owner sends a try to its engine, which runs it.
+    /// Sends an attempt from the owner to its engine, which runs it.
     pub fn start(&mut self, run: usize) {
         if !self.runs[run].sent {
             self.runs[run].sent = true;
@@ -353,7 +353,7 @@
         }
     }
 
-    /// The engine of a running try gives one token, if it has one left.
+    /// Lets the engine of a running attempt produce one token, if any is left.
     pub fn token(&mut self, run: usize) {
         let Run {
             owner,
@@ -378,7 +378,7 @@
         self.tell(run.owner, Event::AttemptEnded { attempt, end });
     }
 
-    /// Runs a try to its end, unless it is cancelled when it starts.
+    /// Runs an attempt to its end, unless it is cancelled when it starts.
     pub fn complete(&mut self, run: usize) {
         let Run { owner, work, .. } = self.runs[run];
         self.start(run);
@@ -393,7 +393,7 @@
         self.end(run, AttemptEnd::Complete { tokens });
     }
 
-    /// The connection to the engine breaks.
+    /// Breaks the connection to the engine.
     pub fn break_off(&mut self, run: usize) {
         let tokens = self.runs[run].tokens;
         self.end(run, AttemptEnd::Broken { tokens });
@@ -411,14 +411,14 @@
         }
     }
 
-    /// A node's host loses its power: its peers' links stay open, and silent.
+    /// Simulates a power failure of a node's host: its peers' links stay open and silent.
     pub fn vanish(&mut self, node: usize) {
         self.kernels[node] = None;
         self.runs.retain(|run| run.owner != node);
         self.wire.retain(|frame| frame.to != node);
     }
 
-    /// A node's process ends without a word; its peers see their links break.
+    /// Ends a node's process abruptly; its peers see their links break.
     pub fn kill(&mut self, node: usize) {
         self.vanish(node);
         for peer in 0..self.kernels.len() {
@@ -426,7 +426,7 @@
         }
     }
 
-    /// The living nodes learn who is dead.
+    /// Sends the live nodes a view in which the missing nodes are dead.
     pub fn bury(&mut self) {
         let nodes = 0..self.kernels.len();
         self.buried = nodes.filter(|node| self.kernels[*node].is_none()).collect();
@@ -456,7 +456,7 @@
         }
     }
 
-    /// Lets everything come to its end.
+    /// Restores all links and nodes and runs every call to its end.
     pub fn settle(&mut self) {
         let mut left = 10_000;
         self.heal();
@@ -476,7 +476,7 @@
         self.deliver_all();
     }
 
-    /// Checks that no node holds anything of a call any more.
+    /// Checks that no node has any state left for a call.
     pub fn assert_at_rest(&self) {
         for kernel in self.kernels.iter().flatten() {
             let dump = kernel.dump(Some("routing"));
@@ -501,7 +501,7 @@
         }
     }
 
-    /// Keeps a trace of the calls that arrive from here on.
+    /// Records a trace of the calls that arrive from here on.
     pub fn trace(&mut self) {
         self.traced = self.sequence + 1;
     }
--- a/kernel/tests/calls/fuzz.rs
+++ b/kernel/tests/calls/fuzz.rs
@@ -1,4 +1,4 @@
-//! Three nodes under random faults, against an oracle that counts what the engines really ran.
+//! Three nodes under random faults, checked against an oracle that counts what ran at the engines.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 const NODES: usize = 3;
 
-/// One step; places are taken modulo what there is.
+/// One step; an index is taken modulo the number of items.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     Arrive { node: usize, repeatable: bool },
@@ -82,7 +82,7 @@
     fn apply((): (), _step: &Step) {}
 }
 
-/// What the oracle knows of a call.
+/// The oracle's record of a call.
 struct KnownCall {
     repeatable: bool,
     key: Option<usize>,
--- a/kernel/tests/calls/keys.rs
+++ b/kernel/tests/calls/keys.rs
@@ -20,7 +20,8 @@
     retry_after: None,
 };
 
-/// A key of node 1, used in the order told; then whether the calls ended so, and the runs in all.
+/// A key of node 1 and the calls that use it, in order of arrival. Each case states the outcome of
+/// every call and the total number of runs.
 struct KeyCase {
     fleet: Fleet,
     key: RequestKey,
@@ -151,7 +152,7 @@
     } => [WRONG_KEY], 0;
 }
 
-/// A try that did not run leaves the key free.
+/// A key may be used again after an attempt that did not run.
 #[test]
 fn key_is_free_after_not_run() {
     let mut case = KeyCase::new();
@@ -172,7 +173,7 @@
     assert_eq!(case.fleet.ran.values().sum::<u32>(), 1);
 }
 
-/// A relayed call that did not run is not run by a second copy of its message.
+/// A relayed call that did not run is not run by a duplicate of its message.
 #[test]
 fn relay_doubled_after_not_run() {
     let mut case = KeyCase::new();
@@ -229,7 +230,7 @@
     assert_eq!(checked, Err(KeyError::OtherMinter));
 }
 
-/// A memory, and a mint for one of its workspaces.
+/// The key outcomes of a minter, and a mint for one of its workspaces.
 struct KeyBook {
     memory: KeyOutcomes,
     mint: KeyMint,
@@ -276,7 +277,7 @@
     }
 }
 
-/// The oldest answer goes first; its call is still known to have run.
+/// The oldest response is discarded first; the outcome of its call then is `unknown`.
 #[test]
 fn answers_are_bounded() {
     let mut book = KeyBook::new();
@@ -290,8 +291,8 @@
     assert_eq!(book.admit(&first, u64::MAX), repeat);
 }
 
-/// A key that was forgotten for want of room never runs again, nor one minted before it; another
-/// workspace's keys stay.
+/// A key that was evicted never runs again, nor does one minted before it; the keys of other
+/// workspaces are retained.
 #[test]
 fn keys_are_bounded() {
     let mut book = KeyBook::new();
--- a/kernel/tests/calls/main.rs
+++ b/kernel/tests/calls/main.rs
@@ -1,4 +1,4 @@
-//! Calls at their entry node: honest outcomes, retries, and keys, under faults.
+//! Calls at their entry node: outcomes, retries and idempotency keys under faults.
 
 mod attempts;
 mod faults;
--- a/kernel/tests/calls/owners.rs
+++ b/kernel/tests/calls/owners.rs
@@ -1,4 +1,4 @@
-//! Which owner a call is offered to.
+//! Selection of the owner that a call is offered to.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 use crate::fleet::{Fleet, call_spec, node_id};
 
-/// Four nodes, each with one upstream of ten slots; nodes 0 and 1 share the chooser's zone.
+/// Four nodes, each with one upstream of ten slots; nodes 0 and 1 are in the entry node's zone.
 struct Choice {
     table: OwnerTable,
     config: Config,
@@ -76,7 +76,7 @@
         self.table.update(pool, node_id(node), load, Duration::ZERO);
     }
 
-    /// The nodes that are chosen in a hundred choices.
+    /// The nodes selected in a hundred choices.
     fn chosen(&self) -> Vec<usize> {
         let mut random = Pcg64Mcg::seed_from_u64(3);
         let mut chosen: BTreeMap<usize, u32> = BTreeMap::new();
--- a/kernel/tests/calls/sessions.rs
+++ b/kernel/tests/calls/sessions.rs
@@ -1,4 +1,4 @@
-//! Whole sessions, action by action.
+//! Golden traces of whole sessions, action by action.
 
 use monsoonbank_kernel::call::{AttemptEnd, LoadSummary, ReturnReason};
 use monsoonbank_kernel::event::Event;
@@ -22,7 +22,7 @@
     };
 }
 
-/// A call of node 0 that is offered to node 1, because node 0's own upstreams are busy.
+/// Offers a call of node 0 to node 1, because node 0's own upstreams are busy.
 fn offer(fleet: &mut Fleet, repeatable: bool) -> AttemptId {
     while fleet.wire.is_empty() {
         fleet.arrive(0, true, None);
@@ -33,7 +33,7 @@
     AttemptId { call, number: 1 }
 }
 
-/// A call of node 0 that node 1 is about to start.
+/// Queues a call of node 0 at node 1, which is about to start it.
 fn remote(fleet: &mut Fleet, repeatable: bool) -> usize {
     offer(fleet, repeatable);
     fleet.deliver_all();
--- a/kernel/tests/calls/trace.rs
+++ b/kernel/tests/calls/trace.rs
@@ -4,7 +4,8 @@
 use monsoonbank_kernel::ids::{CallId, NodeId};
 use monsoonbank_kernel::wire::{Message, RelayMessage, WorkMessage};
 
-/// The call that an action is about, and the action in words; none for what is of no interest.
+/// The call that an action is about and a description of the action; `None` for actions that are
+/// not traced.
 pub fn describe(action: &Action, name: impl Fn(NodeId) -> usize) -> Option<(CallId, String)> {
     Some(match action {
         Action::Send { to, message } => {
--- a/kernel/tests/common/mod.rs
+++ b/kernel/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Kernels that hand each other messages by the test's own hand.
+//! A fleet of kernels in one process, whose messages and time are controlled by the test.
 
 #![allow(dead_code)]
 
@@ -16,7 +16,7 @@
 /// Time between two ticks.
 pub const STEP: Duration = Duration::from_millis(50);
 
-/// A message under way.
+/// A message in flight.
 #[derive(Clone, Debug)]
 pub struct Envelope {
     pub from: NodeId,
@@ -24,17 +24,17 @@
     pub message: Message,
 }
 
-/// Some kernels, the messages between them, and what the platform shows.
+/// Several kernels, the messages in flight between them, and the platform's host list.
 pub struct Fleet {
     pub now: Duration,
     pub kernels: BTreeMap<NodeId, Kernel>,
     pub hosts: Vec<HostEntry>,
     pub queue: VecDeque<Envelope>,
-    /// Directed links that lose everything.
+    /// Directed links that drop every message.
     pub cut: BTreeSet<(NodeId, NodeId)>,
-    /// What kernels asked for besides sending.
+    /// Actions of the kernels other than sending messages.
     pub actions: Vec<(NodeId, Action)>,
-    /// Messages handed over so far.
+    /// Number of messages delivered so far.
     pub delivered: usize,
 }
 
@@ -66,7 +66,7 @@
 }
 
 impl Fleet {
-    /// A fleet of nodes given as name and zone, all started and listed.
+    /// A fleet of nodes given as name and zone, all started and on the host list.
     pub fn new<N: AsRef<str>>(nodes: &[(N, N)]) -> Self {
         let mut fleet = Self {
             now: Duration::from_secs(1),
@@ -87,14 +87,14 @@
         fleet
     }
 
-    /// Starts a run of a node, which reads the host list.
+    /// Starts a run of a node, which receives the host list.
     pub fn start(&mut self, name: &str, zone: &str, incarnation: u64) {
         let kernel = Kernel::new(profile(name, zone, incarnation));
         self.kernels.insert(id(name), kernel);
         self.give(id(name), Event::HostList(self.hosts.clone()));
     }
 
-    /// Ends a run at once; peers see broken links if `seen`.
+    /// Ends a run abruptly; its peers see their links break if `seen`.
     pub fn kill(&mut self, name: &str, seen: bool) {
         self.kernels.remove(&id(name));
         if seen {
@@ -104,14 +104,14 @@
         }
     }
 
-    /// Every node reads the host list as it is now.
+    /// Sends every node the current host list.
     pub fn list(&mut self) {
         for node in self.kernels.keys().copied().collect::<Vec<_>>() {
             self.give(node, Event::HostList(self.hosts.clone()));
         }
     }
 
-    /// Gives one kernel an event and takes its actions.
+    /// Handles an event in one kernel and collects its actions.
     pub fn give(&mut self, node: NodeId, event: Event) {
         let Some(kernel) = self.kernels.get_mut(&node) else {
             return;
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Hands over the oldest message, unless its link is cut.
+    /// Delivers a message, unless its link is cut.
     pub fn deliver(&mut self, envelope: Envelope) {
         let Envelope { from, to, message } = envelope;
         if !self.cut.contains(&(from, to)) {
@@ -140,14 +140,14 @@
         }
     }
 
-    /// Hands over everything, and all that comes of it.
+    /// Delivers all messages, including those sent in response.
     pub fn settle(&mut self) {
         while let Some(envelope) = self.queue.pop_front() {
             self.deliver(envelope);
         }
     }
 
-    /// Lets time pass, with ticks and messages.
+    /// Advances the clock in steps, with ticks and messages.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -175,7 +175,7 @@
         self.kernels[&id(node)].dump(Some(section))[section].clone()
     }
 
-    /// How `node` sees `other`: the state's name, or "" when it is not in its view.
+    /// The state of `other` in the view of `node`, or "" if it is not in that view.
     pub fn sees(&self, node: &str, other: &str) -> String {
         let dump = self.dump(node, "membership");
         let members = dump["members"].as_array().cloned().unwrap_or_default();
--- a/kernel/tests/dispatch/failures.rs
+++ b/kernel/tests/dispatch/failures.rs
@@ -1,4 +1,4 @@
-//! Each fault that an owner must stand, on its own.
+//! Single faults that an owner must handle.
 
 use std::time::Duration;
 
@@ -272,7 +272,7 @@
     );
 });
 
-// Guards against calls to an upstream that asked for a pause, at a node that has another.
+// Guards against assigning calls to a paused upstream while another one is available.
 case!(
     a_pausing_upstream_gets_nothing_until_it_opens,
     world = (2, 2),
@@ -289,7 +289,7 @@
     }
 );
 
-// Guards against calls that are held though their whole pool wants none for longer than they may wait.
+// Guards against queueing calls while their whole pool is paused for longer than they may wait.
 case!(a_pausing_pool_refuses_what_cannot_wait, world = (1, 1), {
     let pause = Duration::from_mins(1);
     world.tell(Event::UpstreamPaused {
--- a/kernel/tests/dispatch/golden.rs
+++ b/kernel/tests/dispatch/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files of whole sessions, one for each promise that the owner keeps.
+//! Golden files of whole sessions, one for each guarantee of the owner.
 
 use monsoonbank_kernel::call::AttemptEnd;
 use monsoonbank_kernel::event::Event;
--- a/kernel/tests/dispatch/machine.rs
+++ b/kernel/tests/dispatch/machine.rs
@@ -1,4 +1,5 @@
-//! Random sequences against an oracle that knows each attempt's fate and nothing of the policy.
+//! Random sequences checked against an oracle that records each attempt's state, without knowledge
+//! of the dispatch policy.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -291,7 +292,7 @@
         self.check_stops();
     }
 
-    /// Whether a lower tier holds a slot beyond its floor that it could give up.
+    /// Whether a lower tier uses a slot above its floor that it could yield.
     fn lower_spare(&self) -> bool {
         let dump = self.world.kernel.dump(None);
         let pool = &dump["dispatch"]["pools"]["model"];
@@ -311,7 +312,7 @@
         })
     }
 
-    /// One answer an attempt; "not started" only of what was not sent.
+    /// Each attempt has one reply, and is reported as not run only if it was not sent.
     fn check_messages(&mut self, spare: bool) {
         for (_, message) in &self.world.messages[self.read..] {
             let (attempt, not_run) = match message {
@@ -365,7 +366,8 @@
         self.leaving_runs = on_leaving;
     }
 
-    /// Only work that nobody wants, or repeatable work, is stopped; nothing urgent for less urgent.
+    /// Only cancelled or repeatable work is stopped, and no urgent work is stopped for less urgent
+    /// work.
     fn check_stops(&mut self) {
         let preempted = self.world.kernel.dump(None)["dispatch"]["preempted"].as_u64();
         let preempted = preempted.expect("a count");
@@ -390,7 +392,7 @@
         self.known_stops.extend(new);
     }
 
-    /// No work is left waiting while an upstream in service has a free slot.
+    /// No work stays queued while an upstream in service has a free slot.
     fn check_slots_are_used(&self) {
         let dump = self.world.kernel.dump(None);
         let pool = &dump["dispatch"]["pools"]["model"];
--- a/kernel/tests/dispatch/main.rs
+++ b/kernel/tests/dispatch/main.rs
@@ -1,4 +1,4 @@
-//! The owner's side of scheduling.
+//! Dispatch at the owner node.
 
 mod failures;
 mod golden;
--- a/kernel/tests/dispatch/order.rs
+++ b/kernel/tests/dispatch/order.rs
@@ -1,4 +1,4 @@
-//! What starts first: tiers, floors, deadlines, fair shares, preemption, refusals.
+//! Order of dispatch: tiers, floors, deadlines, fair shares, preemption and refusals.
 
 use std::time::Duration;
 
--- a/kernel/tests/dispatch/world.rs
+++ b/kernel/tests/dispatch/world.rs
@@ -1,4 +1,4 @@
-//! A kernel that owns a few upstreams, driven by hand.
+//! A kernel that owns a few upstreams, with a fake edge controlled by the test.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,13 +25,13 @@
     pub kernel: Kernel,
     pub now: Duration,
     pub config: Arc<Config>,
-    /// Runs on upstreams, as the edge sees them.
+    /// Runs on upstreams, from the edge's point of view.
     pub runs: BTreeMap<AttemptId, AttemptStart>,
     /// Runs that the edge was asked to stop.
     pub stops: Vec<AttemptId>,
     /// Every message to another node, in order.
     pub messages: Vec<(NodeId, WorkMessage)>,
-    /// Every action, a line each.
+    /// Every action, one line each.
     pub log: Vec<String>,
     sequence: u64,
 }
@@ -86,7 +86,7 @@
     Config::from_file(1, &file)
 }
 
-/// What a test says of a call; the rest is filled in.
+/// The properties of a call that tests vary; the others are filled in.
 #[derive(Clone, Copy)]
 pub struct Ask {
     pub tier: u8,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Adds a line to the log.
+    /// Adds an action to the log.
     pub fn note(&mut self, action: &Action) {
         let number = |attempt: &AttemptId| attempt.call.sequence;
         let line = match action {
@@ -302,7 +302,7 @@
         })
     }
 
-    /// Queued and running, as the state dump shows them.
+    /// Numbers of queued and running calls, from the state dump.
     pub fn held(&self) -> (u64, u64) {
         let dump = self.kernel.dump(Some("dispatch"));
         let count = |name: &str| dump["dispatch"][name].as_u64().expect("a count");
--- a/kernel/tests/limits/main.rs
+++ b/kernel/tests/limits/main.rs
@@ -1,4 +1,4 @@
-//! Limits of a workspace over several nodes, whose kernels exchange messages by hand.
+//! Workspace limits over several nodes, whose messages are delivered by the test.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -138,7 +138,8 @@
         self.admitted[node].retain(|admitted| *admitted != call);
     }
 
-    /// A call that is not refused at once counts as let in, or waiting to be.
+    /// Lets a call arrive. A call that is not refused at once counts as admitted, or as waiting to
+    /// be admitted.
     fn call(&mut self, node: usize) -> CallId {
         self.call_with(node, Duration::from_secs(1))
     }
@@ -185,8 +186,8 @@
         self.kernels.iter().filter_map(running).sum()
     }
 
-    /// Offers `rate` calls a second to each node for a while; each has no time to wait for its turn
-    /// and ends at once. Gives back how many were let in.
+    /// Offers `rate` calls per second to each node for some seconds. Each call has no time to wait
+    /// for its turn and ends at once. Returns the number of admitted calls.
     fn load(&mut self, nodes: &[usize], rate: u64, seconds: u64) -> usize {
         let mut let_in = 0;
         for _ in 0..seconds * rate {
