--- a/kernel/benches/decision.rs
+++ b/kernel/benches/decision.rs
@@ -31,18 +31,18 @@
 
 struct CountingAllocator;
 
-static HELD: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED: AtomicUsize = AtomicUsize::new(0);
 
 // SAFETY: every call is forwarded to the system allocator unchanged.
 #[allow(unsafe_code)]
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size(), Ordering::Relaxed);
+        ALLOCATED.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size(), Ordering::Relaxed);
+        ALLOCATED.fetch_sub(layout.size(), Ordering::Relaxed);
         unsafe { System.dealloc(pointer, layout) }
     }
 }
@@ -134,10 +134,10 @@
             owners: owners.collect(),
         };
         let upstreams: Vec<_> = config.upstreams.keys().copied().collect();
-        bench.tell(Event::ConfigApplied(config));
-        bench.tell(Event::OwnersChanged(Arc::new(owners)));
+        bench.handle(Event::ConfigApplied(config));
+        bench.handle(Event::OwnersChanged(Arc::new(owners)));
         for upstream in upstreams {
-            bench.tell(Event::UpstreamReported {
+            bench.handle(Event::UpstreamReported {
                 upstream,
                 report: LoadReport::default(),
             });
@@ -148,7 +148,7 @@
         bench
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.kernel.handle(self.now, event, &mut self.actions);
         for action in self.actions.drain(..) {
             if let Action::StartAttempt(start) = action {
@@ -160,7 +160,7 @@
     fn offer(&mut self) {
         self.sequence += 1;
         let work = work(self.sequence);
-        self.tell(Event::PeerMessage {
+        self.handle(Event::PeerMessage {
             from: NodeId(2),
             message: WorkMessage::Offer(work).into(),
         });
@@ -172,20 +172,20 @@
         let attempt = self.running.swap_remove(index);
         self.now += Duration::from_micros(100);
         let end = AttemptEnd::Complete { tokens: 100 };
-        self.tell(Event::AttemptEnded { attempt, end });
+        self.handle(Event::AttemptEnded { attempt, end });
     }
 }
 
 fn memory(queued: u64) -> usize {
-    let before = HELD.load(Ordering::Relaxed);
+    let before = ALLOCATED.load(Ordering::Relaxed);
     let empty = Bench::new(0);
-    let base = HELD.load(Ordering::Relaxed) - before;
+    let base = ALLOCATED.load(Ordering::Relaxed) - before;
     drop(empty);
-    let before = HELD.load(Ordering::Relaxed);
+    let before = ALLOCATED.load(Ordering::Relaxed);
     let bench = Bench::new(queued);
-    let held = HELD.load(Ordering::Relaxed) - before - base;
+    let allocated = ALLOCATED.load(Ordering::Relaxed) - before - base;
     drop(bench);
-    held / queued as usize
+    allocated / queued as usize
 }
 
 /// A pool without the dispatcher, to time a decision by itself.
--- a/kernel/benches/traffic.rs
+++ b/kernel/benches/traffic.rs
@@ -41,7 +41,7 @@
     ids: Vec<NodeId>,
     log: Vec<Record>,
     log_down_for: Option<usize>,
-    under_way: Vec<(NodeId, NodeId, Message)>,
+    in_flight: Vec<(NodeId, NodeId, Message)>,
     peer_bytes: usize,
     peer_messages: usize,
     log_bytes: usize,
@@ -88,12 +88,12 @@
         let members = members.collect();
         let view = Arc::new(MemberView { members });
         for index in 0..count {
-            sim.give(index, Event::MembersChanged(Arc::clone(&view)));
+            sim.handle(index, Event::MembersChanged(Arc::clone(&view)));
         }
         sim
     }
 
-    fn give(&mut self, index: usize, event: Event) {
+    fn handle(&mut self, index: usize, event: Event) {
         let mut actions = Vec::new();
         let node = &mut self.nodes[index];
         node.kernel.handle(self.now, event, &mut actions);
@@ -104,7 +104,7 @@
                     ciborium::into_writer(&message, &mut bytes).expect("a message is written");
                     self.peer_bytes += bytes.len() + FRAME_BYTES;
                     self.peer_messages += 1;
-                    self.under_way
+                    self.in_flight
                         .push((node.kernel.profile().node, to, message));
                 }
                 Action::ReadLog { from } => node.read = Some((from, self.now)),
@@ -120,7 +120,7 @@
         };
         if self.log_down_for.is_some_and(|only| only != index) {
             self.nodes[index].read = None;
-            return self.give(index, Event::LogUnavailable);
+            return self.handle(index, Event::LogUnavailable);
         }
         let end = self.log.len() as u64;
         if from >= end && self.now.saturating_sub(since) < LONG_POLL {
@@ -135,17 +135,17 @@
         let body = serde_json::to_vec(&records).expect("records are written");
         self.log_bytes += body.len() + HTTP_BYTES;
         self.nodes[index].read = None;
-        self.give(index, Event::LogRead { records, end });
+        self.handle(index, Event::LogRead { records, end });
     }
 
     fn step(&mut self) {
         self.now += STEP;
-        for (from, to, message) in std::mem::take(&mut self.under_way) {
+        for (from, to, message) in std::mem::take(&mut self.in_flight) {
             let index = self.ids.iter().position(|id| *id == to).expect("a node");
-            self.give(index, Event::PeerMessage { from, message });
+            self.handle(index, Event::PeerMessage { from, message });
         }
         for index in 0..self.nodes.len() {
-            self.give(index, Event::Tick);
+            self.handle(index, Event::Tick);
             self.serve_log(index);
         }
     }
--- a/kernel/examples/owner_choice.rs
+++ b/kernel/examples/owner_choice.rs
@@ -33,7 +33,7 @@
 const CHOICES: u32 = 100_000;
 
 #[derive(Clone, Copy)]
-enum Way {
+enum Strategy {
     Owner(OwnerPolicy),
     Direct,
     Shares,
@@ -88,7 +88,7 @@
 
 struct Bench {
     site: Site,
-    way: Way,
+    strategy: Strategy,
     calls: Vec<Arrival>,
     random: Pcg64Mcg,
     steps: BinaryHeap<Reverse<(Duration, usize, Step)>>,
@@ -157,10 +157,10 @@
 }
 
 impl Bench {
-    fn new(site: Site, way: Way, calls: Vec<Arrival>) -> Self {
-        let policy = match way {
-            Way::Owner(policy) => policy,
-            Way::Direct | Way::Shares => OwnerPolicy::default(),
+    fn new(site: Site, strategy: Strategy, calls: Vec<Arrival>) -> Self {
+        let policy = match strategy {
+            Strategy::Owner(policy) => policy,
+            Strategy::Direct | Strategy::Shares => OwnerPolicy::default(),
         };
         let (config, view) = (config(site), members(site));
         let owners = assign(&config, &view);
@@ -188,7 +188,7 @@
             owned,
             waits: Vec::new(),
             site,
-            way,
+            strategy,
             calls,
         }
     }
@@ -227,13 +227,13 @@
 
     fn arrive(&mut self, call: usize, now: Duration) {
         let entry = self.calls[call].entry;
-        match self.way {
-            Way::Shares => {
+        match self.strategy {
+            Strategy::Shares => {
                 self.queues[entry].push_back(call);
                 self.fill_share(entry, now);
             }
-            Way::Direct => self.send_direct(call, entry, now),
-            Way::Owner(_) => {
+            Strategy::Direct => self.send_direct(call, entry, now),
+            Strategy::Owner(_) => {
                 let spec = spec();
                 let owner = self.tables[entry].choose(&spec, &[], now, &mut self.random);
                 let owner = owner.expect("every node lives");
@@ -311,12 +311,12 @@
     }
 
     fn done(&mut self, call: usize, engine: usize, at: usize, now: Duration) {
-        match self.way {
-            Way::Shares => {
+        match self.strategy {
+            Strategy::Shares => {
                 *self.open.entry((at, engine)).or_default() -= 1;
                 self.fill_share(at, now);
             }
-            Way::Direct => {
+            Strategy::Direct => {
                 *self.open.entry((at, engine)).or_default() -= 1;
                 self.held[engine] -= 1;
                 if let Some(next) = self.engine_queue(engine).pop_front() {
@@ -325,7 +325,7 @@
                     self.plan(now + service, Step::Done(next, engine, entry));
                 }
             }
-            Way::Owner(_) => {
+            Strategy::Owner(_) => {
                 self.held[engine] -= 1;
                 self.fill(at, now);
                 let load = LoadSummary {
@@ -382,24 +382,24 @@
         slots: 10,
         calls: 400_000,
     };
-    let ways = [
-        ("owner/mixed", Way::Owner(OwnerPolicy::Mixed)),
-        ("owner/least", Way::Owner(OwnerPolicy::LeastLoaded)),
-        ("owner/two", Way::Owner(OwnerPolicy::BestOf(2))),
-        ("owner/shares", Way::Owner(OwnerPolicy::EqualShares)),
-        ("direct", Way::Direct),
-        ("shares", Way::Shares),
+    let strategies = [
+        ("owner/mixed", Strategy::Owner(OwnerPolicy::Mixed)),
+        ("owner/least", Strategy::Owner(OwnerPolicy::LeastLoaded)),
+        ("owner/two", Strategy::Owner(OwnerPolicy::BestOf(2))),
+        ("owner/shares", Strategy::Owner(OwnerPolicy::EqualShares)),
+        ("direct", Strategy::Direct),
+        ("shares", Strategy::Shares),
     ];
     let chosen = std::env::args().nth(1).unwrap_or_default();
     println!("nodes load  way           p50 ms  p99 ms  max ms  (worst p99 of 3 seeds)");
     for site in [small, large] {
         for load in [0.8, 0.95] {
-            for (name, way) in ways {
+            for (name, strategy) in strategies {
                 if !name.contains(&chosen) {
                     continue;
                 }
                 let runs = (1..=3).map(|seed| {
-                    let mut waits = Bench::new(site, way, arrivals(site, load, seed)).run();
+                    let mut waits = Bench::new(site, strategy, arrivals(site, load, seed)).run();
                     waits.sort_unstable();
                     let at = |share: f64| waits[(waits.len() as f64 * share) as usize].as_millis();
                     (at(0.99), at(0.5), at(0.999_999))
--- a/kernel/examples/waiting_calls.rs
+++ b/kernel/examples/waiting_calls.rs
@@ -127,8 +127,8 @@
             wasted: Duration::ZERO,
         };
         for node in 0..NODES {
-            trial.tell(node, Event::ConfigApplied(Arc::new(config())));
-            trial.tell(node, Event::MembersChanged(Arc::new(view())));
+            trial.handle(node, Event::ConfigApplied(Arc::new(config())));
+            trial.handle(node, Event::MembersChanged(Arc::new(view())));
         }
         trial
     }
@@ -143,7 +143,7 @@
         self.due.push(Reverse((at, self.number)));
     }
 
-    fn tell(&mut self, node: usize, event: Event) {
+    fn handle(&mut self, node: usize, event: Event) {
         let mut actions = Vec::new();
         self.kernels[node].handle(self.now, event, &mut actions);
         for action in actions {
@@ -240,7 +240,7 @@
                 continue;
             };
             if self.engine(&event) {
-                self.tell(node, event);
+                self.handle(node, event);
             }
         }
         self.summary()
--- a/kernel/tests/calls/attempts.rs
+++ b/kernel/tests/calls/attempts.rs
@@ -26,7 +26,7 @@
 };
 const MAY_HAVE_RUN: AttemptStatus = AttemptStatus::MayHaveRun { tokens: 2 };
 
-macro_rules! verdicts {
+macro_rules! statuses {
     ($($name:ident: $phase:expr, $update:expr => $status:expr;)*) => {
         $(
             #[test]
@@ -45,7 +45,7 @@
     };
 }
 
-verdicts! {
+statuses! {
     offered_starts: AttemptPhase::Offered, AttemptUpdate::Started => AttemptStatus::Open;
     offered_is_returned: AttemptPhase::Offered, NOT_OWNER => RETURNED;
     offered_is_lost: AttemptPhase::Offered, LOST => MAY_HAVE_RUN;
@@ -127,13 +127,13 @@
     };
     let message = returned.into();
     let from = node_id(usize::from(full));
-    fleet.tell(0, Event::PeerMessage { from, message });
+    fleet.handle(0, Event::PeerMessage { from, message });
     let outcome = fleet.outcomes.get(&call).map(|outcomes| outcomes[0]);
     (fleet, outcome)
 }
 
 #[test]
-fn refused_call_goes_where_there_is_room() {
+fn refused_call_moves_to_an_owner_with_capacity() {
     let (mut fleet, outcome) = refused(RefusalReason::Overloaded, false);
     assert_eq!(outcome, None);
     fleet.pass(Duration::from_millis(20));
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn refused_call_ends_at_once_without_room() {
+fn refused_call_ends_at_once_without_capacity() {
     for reason in [RefusalReason::Overloaded, RefusalReason::Limit] {
         let (_, outcome) = refused(reason, true);
         let retry_after = Some(Duration::from_secs(3));
--- a/kernel/tests/calls/faults.rs
+++ b/kernel/tests/calls/faults.rs
@@ -46,13 +46,13 @@
                 let fault: fn(&mut Fleet) = $fault;
                 fault(&mut fleet);
                 fleet.settle();
-                fleet.assert_at_rest();
+                fleet.assert_no_open_state();
                 let outcomes = &fleet.outcomes[&call];
                 assert_eq!(outcomes.len(), 1, "{outcomes:?}");
                 assert!($outcome(outcomes[0]), "{outcomes:?}");
                 assert_eq!(fleet.ran.get(&call).copied().unwrap_or_default(), $runs);
                 if whole(outcomes[0]) {
-                    assert_eq!(fleet.got[&call], (0..TOKENS).collect::<Vec<_>>());
+                    assert_eq!(fleet.received[&call], (0..TOKENS).collect::<Vec<_>>());
                 }
             }
         )*
@@ -76,7 +76,7 @@
 fn kill_owner(fleet: &mut Fleet) {
     let owner = fleet.runs[fleet.runs.len() - 1].owner;
     fleet.kill(owner);
-    fleet.bury();
+    fleet.mark_dead();
 }
 
 fn cut_owner(fleet: &mut Fleet) {
@@ -90,11 +90,11 @@
         let run = streaming(fleet);
         fleet.break_off(run);
     } => whole, 2;
-    confirmation_breaks: unrepeatable, |fleet| {
+    unrepeatable_call_breaks: unrepeatable, |fleet| {
         let run = streaming(fleet);
         fleet.break_off(run);
     } => unknown, 1;
-    upstream_refuses_confirmation: unrepeatable, |fleet| {
+    upstream_refuses_unrepeatable_call: unrepeatable, |fleet| {
         let run = queued(fleet);
         fleet.end(run, AttemptEnd::Refused);
     } => whole, 1;
@@ -106,7 +106,7 @@
         queued(fleet);
         kill_owner(fleet);
     } => whole, 1;
-    owner_dies_with_queued_confirmation: unrepeatable, |fleet| {
+    owner_dies_with_queued_unrepeatable_call: unrepeatable, |fleet| {
         queued(fleet);
         kill_owner(fleet);
     } => unknown, 0;
@@ -125,22 +125,22 @@
         cut_owner(fleet);
     } => unknown, 1;
     offer_lost: repeatable, |fleet| fleet.wire.clear() => whole, 1;
-    confirmation_offer_lost: unrepeatable, |fleet| fleet.wire.clear() => unknown, 0;
+    unrepeatable_offer_lost: unrepeatable, |fleet| fleet.wire.clear() => unknown, 0;
     answer_lost: repeatable, |fleet| {
         let run = queued(fleet);
         fleet.complete(run);
         fleet.wire.clear();
     } => whole, 2;
-    confirmation_answer_lost: unrepeatable, |fleet| {
+    unrepeatable_answer_lost: unrepeatable, |fleet| {
         let run = queued(fleet);
         fleet.complete(run);
         fleet.wire.clear();
     } => unknown, 1;
-    offer_doubled: unrepeatable, |fleet| {
+    offer_duplicated: unrepeatable, |fleet| {
         let again = fleet.wire[0].clone();
         fleet.wire.push(again);
     } => whole, 1;
-    answer_doubled: repeatable, |fleet| {
+    answer_duplicated: repeatable, |fleet| {
         let run = queued(fleet);
         fleet.complete(run);
         fleet.wire.extend(fleet.wire.clone());
@@ -163,12 +163,12 @@
     caller_leaves_stream: unrepeatable, |fleet| {
         let run = streaming(fleet);
         let call = fleet.runs[run].work.attempt.call;
-        fleet.tell(0, Event::CallCancelled(call));
+        fleet.handle(0, Event::CallCancelled(call));
     } => unknown, 1;
     caller_leaves_before_sending: unrepeatable, |fleet| {
         let run = queued(fleet);
         let call = fleet.runs[run].work.attempt.call;
-        fleet.tell(0, Event::CallCancelled(call));
+        fleet.handle(0, Event::CallCancelled(call));
     } => not_run, 0;
 }
 
@@ -199,7 +199,7 @@
     let calls: Vec<_> = (0..8).map(|_| fleet.arrive(0, false, None)).collect();
     fleet.deliver_all();
     fleet.kill(1);
-    fleet.bury();
+    fleet.mark_dead();
     fleet.restart(1);
     fleet.settle();
     for call in calls {
@@ -215,7 +215,7 @@
 #[test]
 fn no_owner() {
     let mut fleet = Fleet::new(1, 1);
-    fleet.tell(0, Event::OwnersChanged(std::sync::Arc::default()));
+    fleet.handle(0, Event::OwnersChanged(std::sync::Arc::default()));
     let call = fleet.arrive(0, false, None);
     assert!(!fleet.outcomes.contains_key(&call));
     fleet.settle();
@@ -238,7 +238,7 @@
 fn caller_leaves_queue() {
     let mut fleet = Fleet::new(1, 1);
     let calls: Vec<_> = (0..3).map(|_| fleet.arrive(0, false, None)).collect();
-    fleet.tell(0, Event::CallCancelled(calls[2]));
+    fleet.handle(0, Event::CallCancelled(calls[2]));
     let outcome = CallOutcome::NotRun {
         reason: RefusalReason::Cancelled,
         retry_after: None,
@@ -250,17 +250,17 @@
 
 /// The calls of a dead node are given up once it is known to be dead, though its link stays open.
 #[test]
-fn owner_vanishes() {
+fn owner_host_loses_power() {
     for repeatable in [true, false] {
         let mut fleet = Fleet::new(2, 1);
         busy(&mut fleet);
         let call = fleet.arrive(0, repeatable, None);
         streaming(&mut fleet);
-        fleet.vanish(1);
-        fleet.bury();
+        fleet.power_off(1);
+        fleet.mark_dead();
         assert_eq!(fleet.outcomes.contains_key(&call), !repeatable);
         fleet.settle();
-        fleet.assert_at_rest();
+        fleet.assert_no_open_state();
         assert!(!repeatable || whole(fleet.outcomes[&call][0]));
         assert!(repeatable || unknown(fleet.outcomes[&call][0]));
     }
@@ -297,7 +297,7 @@
 
 /// A late reply to an earlier attempt is ignored.
 #[test]
-fn older_try_answers_late() {
+fn older_attempt_answers_late() {
     let mut fleet = Fleet::new(3, 1);
     busy(&mut fleet);
     let call = fleet.arrive(0, true, None);
@@ -310,10 +310,10 @@
         let load = LoadSummary::default();
         let message = Message::Work(WorkMessage::Ended { attempt, end, load });
         let from = node_id(owner);
-        fleet.tell(0, Event::PeerMessage { from, message });
+        fleet.handle(0, Event::PeerMessage { from, message });
     }
     assert!(!fleet.outcomes.contains_key(&call));
     fleet.settle();
     assert!(whole(fleet.outcomes[&call][0]));
-    assert_eq!(fleet.got[&call], (0..TOKENS).collect::<Vec<_>>());
+    assert_eq!(fleet.received[&call], (0..TOKENS).collect::<Vec<_>>());
 }
--- a/kernel/tests/calls/fleet.rs
+++ b/kernel/tests/calls/fleet.rs
@@ -34,8 +34,8 @@
     /// Offers sent to other nodes, and whether they left the socket.
     offers: BTreeMap<AttemptId, (usize, bool)>,
     accepted: BTreeMap<CallId, AttemptId>,
-    passed: BTreeMap<AttemptId, u32>,
-    held: BTreeMap<AttemptId, Vec<u32>>,
+    forwarded: BTreeMap<AttemptId, u32>,
+    buffered: BTreeMap<AttemptId, Vec<u32>>,
 }
 
 /// An attempt at an engine.
@@ -61,11 +61,11 @@
     pub ran: BTreeMap<CallId, u32>,
     pub outcomes: BTreeMap<CallId, Vec<CallOutcome>>,
     /// Tokens that each caller received.
-    pub got: BTreeMap<CallId, Vec<u32>>,
+    pub received: BTreeMap<CallId, Vec<u32>>,
     pub attached: BTreeMap<CallId, CallId>,
     pub trace: Vec<String>,
     traced: u64,
-    buried: BTreeSet<usize>,
+    dead: BTreeSet<usize>,
     sequence: u64,
     waiting: WaitPolicy,
     config: Arc<Config>,
@@ -129,11 +129,11 @@
             runs: Vec::new(),
             ran: BTreeMap::new(),
             outcomes: BTreeMap::new(),
-            got: BTreeMap::new(),
+            received: BTreeMap::new(),
             attached: BTreeMap::new(),
             trace: Vec::new(),
             traced: u64::MAX,
-            buried: BTreeSet::new(),
+            dead: BTreeSet::new(),
             sequence: 0,
             waiting,
             config: Arc::new(config(nodes, slots)),
@@ -170,8 +170,8 @@
         self.kernels[node] = Some(kernel);
         self.edges[node] = Edge::default();
         let config = Arc::clone(&self.config);
-        self.tell(node, Event::ConfigApplied(config));
-        self.tell(node, Event::MembersChanged(self.view()));
+        self.handle(node, Event::ConfigApplied(config));
+        self.handle(node, Event::MembersChanged(self.view()));
     }
 
     pub fn view(&self) -> Arc<MemberView> {
@@ -180,7 +180,7 @@
             zone: ZoneId::named(&format!("z{node}")),
             zone_name: format!("z{node}").into(),
             incarnation: Incarnation(self.incarnations[node]),
-            state: if self.buried.contains(&node) {
+            state: if self.dead.contains(&node) {
                 NodeState::Dead
             } else {
                 NodeState::Live
@@ -194,7 +194,7 @@
     }
 
     /// Handles an event in a kernel and executes its actions.
-    pub fn tell(&mut self, node: usize, event: Event) {
+    pub fn handle(&mut self, node: usize, event: Event) {
         let mut actions = Vec::new();
         let Some(kernel) = &mut self.kernels[node] else {
             return;
@@ -235,7 +235,7 @@
             Action::AcceptAttempt { attempt, .. } => {
                 let edge = &mut self.edges[node];
                 edge.accepted.insert(attempt.call, attempt);
-                for token in edge.held.remove(&attempt).unwrap_or_default() {
+                for token in edge.buffered.remove(&attempt).unwrap_or_default() {
                     self.chunk(node, attempt, token);
                 }
             }
@@ -259,14 +259,14 @@
         if edge.accepted.get(&attempt.call) == Some(&attempt) {
             edge.accepted.remove(&attempt.call);
         }
-        let tokens = edge.passed.get(&attempt).copied().unwrap_or_default();
+        let tokens = edge.forwarded.get(&attempt).copied().unwrap_or_default();
         let sent = edge.offers.get(&attempt).is_none_or(|(_, sent)| *sent);
         let lost = Event::AttemptLost {
             attempt,
             tokens,
             sent,
         };
-        self.tell(node, lost);
+        self.handle(node, lost);
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
@@ -282,7 +282,7 @@
     }
 
     fn link_down(&mut self, node: usize, peer: usize) {
-        self.tell(node, Event::LinkDown(node_id(peer)));
+        self.handle(node, Event::LinkDown(node_id(peer)));
         let open = self.edges[node].offers.iter();
         let open: Vec<AttemptId> = open
             .filter(|(_, (owner, _))| *owner == peer)
@@ -297,10 +297,10 @@
         let edge = &mut self.edges[node];
         let accepted = edge.accepted.get(&attempt.call).copied();
         if accepted == Some(attempt) {
-            *edge.passed.entry(attempt).or_default() += 1;
-            self.got.entry(attempt.call).or_default().push(token);
+            *edge.forwarded.entry(attempt).or_default() += 1;
+            self.received.entry(attempt.call).or_default().push(token);
         } else if accepted.is_some_and(|accepted| accepted < attempt) {
-            edge.held.entry(attempt).or_default().push(token);
+            edge.buffered.entry(attempt).or_default().push(token);
         }
     }
 
@@ -317,7 +317,7 @@
             repeatable,
             ..call_spec(node)
         };
-        self.tell(node, Event::CallArrived { spec, key });
+        self.handle(node, Event::CallArrived { spec, key });
         call
     }
 
@@ -330,7 +330,7 @@
         let frame = self.wire.remove(place);
         let from = node_id(frame.from);
         let message = frame.message;
-        self.tell(frame.to, Event::PeerMessage { from, message });
+        self.handle(frame.to, Event::PeerMessage { from, message });
     }
 
     /// Delivers all frames in order, including those sent in response.
@@ -349,7 +349,7 @@
             self.runs[run].sent = true;
             let Run { owner, work, .. } = self.runs[run];
             *self.ran.entry(work.attempt.call).or_default() += 1;
-            self.tell(owner, Event::AttemptSent(work.attempt));
+            self.handle(owner, Event::AttemptSent(work.attempt));
         }
     }
 
@@ -375,7 +375,7 @@
     pub fn end(&mut self, run: usize, end: AttemptEnd) {
         let run = self.runs.remove(run);
         let attempt = run.work.attempt;
-        self.tell(run.owner, Event::AttemptEnded { attempt, end });
+        self.handle(run.owner, Event::AttemptEnded { attempt, end });
     }
 
     /// Runs an attempt to its end, unless it is cancelled when it starts.
@@ -407,12 +407,12 @@
 
     pub fn heal(&mut self) {
         for (one, two) in std::mem::take(&mut self.cut) {
-            self.tell(one, Event::LinkUp(node_id(two)));
+            self.handle(one, Event::LinkUp(node_id(two)));
         }
     }
 
     /// Simulates a power failure of a node's host: its peers' links stay open and silent.
-    pub fn vanish(&mut self, node: usize) {
+    pub fn power_off(&mut self, node: usize) {
         self.kernels[node] = None;
         self.runs.retain(|run| run.owner != node);
         self.wire.retain(|frame| frame.to != node);
@@ -420,39 +420,39 @@
 
     /// Ends a node's process abruptly; its peers see their links break.
     pub fn kill(&mut self, node: usize) {
-        self.vanish(node);
+        self.power_off(node);
         for peer in 0..self.kernels.len() {
             self.link_down(peer, node);
         }
     }
 
     /// Sends the live nodes a view in which the missing nodes are dead.
-    pub fn bury(&mut self) {
+    pub fn mark_dead(&mut self) {
         let nodes = 0..self.kernels.len();
-        self.buried = nodes.filter(|node| self.kernels[*node].is_none()).collect();
-        self.spread();
+        self.dead = nodes.filter(|node| self.kernels[*node].is_none()).collect();
+        self.update_views();
     }
 
     pub fn restart(&mut self, node: usize) {
         if self.kernels[node].is_none() {
             self.incarnations[node] += 1;
-            self.buried.remove(&node);
+            self.dead.remove(&node);
             self.boot(node);
-            self.spread();
+            self.update_views();
         }
     }
 
-    fn spread(&mut self) {
+    fn update_views(&mut self) {
         for node in 0..self.kernels.len() {
             let view = self.view();
-            self.tell(node, Event::MembersChanged(view));
+            self.handle(node, Event::MembersChanged(view));
         }
     }
 
     pub fn pass(&mut self, time: Duration) {
         self.now += time;
         for node in 0..self.kernels.len() {
-            self.tell(node, Event::Tick);
+            self.handle(node, Event::Tick);
         }
     }
 
@@ -477,7 +477,7 @@
     }
 
     /// Checks that no node has any state left for a call.
-    pub fn assert_at_rest(&self) {
+    pub fn assert_no_open_state(&self) {
         for kernel in self.kernels.iter().flatten() {
             let dump = kernel.dump(Some("routing"));
             for field in [
--- a/kernel/tests/calls/fuzz.rs
+++ b/kernel/tests/calls/fuzz.rs
@@ -26,7 +26,7 @@
     Deliver(Index),
     DeliverAll,
     Lose(Index),
-    Double(Index),
+    Duplicate(Index),
     Start(Index),
     Token(Index),
     Complete(Index),
@@ -36,7 +36,7 @@
     Cut(usize),
     Heal,
     Kill(usize),
-    Bury,
+    MarkDead,
     Restart(usize),
     Pass(u64),
 }
@@ -62,7 +62,7 @@
             12 => place().prop_map(Step::Deliver),
             3 => Just(Step::DeliverAll),
             1 => place().prop_map(Step::Lose),
-            1 => place().prop_map(Step::Double),
+            1 => place().prop_map(Step::Duplicate),
             5 => place().prop_map(Step::Start),
             4 => place().prop_map(Step::Token),
             4 => place().prop_map(Step::Complete),
@@ -72,7 +72,7 @@
             1 => (0..NODES).prop_map(Step::Cut),
             1 => Just(Step::Heal),
             1 => (0..NODES).prop_map(Step::Kill),
-            1 => Just(Step::Bury),
+            1 => Just(Step::MarkDead),
             2 => (0..NODES).prop_map(Step::Restart),
             3 => (10u64..3_000).prop_map(Step::Pass),
         ]
@@ -83,7 +83,7 @@
 }
 
 /// The oracle's record of a call.
-struct KnownCall {
+struct CallRecord {
     repeatable: bool,
     key: Option<usize>,
 }
@@ -91,7 +91,7 @@
 pub struct Oracle<const HEDGING: bool> {
     fleet: Fleet,
     keys: Vec<RequestKey>,
-    calls: BTreeMap<CallId, KnownCall>,
+    calls: BTreeMap<CallId, CallRecord>,
     cancelled: BTreeSet<CallId>,
 }
 
@@ -102,7 +102,7 @@
         }
         let text = key.map(|key| self.keys[key].clone());
         let call = self.fleet.arrive(node, repeatable, text);
-        self.calls.insert(call, KnownCall { repeatable, key });
+        self.calls.insert(call, CallRecord { repeatable, key });
     }
 
     fn run(&mut self, place: Index, act: impl Fn(&mut Fleet, usize)) {
@@ -134,7 +134,7 @@
                     let call = *self.calls.keys().nth(place).unwrap();
                     self.cancelled.insert(call);
                     let node = (0..NODES).find(|node| self.fleet.profile(*node).node == call.node);
-                    self.fleet.tell(node.unwrap(), Event::CallCancelled(call));
+                    self.fleet.handle(node.unwrap(), Event::CallCancelled(call));
                 }
             }
             Step::Deliver(place) => self.frame(place, Fleet::deliver),
@@ -142,7 +142,7 @@
             Step::Lose(place) => self.frame(place, |fleet, frame| {
                 fleet.wire.remove(frame);
             }),
-            Step::Double(place) => {
+            Step::Duplicate(place) => {
                 self.frame(place, |fleet, frame| {
                     let frame = fleet.wire[frame].clone();
                     fleet.wire.push(frame);
@@ -161,7 +161,7 @@
             Step::Cut(node) => self.fleet.cut(node, (node + 1) % NODES),
             Step::Heal => self.fleet.heal(),
             Step::Kill(node) => self.fleet.kill(node),
-            Step::Bury => self.fleet.bury(),
+            Step::MarkDead => self.fleet.mark_dead(),
             Step::Restart(node) => self.fleet.restart(node),
             Step::Pass(time) => self.fleet.pass(Duration::from_millis(time)),
         }
@@ -181,34 +181,34 @@
 
     fn check(&self) {
         let mut by_key: BTreeMap<usize, u32> = BTreeMap::new();
-        for (call, known) in &self.calls {
+        for (call, record) in &self.calls {
             let ran = self.ran(*call);
-            assert!(known.repeatable || ran <= 1, "{call} ran {ran} times");
-            if let Some(key) = known.key {
+            assert!(record.repeatable || ran <= 1, "{call} ran {ran} times");
+            if let Some(key) = record.key {
                 *by_key.entry(key).or_default() += ran;
             }
             let outcomes = self.fleet.outcomes.get(call);
             let outcomes = outcomes.map(Vec::as_slice).unwrap_or_default();
             assert!(outcomes.len() <= 1, "{call} ended twice: {outcomes:?}");
             if let Some(outcome) = outcomes.first() {
-                self.check_outcome(*call, known, *outcome, ran);
+                self.check_outcome(*call, record, *outcome, ran);
             }
         }
         assert!(by_key.values().all(|ran| *ran <= 1), "a key ran twice");
     }
 
-    fn check_outcome(&self, call: CallId, known: &KnownCall, outcome: CallOutcome, ran: u32) {
+    fn check_outcome(&self, call: CallId, record: &CallRecord, outcome: CallOutcome, ran: u32) {
         match outcome {
             CallOutcome::Whole { tokens } => {
                 assert_eq!(tokens, TOKENS);
                 let source = self.fleet.attached.get(&call).unwrap_or(&call);
                 let whole: Vec<u32> = (0..TOKENS).collect();
-                assert_eq!(self.fleet.got[source], whole, "{call}");
+                assert_eq!(self.fleet.received[source], whole, "{call}");
             }
             CallOutcome::NotRun { reason, .. } => {
                 assert_eq!(ran, 0, "{call} not run ({reason}) but ran");
                 assert_ne!(reason, RefusalReason::Key);
-                let left = self.cancelled.contains(&call) || known.key.is_some();
+                let left = self.cancelled.contains(&call) || record.key.is_some();
                 assert!(
                     left || reason != RefusalReason::Cancelled,
                     "{call} was not cancelled"
@@ -249,7 +249,7 @@
     fn teardown(mut state: Self, (): ()) {
         state.fleet.settle();
         state.check();
-        state.fleet.assert_at_rest();
+        state.fleet.assert_no_open_state();
         let incarnations: Vec<_> = (0..NODES)
             .map(|node| state.fleet.profile(node))
             .map(|profile| (profile.node, profile.incarnation))
@@ -264,8 +264,8 @@
 
 prop_state_machine! {
     #[test]
-    fn calls_end_honestly(sequential 1..120 => Oracle<false>);
+    fn calls_end_with_true_outcomes(sequential 1..120 => Oracle<false>);
 
     #[test]
-    fn hedged_calls_end_honestly(sequential 1..120 => Oracle<true>);
+    fn hedged_calls_end_with_true_outcomes(sequential 1..120 => Oracle<true>);
 }
--- a/kernel/tests/calls/keys.rs
+++ b/kernel/tests/calls/keys.rs
@@ -57,7 +57,7 @@
                 let steps: fn(&mut KeyCase) = $steps;
                 steps(&mut case);
                 case.fleet.settle();
-                case.fleet.assert_at_rest();
+                case.fleet.assert_no_open_state();
                 let outcomes = |call| case.fleet.outcomes[call].clone();
                 let ended: Vec<_> = case.calls.iter().map(outcomes).collect();
                 assert_eq!(ended, [$(vec![$outcome]),*]);
@@ -81,20 +81,20 @@
         case.arrive(2);
         assert_eq!(case.fleet.attached.get(&case.calls[1]), Some(&case.calls[0]));
     } => [WHOLE, WHOLE], 1;
-    cut_off_caller_collects: |case| {
+    cut_off_caller_fetches_the_response: |case| {
         case.arrive(0);
         case.fleet.cut(0, 1);
         case.complete();
         case.fleet.heal();
         case.arrive(2);
     } => [CallOutcome::Unknown, WHOLE], 1;
-    caller_leaves_and_collects: |case| {
+    caller_leaves_and_fetches_the_response: |case| {
         case.arrive(1);
         let call = case.calls[0];
-        case.fleet.tell(1, Event::CallCancelled(call));
+        case.fleet.handle(1, Event::CallCancelled(call));
         case.arrive(1);
     } => [WHOLE, WHOLE], 1;
-    break_is_remembered: |case| {
+    outcome_of_a_break_is_retained: |case| {
         case.arrive(1);
         case.fleet.start(0);
         case.fleet.break_off(0);
@@ -116,7 +116,7 @@
     } => [WHOLE, CallOutcome::Unknown, CallOutcome::Unknown], 1;
     minter_dead: |case| {
         case.fleet.kill(1);
-        case.fleet.bury();
+        case.fleet.mark_dead();
         case.arrive(0);
     } => [CallOutcome::Unknown], 0;
     minter_dies_while_relayed: |case| {
@@ -133,7 +133,7 @@
         case.fleet.pass(KEY_LIFETIME + Duration::from_secs(2));
         case.arrive(1);
     } => [WHOLE, CallOutcome::Unknown], 1;
-    relay_doubled: |case| {
+    relay_duplicated: |case| {
         let key = Some(case.key.clone());
         case.calls.push(case.fleet.arrive(0, false, key));
         let frame = case.fleet.wire[0].clone();
@@ -157,7 +157,7 @@
 fn key_is_free_after_not_run() {
     let mut case = KeyCase::new();
     case.fleet
-        .tell(1, Event::OwnersChanged(std::sync::Arc::default()));
+        .handle(1, Event::OwnersChanged(std::sync::Arc::default()));
     case.arrive(0);
     case.fleet.settle();
     let call = case.calls[0];
@@ -166,7 +166,7 @@
         [CallOutcome::NotRun { .. }]
     ));
     case.fleet.kill(2);
-    case.fleet.bury();
+    case.fleet.mark_dead();
     case.arrive(0);
     case.fleet.settle();
     assert_eq!(case.fleet.outcomes[&case.calls[1]], [WHOLE]);
@@ -175,10 +175,10 @@
 
 /// A relayed call that did not run is not run by a duplicate of its message.
 #[test]
-fn relay_doubled_after_not_run() {
+fn relay_duplicated_after_not_run() {
     let mut case = KeyCase::new();
     case.fleet
-        .tell(1, Event::OwnersChanged(std::sync::Arc::default()));
+        .handle(1, Event::OwnersChanged(std::sync::Arc::default()));
     let key = Some(case.key.clone());
     let call = case.fleet.arrive(0, false, key);
     let frame = case.fleet.wire[0].clone();
@@ -188,7 +188,7 @@
         [CallOutcome::NotRun { .. }]
     ));
     case.fleet.kill(2);
-    case.fleet.bury();
+    case.fleet.mark_dead();
     case.fleet.wire.push(frame);
     case.fleet.settle();
     assert!(case.fleet.ran.is_empty());
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn key_says_its_minter() {
+fn key_identifies_its_minter() {
     let profile = profile();
     let mint = KeyMint::new(&profile);
     let now = Duration::from_secs(77);
@@ -231,16 +231,16 @@
 }
 
 /// The key outcomes of a minter, and a mint for one of its workspaces.
-struct KeyBook {
-    memory: KeyOutcomes,
+struct KeyFixture {
+    outcomes: KeyOutcomes,
     mint: KeyMint,
     workspace: WorkspaceId,
 }
 
-impl KeyBook {
+impl KeyFixture {
     fn new() -> Self {
         Self {
-            memory: KeyOutcomes::default(),
+            outcomes: KeyOutcomes::default(),
             mint: KeyMint::new(&profile()),
             workspace: WorkspaceId(7),
         }
@@ -252,7 +252,7 @@
 
     fn admit(&mut self, key: &KeyParts, sequence: u64) -> KeyDecision {
         let (origin, now) = (CallOrigin::Caller, Duration::ZERO);
-        self.memory
+        self.outcomes
             .admit(key, self.workspace, 0, call(sequence), origin, now)
     }
 
@@ -260,7 +260,7 @@
     fn used(&mut self, sequence: u64) -> KeyParts {
         let key = self.mint();
         assert_eq!(self.admit(&key, sequence), KeyDecision::Run);
-        self.memory
+        self.outcomes
             .record_outcome(key.sequence, WHOLE, Duration::ZERO);
         key
     }
@@ -280,41 +280,41 @@
 /// The oldest response is discarded first; the outcome of its call then is `unknown`.
 #[test]
 fn answers_are_bounded() {
-    let mut book = KeyBook::new();
-    let first = book.used(0);
+    let mut fixture = KeyFixture::new();
+    let first = fixture.used(0);
     for sequence in 1..=MAX_WORKSPACE_ANSWERS as u64 {
-        book.used(sequence);
+        fixture.used(sequence);
     }
-    assert_eq!(book.memory.expire(Duration::ZERO), [call(0)]);
+    assert_eq!(fixture.outcomes.expire(Duration::ZERO), [call(0)]);
     let (original, outcome) = (call(0), CallOutcome::Unknown);
     let repeat = KeyDecision::Repeat { original, outcome };
-    assert_eq!(book.admit(&first, u64::MAX), repeat);
+    assert_eq!(fixture.admit(&first, u64::MAX), repeat);
 }
 
 /// A key that was evicted never runs again, nor does one minted before it; the keys of other
 /// workspaces are retained.
 #[test]
 fn keys_are_bounded() {
-    let mut book = KeyBook::new();
-    let other = book.used(0);
-    book.workspace = WorkspaceId(8);
-    let unused = book.mint();
-    let first = book.used(1);
+    let mut fixture = KeyFixture::new();
+    let other = fixture.used(0);
+    fixture.workspace = WorkspaceId(8);
+    let unused = fixture.mint();
+    let first = fixture.used(1);
     for sequence in 2..=1 + MAX_WORKSPACE_KEYS as u64 {
-        book.used(sequence);
+        fixture.used(sequence);
     }
-    assert_eq!(book.memory.len(), MAX_WORKSPACE_KEYS + 1);
-    assert_eq!(book.admit(&first, 0), KeyDecision::Expired);
-    assert_eq!(book.admit(&unused, 0), KeyDecision::Expired);
+    assert_eq!(fixture.outcomes.len(), MAX_WORKSPACE_KEYS + 1);
+    assert_eq!(fixture.admit(&first, 0), KeyDecision::Expired);
+    assert_eq!(fixture.admit(&unused, 0), KeyDecision::Expired);
     let (original, outcome) = (call(0), WHOLE);
-    book.workspace = WorkspaceId(7);
+    fixture.workspace = WorkspaceId(7);
     let repeat = KeyDecision::Repeat { original, outcome };
-    assert_eq!(book.admit(&other, 9), repeat);
+    assert_eq!(fixture.admit(&other, 9), repeat);
 }
 
 proptest! {
     #[test]
-    fn any_text_is_read_without_harm(text in ".{0,120}") {
+    fn any_text_is_rejected_without_panic(text in ".{0,120}") {
         prop_assert!(KeyParts::parse(&text).is_err());
     }
 
@@ -335,7 +335,7 @@
     }
 
     #[test]
-    fn near_keys_are_read_without_harm(
+    fn malformed_keys_are_rejected_without_panic(
         text in "mb1(\\.[0-9a-fA-F+ ]{0,18}){3,6}(\\.[0-9a-f]{30,34})?"
     ) {
         let checker = KeyChecker::new(&profile());
--- a/kernel/tests/calls/owners.rs
+++ b/kernel/tests/calls/owners.rs
@@ -66,7 +66,7 @@
         self.rebuild();
     }
 
-    fn told(&mut self, node: usize, running: u32, waiting: [u32; 3]) {
+    fn set_load(&mut self, node: usize, running: u32, waiting: [u32; 3]) {
         let load = LoadSummary {
             slots: 10,
             running,
@@ -109,21 +109,21 @@
 
 choices! {
     own_zone_shares_idle_work: |_| {} => [0, 1];
-    least_loaded_of_own_zone: |choice| choice.told(0, 5, [0; 3]) => [1];
+    least_loaded_of_own_zone: |choice| choice.set_load(0, 5, [0; 3]) => [1];
     own_zone_with_short_queue: |choice| {
-        choice.told(0, 10, [0, 0, 1]);
-        choice.told(1, 10, [0, 0, 1]);
-        choice.told(2, 9, [0; 3]);
-        choice.told(3, 9, [0; 3]);
+        choice.set_load(0, 10, [0, 0, 1]);
+        choice.set_load(1, 10, [0, 0, 1]);
+        choice.set_load(2, 9, [0; 3]);
+        choice.set_load(3, 9, [0; 3]);
     } => [0, 1];
     own_zone_with_long_queue: |choice| {
-        choice.told(0, 10, [0, 0, 9]);
-        choice.told(1, 10, [0, 0, 9]);
-        choice.told(2, 9, [0; 3]);
+        choice.set_load(0, 10, [0, 0, 9]);
+        choice.set_load(1, 10, [0, 0, 9]);
+        choice.set_load(2, 9, [0; 3]);
     } => [3];
-    lower_tiers_do_not_stand_before_urgent_calls: |choice| {
-        choice.told(0, 3, [0, 0, 90]);
-        choice.told(1, 4, [0; 3]);
+    lower_tiers_do_not_delay_urgent_calls: |choice| {
+        choice.set_load(0, 3, [0, 0, 90]);
+        choice.set_load(1, 4, [0; 3]);
     } => [0];
     leaving_owner: |choice| choice.state(0, NodeState::Leaving) => [1];
     dead_owner: |choice| choice.state(1, NodeState::Dead) => [0];
@@ -134,7 +134,7 @@
     tried_owner: |choice| choice.tried.push(node_id(1)) => [0];
     all_tried: |choice| choice.tried.extend((0..4).map(node_id)) => [];
     broken_link: |choice| choice.table.link_down(node_id(0), Duration::ZERO) => [1];
-    mended_link: |choice| {
+    restored_link: |choice| {
         choice.table.link_down(node_id(0), Duration::ZERO);
         choice.table.link_up(node_id(0));
     } => [0, 1];
@@ -142,6 +142,6 @@
     other_prefix_has_another_owner: |choice| choice.spec.prefix = 5 => [1];
     prefix_owner_is_loaded: |choice| {
         choice.spec.prefix = 1;
-        choice.told(0, 10, [4, 0, 0]);
+        choice.set_load(0, 10, [4, 0, 0]);
     } => [1];
 }
--- a/kernel/tests/calls/sessions.rs
+++ b/kernel/tests/calls/sessions.rs
@@ -48,9 +48,9 @@
         fleet.token(run);
         fleet.deliver_all();
         fleet.kill(1);
-        fleet.bury();
+        fleet.mark_dead();
     };
-    confirmation_with_lost_owner_is_unknown: |fleet| {
+    unrepeatable_call_of_lost_owner_is_unknown: |fleet| {
         let run = remote(fleet, false);
         fleet.start(run);
         fleet.kill(1);
@@ -62,9 +62,9 @@
         let load = LoadSummary::default();
         let message = WorkMessage::Returned { attempt, reason, load };
         let from = node_id(1);
-        fleet.tell(0, Event::PeerMessage { from, message: message.into() });
+        fleet.handle(0, Event::PeerMessage { from, message: message.into() });
     };
-    confirmation_refused_by_upstream_runs_elsewhere: |fleet| {
+    unrepeatable_call_refused_by_upstream_runs_elsewhere: |fleet| {
         let run = remote(fleet, false);
         fleet.end(run, AttemptEnd::Refused);
     };
@@ -83,13 +83,13 @@
         fleet.trace();
         fleet.arrive(0, false, Some(key.clone()));
         fleet.kill(1);
-        fleet.bury();
+        fleet.mark_dead();
         fleet.arrive(0, false, Some(key));
     };
     caller_leaves: |fleet| {
         let run = remote(fleet, true);
         fleet.start(run);
         let call = fleet.runs[run].work.attempt.call;
-        fleet.tell(0, Event::CallCancelled(call));
+        fleet.handle(0, Event::CallCancelled(call));
     };
 }
--- a/kernel/tests/calls/trace.rs
+++ b/kernel/tests/calls/trace.rs
@@ -14,25 +14,31 @@
         }
         Action::StartAttempt(start) => {
             let (attempt, from) = (start.work.attempt, start.work.resume_from);
-            let text = format!("starts try {} from token {from}", attempt.number);
+            let text = format!("starts attempt {} from token {from}", attempt.number);
             (attempt.call, text)
         }
         Action::AcceptAttempt {
             attempt,
             resume_from,
         } => {
-            let text = format!("accepts try {} from token {resume_from}", attempt.number);
+            let text = format!(
+                "accepts attempt {} from token {resume_from}",
+                attempt.number
+            );
             (attempt.call, text)
         }
-        Action::WithdrawAttempt(attempt) => {
-            (attempt.call, format!("withdraws try {}", attempt.number))
+        Action::WithdrawAttempt(attempt) => (
+            attempt.call,
+            format!("withdraws attempt {}", attempt.number),
+        ),
+        Action::CancelAttempt(attempt) => {
+            (attempt.call, format!("cancels attempt {}", attempt.number))
         }
-        Action::CancelAttempt(attempt) => (attempt.call, format!("cancels try {}", attempt.number)),
         Action::AttachCall { call, original } => {
             (*call, format!("attaches to call {}", original.sequence))
         }
         Action::FinishCall { call, outcome } => (*call, format!("finishes {outcome:?}")),
-        Action::ForgetAnswer(call) => (*call, "forgets the answer".to_owned()),
+        Action::ForgetAnswer(call) => (*call, "discards the response".to_owned()),
         _ => return None,
     })
 }
--- a/kernel/tests/dispatch/failures.rs
+++ b/kernel/tests/dispatch/failures.rs
@@ -7,7 +7,7 @@
 use monsoonbank_kernel::ids::NodeId;
 use monsoonbank_kernel::wire::WorkMessage;
 
-use crate::world::{Ask, ENTRY, World, ask, ms, upstream_id};
+use crate::world::{CallParams, ENTRY, World, ms, params, upstream_id};
 
 macro_rules! case {
     ($name:ident, $world:ident = ($upstreams:expr, $slots:expr), $body:block) => {
@@ -19,8 +19,8 @@
     };
 }
 
-case!(a_doubled_offer_runs_once, world = (1, 1), {
-    let work = world.work(ask(1));
+case!(a_duplicated_offer_runs_once, world = (1, 1), {
+    let work = world.work(params(1));
     world.offer_work(work);
     world.offer_work(work);
     assert_eq!(world.held(), (0, 1));
@@ -29,20 +29,24 @@
     assert_eq!(world.held(), (0, 0));
 });
 
-case!(a_cancel_before_its_offer_wins, world = (1, 1), {
-    let work = world.work(ask(1));
-    world.cancel(work.attempt);
-    world.offer_work(work);
-    assert_eq!(world.held(), (0, 0));
-    world.pass(Duration::from_mins(2));
-    let dump = world.kernel.dump(None);
-    assert_eq!(dump["dispatch"]["attempts_remembered"], 0);
-});
+case!(
+    a_cancellation_before_its_offer_prevents_the_run,
+    world = (1, 1),
+    {
+        let work = world.work(params(1));
+        world.cancel(work.attempt);
+        world.offer_work(work);
+        assert_eq!(world.held(), (0, 0));
+        world.pass(Duration::from_mins(2));
+        let dump = world.kernel.dump(None);
+        assert_eq!(dump["dispatch"]["attempts_remembered"], 0);
+    }
+);
 
 case!(a_returned_offer_does_not_run_later, world = (1, 1), {
-    let work = world.work(Ask {
+    let work = world.work(CallParams {
         repeatable: false,
-        ..ask(1)
+        ..params(1)
     });
     world.own(false);
     world.offer_work(work);
@@ -52,25 +56,29 @@
     assert!(world.runs.is_empty());
 });
 
-case!(a_lost_pool_hands_back_what_waits, world = (1, 1), {
-    let running = world.offer(ask(1));
-    let waiting = world.offer(ask(1));
-    world.own(false);
-    assert_eq!(world.returned(waiting), Some(ReturnReason::NotOwner));
-    world.complete(running, 9);
-    assert_eq!(
-        world.ended(running),
-        Some(AttemptEnd::Complete { tokens: 9 })
-    );
-    assert_eq!(world.held(), (0, 0));
-});
+case!(
+    a_pool_that_is_no_longer_owned_returns_queued_work,
+    world = (1, 1),
+    {
+        let running = world.offer(params(1));
+        let waiting = world.offer(params(1));
+        world.own(false);
+        assert_eq!(world.returned(waiting), Some(ReturnReason::NotOwner));
+        world.complete(running, 9);
+        assert_eq!(
+            world.ended(running),
+            Some(AttemptEnd::Complete { tokens: 9 })
+        );
+        assert_eq!(world.held(), (0, 0));
+    }
+);
 
-case!(a_leaving_node_hands_back_what_waits, world = (1, 1), {
-    let running = world.offer(ask(1));
-    let waiting = world.offer(ask(1));
-    world.tell(Event::NodeLeaving);
+case!(a_leaving_node_returns_queued_work, world = (1, 1), {
+    let running = world.offer(params(1));
+    let waiting = world.offer(params(1));
+    world.handle(Event::NodeLeaving);
     assert_eq!(world.returned(waiting), Some(ReturnReason::Leaving));
-    let new = world.offer(ask(0));
+    let new = world.offer(params(0));
     assert_eq!(world.returned(new), Some(ReturnReason::Leaving));
     world.complete(running, 9);
     assert_eq!(
@@ -83,17 +91,17 @@
     preempted_work_of_a_leaving_node_keeps_its_tokens,
     world = (1, 2),
     {
-        let low = [world.offer(ask(2)), world.offer(ask(2))];
+        let low = [world.offer(params(2)), world.offer(params(2))];
         for attempt in low {
-            world.tell(Event::AttemptSent(attempt));
+            world.handle(Event::AttemptSent(attempt));
         }
-        world.offer(Ask {
+        world.offer(CallParams {
             left: ms(10),
-            ..ask(0)
+            ..params(0)
         });
         let stopped = world.stops[0];
         world.end(stopped, AttemptEnd::Cancelled { tokens: 5 });
-        world.tell(Event::NodeLeaving);
+        world.handle(Event::NodeLeaving);
         assert_eq!(
             world.ended(stopped),
             Some(AttemptEnd::Cancelled { tokens: 5 })
@@ -101,10 +109,10 @@
     }
 );
 
-case!(a_leaving_upstream_gets_nothing_new, world = (2, 2), {
-    world.tell(Event::UpstreamLeaving(upstream_id(1)));
+case!(a_leaving_upstream_gets_no_new_work, world = (2, 2), {
+    world.handle(Event::UpstreamLeaving(upstream_id(1)));
     for _ in 0..5 {
-        world.offer(ask(1));
+        world.offer(params(1));
     }
     let leaving = world
         .runs
@@ -114,7 +122,7 @@
     world.own(false);
     world.own(true);
     world.pass(ms(2_000));
-    world.offer(ask(1));
+    world.offer(params(1));
     let leaving = world
         .runs
         .values()
@@ -123,20 +131,20 @@
 });
 
 case!(
-    a_lost_entry_takes_its_repeatable_work_along,
+    a_lost_entry_node_cancels_its_repeatable_work,
     world = (1, 2),
     {
-        let once = world.offer(Ask {
+        let once = world.offer(CallParams {
             repeatable: false,
-            ..ask(1)
+            ..params(1)
         });
-        let again = world.offer(ask(1));
-        world.offer(ask(1));
-        world.offer(Ask {
+        let again = world.offer(params(1));
+        world.offer(params(1));
+        world.offer(CallParams {
             repeatable: false,
-            ..ask(1)
+            ..params(1)
         });
-        world.tell(Event::LinkDown(NodeId::named(ENTRY)));
+        world.handle(Event::LinkDown(NodeId::named(ENTRY)));
         assert_eq!(world.stops, [again]);
         world.stop_all(3);
         world.complete(once, 2);
@@ -145,25 +153,25 @@
 );
 
 case!(a_cancelled_run_frees_its_slot_once, world = (1, 1), {
-    let attempt = world.offer(ask(1));
+    let attempt = world.offer(params(1));
     world.cancel(attempt);
     world.cancel(attempt);
     assert_eq!(world.stops, [attempt]);
     world.stop_all(0);
     assert_eq!(world.held(), (0, 0));
-    world.offer(ask(1));
+    world.offer(params(1));
     assert_eq!(world.runs.len(), 1);
 });
 
-case!(a_crashed_upstream_is_left_alone, world = (2, 4), {
-    let runs: Vec<_> = (0..8).map(|_| world.offer(ask(1))).collect();
+case!(a_crashed_upstream_is_ejected_and_probed, world = (2, 4), {
+    let runs: Vec<_> = (0..8).map(|_| world.offer(params(1))).collect();
     for attempt in runs {
         if world.runs[&attempt].upstream == upstream_id(1) {
-            world.tell(Event::AttemptSent(attempt));
+            world.handle(Event::AttemptSent(attempt));
             world.end(attempt, AttemptEnd::Broken { tokens: 0 });
         }
     }
-    world.offer(ask(1));
+    world.offer(params(1));
     let there = world
         .runs
         .values()
@@ -178,10 +186,10 @@
     assert_eq!(there.count(), 1, "one probe");
 });
 
-case!(a_straggler_gets_nothing_new, world = (3, 8), {
-    let runs: Vec<_> = (0..12).map(|_| world.offer(ask(1))).collect();
+case!(a_straggler_gets_no_new_work, world = (3, 8), {
+    let runs: Vec<_> = (0..12).map(|_| world.offer(params(1))).collect();
     for attempt in &runs {
-        world.tell(Event::AttemptSent(*attempt));
+        world.handle(Event::AttemptSent(*attempt));
     }
     for step in 1..=200 {
         world.now += ms(10);
@@ -189,7 +197,7 @@
             let slow = world.runs[attempt].upstream == upstream_id(2);
             let tokens = if slow { step / 10 } else { step };
             if tokens > 0 && (!slow || step % 10 == 0) {
-                world.tell(Event::AttemptProgress {
+                world.handle(Event::AttemptProgress {
                     attempt: *attempt,
                     tokens,
                 });
@@ -198,7 +206,7 @@
     }
     let before = on(&world, 2);
     for _ in 0..6 {
-        world.offer(ask(1));
+        world.offer(params(1));
     }
     assert_eq!(on(&world, 2), before);
 });
@@ -219,16 +227,16 @@
         world.own(true);
         world.report(1, 6);
         for _ in 0..8 {
-            world.offer(ask(1));
+            world.offer(params(1));
         }
         assert_eq!(world.held(), (6, 2));
     }
 );
 
-case!(an_unsent_run_goes_elsewhere_unseen, world = (2, 1), {
-    let attempt = world.offer(Ask {
+case!(an_unsent_run_is_requeued_without_a_reply, world = (2, 1), {
+    let attempt = world.offer(CallParams {
         repeatable: false,
-        ..ask(1)
+        ..params(1)
     });
     let first = world.runs[&attempt].upstream;
     world.end(attempt, AttemptEnd::Unsent);
@@ -242,25 +250,25 @@
     let _ = first;
 });
 
-case!(load_news_is_rare, world = (1, 1), {
-    world.offer(ask(2));
+case!(load_updates_are_rare, world = (1, 1), {
+    world.offer(params(2));
     for _ in 0..20 {
-        world.offer(ask(2));
+        world.offer(params(2));
     }
     world.pass(ms(5_000));
-    let news = world.messages.iter();
-    let news = news.filter(|(_, message)| matches!(message, WorkMessage::Load { .. }));
-    assert_eq!(news.count(), 1);
+    let updates = world.messages.iter();
+    let updates = updates.filter(|(_, message)| matches!(message, WorkMessage::Load { .. }));
+    assert_eq!(updates.count(), 1);
 });
 
 case!(a_cancelled_preempted_call_may_have_run, world = (1, 2), {
     for _ in 0..2 {
-        let attempt = world.offer(ask(2));
-        world.tell(Event::AttemptSent(attempt));
+        let attempt = world.offer(params(2));
+        world.handle(Event::AttemptSent(attempt));
     }
-    world.offer(Ask {
+    world.offer(CallParams {
         left: ms(10),
-        ..ask(0)
+        ..params(0)
     });
     let stopped = world.stops[0];
     world.end(stopped, AttemptEnd::Cancelled { tokens: 0 });
@@ -274,14 +282,14 @@
 
 // Guards against assigning calls to a paused upstream while another one is available.
 case!(
-    a_pausing_upstream_gets_nothing_until_it_opens,
+    a_paused_upstream_gets_no_work_until_the_pause_ends,
     world = (2, 2),
     {
         let upstream = upstream_id(1);
         let pause = Duration::from_secs(10);
-        world.tell(Event::UpstreamPaused { upstream, pause });
+        world.handle(Event::UpstreamPaused { upstream, pause });
         for _ in 0..5 {
-            world.offer(ask(1));
+            world.offer(params(1));
         }
         assert!(world.runs.values().all(|run| run.upstream != upstream));
         world.pass(pause + ms(1_000));
@@ -290,21 +298,25 @@
 );
 
 // Guards against queueing calls while their whole pool is paused for longer than they may wait.
-case!(a_pausing_pool_refuses_what_cannot_wait, world = (1, 1), {
-    let pause = Duration::from_mins(1);
-    world.tell(Event::UpstreamPaused {
-        upstream: upstream_id(1),
-        pause,
-    });
-    let attempt = world.offer(Ask {
-        left: ms(500),
-        ..ask(1)
-    });
-    let Some(ReturnReason::Refused { retry_after, .. }) = world.returned(attempt) else {
-        panic!("{:?}", world.returned(attempt));
-    };
-    assert!(
-        retry_after >= Some(Duration::from_secs(59)),
-        "{retry_after:?}"
-    );
-});
+case!(
+    a_paused_pool_rejects_calls_that_cannot_wait,
+    world = (1, 1),
+    {
+        let pause = Duration::from_mins(1);
+        world.handle(Event::UpstreamPaused {
+            upstream: upstream_id(1),
+            pause,
+        });
+        let attempt = world.offer(CallParams {
+            left: ms(500),
+            ..params(1)
+        });
+        let Some(ReturnReason::Refused { retry_after, .. }) = world.returned(attempt) else {
+            panic!("{:?}", world.returned(attempt));
+        };
+        assert!(
+            retry_after >= Some(Duration::from_secs(59)),
+            "{retry_after:?}"
+        );
+    }
+);
--- a/kernel/tests/dispatch/golden.rs
+++ b/kernel/tests/dispatch/golden.rs
@@ -4,7 +4,7 @@
 use monsoonbank_kernel::event::Event;
 use monsoonbank_kernel::ids::NodeId;
 
-use crate::world::{Ask, ENTRY, World, ask, ms, upstream_id};
+use crate::world::{CallParams, ENTRY, World, ms, params, upstream_id};
 
 macro_rules! session {
     ($name:ident, $world:ident = ($upstreams:expr, $slots:expr, $floors:expr), $body:block) => {
@@ -18,85 +18,85 @@
 }
 
 session!(
-    an_alert_takes_a_digests_slot_and_the_digest_goes_on,
+    urgent_work_preempts_low_tier_work_which_resumes,
     world = (1, 2, &[0.0, 0.1, 0.1]),
     {
-        let digests = [
-            world.offer(ask(2)),
-            world.offer(Ask {
+        let batch_calls = [
+            world.offer(params(2)),
+            world.offer(CallParams {
                 prompt: 4_000,
-                ..ask(2)
+                ..params(2)
             }),
         ];
-        for attempt in digests {
-            world.tell(Event::AttemptSent(attempt));
-            world.tell(Event::AttemptProgress {
+        for attempt in batch_calls {
+            world.handle(Event::AttemptSent(attempt));
+            world.handle(Event::AttemptProgress {
                 attempt,
                 tokens: 40,
             });
         }
         world.pass(ms(100));
-        let alert = world.offer(Ask {
+        let urgent = world.offer(CallParams {
             left: ms(30),
-            ..ask(0)
+            ..params(0)
         });
-        world.end(digests[0], AttemptEnd::Cancelled { tokens: 41 });
-        world.complete(alert, 12);
-        world.complete(digests[0], 300);
-        world.complete(digests[1], 500);
+        world.end(batch_calls[0], AttemptEnd::Cancelled { tokens: 41 });
+        world.complete(urgent, 12);
+        world.complete(batch_calls[0], 300);
+        world.complete(batch_calls[1], 500);
     }
 );
 
 session!(
-    a_burst_is_refused_when_its_time_has_passed_and_digests_go_on,
+    late_urgent_calls_are_rejected_and_low_tier_work_continues,
     world = (1, 4, &[0.0, 0.05, 0.25]),
     {
         for _ in 0..2 {
-            world.offer(ask(2));
+            world.offer(params(2));
         }
-        let mut alerts: Vec<_> = (0..6).map(|_| world.offer(ask(0))).collect();
+        let mut urgent_calls: Vec<_> = (0..6).map(|_| world.offer(params(0))).collect();
         world.pass(ms(600));
-        alerts.retain(|alert| world.runs.contains_key(alert));
-        for alert in alerts {
-            world.complete(alert, 10);
+        urgent_calls.retain(|urgent| world.runs.contains_key(urgent));
+        for urgent in urgent_calls {
+            world.complete(urgent, 10);
         }
         world.pass(ms(100));
     }
 );
 
 session!(
-    a_release_that_may_not_be_repeated_is_neither_stopped_nor_run_again,
+    unrepeatable_work_is_neither_preempted_nor_rerun,
     world = (2, 1, &[0.0, 0.1, 0.1]),
     {
-        let release = world.offer(Ask {
+        let unrepeatable = world.offer(CallParams {
             repeatable: false,
-            ..ask(2)
+            ..params(2)
         });
-        let other = world.offer(Ask {
+        let other = world.offer(CallParams {
             repeatable: false,
-            ..ask(2)
+            ..params(2)
         });
-        world.tell(Event::AttemptSent(release));
-        world.offer(Ask {
+        world.handle(Event::AttemptSent(unrepeatable));
+        world.offer(CallParams {
             left: ms(10),
-            ..ask(0)
+            ..params(0)
         });
-        world.end(release, AttemptEnd::Broken { tokens: 0 });
-        world.tell(Event::LinkDown(NodeId::named(ENTRY)));
+        world.end(unrepeatable, AttemptEnd::Broken { tokens: 0 });
+        world.handle(Event::LinkDown(NodeId::named(ENTRY)));
         world.complete(other, 1);
     }
 );
 
 session!(
-    a_leaving_upstream_finishes_and_gets_nothing_new,
+    a_leaving_upstream_finishes_its_runs_and_gets_no_new_ones,
     world = (2, 1, &[0.0, 0.1]),
     {
         let calls = [
-            world.offer(ask(1)),
-            world.offer(ask(1)),
-            world.offer(ask(1)),
+            world.offer(params(1)),
+            world.offer(params(1)),
+            world.offer(params(1)),
         ];
-        world.tell(Event::UpstreamLeaving(upstream_id(1)));
+        world.handle(Event::UpstreamLeaving(upstream_id(1)));
         world.complete(calls[0], 20);
         world.pass(ms(2_000));
         world.complete(calls[1], 20);
@@ -105,30 +105,30 @@
 );
 
 session!(
-    a_planned_stop_finishes_what_runs,
+    a_leaving_node_finishes_its_runs,
     world = (1, 1, &[0.0, 0.1]),
     {
-        let runs = world.offer(ask(1));
-        world.offer(ask(1));
-        world.tell(Event::NodeLeaving);
-        world.offer(ask(0));
+        let runs = world.offer(params(1));
+        world.offer(params(1));
+        world.handle(Event::NodeLeaving);
+        world.offer(params(0));
         world.complete(runs, 20);
     }
 );
 
 session!(
-    a_dead_upstream_is_probed_and_taken_back,
+    an_ejected_upstream_is_probed_and_readmitted,
     world = (2, 2, &[0.0, 0.1]),
     {
-        let calls: Vec<_> = (0..4).map(|_| world.offer(ask(1))).collect();
+        let calls: Vec<_> = (0..4).map(|_| world.offer(params(1))).collect();
         for attempt in calls {
-            world.tell(Event::AttemptSent(attempt));
+            world.handle(Event::AttemptSent(attempt));
             if world.runs[&attempt].upstream == upstream_id(1) {
                 world.end(attempt, AttemptEnd::Broken { tokens: 8 });
             }
         }
         for _ in 0..3 {
-            world.offer(ask(1));
+            world.offer(params(1));
         }
         world.pass(ms(700));
         let probe = world
--- a/kernel/tests/dispatch/machine.rs
+++ b/kernel/tests/dispatch/machine.rs
@@ -11,7 +11,7 @@
 use proptest::test_runner::RngSeed;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-use crate::world::{Ask, ENTRY, World, ask, ms, upstream_id};
+use crate::world::{CallParams, ENTRY, World, ms, params, upstream_id};
 
 const UPSTREAMS: u32 = 3;
 const SLOTS: u32 = 4;
@@ -101,17 +101,17 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Fate {
+struct AttemptRecord {
     repeatable: bool,
     tier: u8,
     sent: u32,
-    answers: u32,
-    unwanted: bool,
+    replies: u32,
+    abandoned: bool,
 }
 
 struct Machine {
     world: World,
-    fates: BTreeMap<AttemptId, Fate>,
+    records: BTreeMap<AttemptId, AttemptRecord>,
     read: usize,
     known_stops: BTreeSet<AttemptId>,
     sent: BTreeSet<AttemptId>,
@@ -131,16 +131,16 @@
         self.world.runs.keys().copied().collect()
     }
 
-    fn offer(&mut self, ask: Ask, resumed: bool, cancelled: bool) {
-        let mut work = self.world.work(ask);
-        work.resume_from = u32::from(resumed && ask.repeatable) * 9;
-        let fate = Fate {
-            repeatable: ask.repeatable,
-            tier: ask.tier,
-            unwanted: cancelled,
-            ..Fate::default()
+    fn offer(&mut self, params: CallParams, resumed: bool, cancelled: bool) {
+        let mut work = self.world.work(params);
+        work.resume_from = u32::from(resumed && params.repeatable) * 9;
+        let record = AttemptRecord {
+            repeatable: params.repeatable,
+            tier: params.tier,
+            abandoned: cancelled,
+            ..AttemptRecord::default()
         };
-        self.fates.insert(work.attempt, fate);
+        self.records.insert(work.attempt, record);
         if cancelled {
             self.world.cancel(work.attempt);
         }
@@ -152,7 +152,7 @@
 
     fn offer_again(&mut self, attempt: AttemptId) {
         let before = (self.world.runs.len(), self.world.held());
-        let mut work = self.world.work(ask(self.fates[&attempt].tier));
+        let mut work = self.world.work(params(self.records[&attempt].tier));
         work.attempt = attempt;
         work.spec.call = attempt.call;
         self.world.offer_work(work);
@@ -161,8 +161,8 @@
 
     fn send(&mut self, attempt: AttemptId) {
         if self.sent.insert(attempt) {
-            self.fates.get_mut(&attempt).expect("offered").sent += 1;
-            self.world.tell(Event::AttemptSent(attempt));
+            self.records.get_mut(&attempt).expect("offered").sent += 1;
+            self.world.handle(Event::AttemptSent(attempt));
             self.check();
         }
     }
@@ -205,20 +205,20 @@
     }
 
     fn cancel(&mut self, attempt: AttemptId) {
-        self.fates.get_mut(&attempt).expect("offered").unwanted = true;
+        self.records.get_mut(&attempt).expect("offered").abandoned = true;
         self.world.cancel(attempt);
     }
 
     fn link_down(&mut self) {
-        for (attempt, fate) in &mut self.fates {
-            fate.unwanted |= fate.repeatable || !self.world.runs.contains_key(attempt);
+        for (attempt, record) in &mut self.records {
+            record.abandoned |= record.repeatable || !self.world.runs.contains_key(attempt);
         }
-        self.world.tell(Event::LinkDown(NodeId::named(ENTRY)));
+        self.world.handle(Event::LinkDown(NodeId::named(ENTRY)));
     }
 
     fn step(&mut self, step: Step) {
         let running = self.running();
-        let known: Vec<AttemptId> = self.fates.keys().copied().collect();
+        let known: Vec<AttemptId> = self.records.keys().copied().collect();
         match step {
             Step::Offer {
                 tier,
@@ -228,23 +228,24 @@
                 prompt,
                 resumed,
             } => {
-                let ask = Ask {
+                let params = CallParams {
                     tier,
                     workspace: ["w1", "w2", "w3"][workspace],
                     left: ms(left * [1, 5, 1_000][usize::from(tier)]),
                     repeatable,
                     prompt,
                 };
-                self.offer(ask, resumed, false);
+                self.offer(params, resumed, false);
             }
-            Step::CancelThenOffer => self.offer(ask(1), false, true),
+            Step::CancelThenOffer => self.offer(params(1), false, true),
             Step::OfferAgain(n) => self.on(&known, n, Self::offer_again),
             Step::Cancel(n) => self.on(&known, n, Self::cancel),
             Step::Sent(n) => self.on(&running, n, Self::send),
             Step::Progress(n, tokens) => {
                 if let Some(attempt) = pick(&running, n) {
                     self.send(attempt);
-                    self.world.tell(Event::AttemptProgress { attempt, tokens });
+                    self.world
+                        .handle(Event::AttemptProgress { attempt, tokens });
                 }
             }
             Step::Complete(n, tokens) => {
@@ -261,14 +262,16 @@
                 self.world.own(here);
             }
             Step::Report(n) => self.world.report(n, 0),
-            Step::Unreachable(n) => self.world.tell(Event::UpstreamUnreachable(upstream_id(n))),
+            Step::Unreachable(n) => self
+                .world
+                .handle(Event::UpstreamUnreachable(upstream_id(n))),
             Step::UpstreamLeaving(n) => {
-                self.world.tell(Event::UpstreamLeaving(upstream_id(n)));
+                self.world.handle(Event::UpstreamLeaving(upstream_id(n)));
                 self.leaving.insert(upstream_id(n));
                 self.leaving_runs = self.on_leaving();
             }
             Step::LinkDown => self.link_down(),
-            Step::NodeLeaving => self.world.tell(Event::NodeLeaving),
+            Step::NodeLeaving => self.world.handle(Event::NodeLeaving),
         }
     }
 
@@ -319,15 +322,18 @@
                 WorkMessage::Returned {
                     attempt, reason, ..
                 } => {
-                    let unwanted = ReturnReason::Refused {
+                    let abandoned = ReturnReason::Refused {
                         reason: RefusalReason::Cancelled,
                         retry_after: None,
                     };
-                    if *reason == unwanted {
-                        assert!(self.fates[attempt].unwanted, "{attempt} was wanted");
+                    if *reason == abandoned {
+                        assert!(
+                            self.records[attempt].abandoned,
+                            "{attempt} was not cancelled"
+                        );
                     } else if let ReturnReason::Refused { retry_after, .. } = reason {
                         assert!(retry_after.is_some());
-                        let urgent = self.fates[attempt].tier == 0;
+                        let urgent = self.records[attempt].tier == 0;
                         assert!(!(urgent && spare), "{attempt} refused for lower tiers");
                     }
                     (attempt, true)
@@ -336,15 +342,15 @@
                     (attempt, matches!(end, AttemptEnd::Unsent))
                 }
                 WorkMessage::Started(attempt) => {
-                    assert!(self.fates[attempt].sent > 0);
+                    assert!(self.records[attempt].sent > 0);
                     continue;
                 }
                 _ => continue,
             };
-            let fate = self.fates.get_mut(attempt).expect("offered");
-            fate.answers += 1;
-            assert_eq!(fate.answers, 1, "{attempt} answered twice");
-            assert!(!not_run || fate.sent == 0, "{attempt} ran");
+            let record = self.records.get_mut(attempt).expect("offered");
+            record.replies += 1;
+            assert_eq!(record.replies, 1, "{attempt} answered twice");
+            assert!(!not_run || record.sent == 0, "{attempt} ran");
         }
         self.read = self.world.messages.len();
     }
@@ -353,9 +359,12 @@
         let mut used: BTreeMap<UpstreamId, u32> = BTreeMap::new();
         for (attempt, run) in &self.world.runs {
             *used.entry(run.upstream).or_default() += 1;
-            let fate = self.fates[attempt];
-            assert_eq!(fate.answers, 0, "{attempt} runs after its end");
-            assert!(fate.repeatable || fate.sent <= 1, "{attempt} sent twice");
+            let record = self.records[attempt];
+            assert_eq!(record.replies, 0, "{attempt} runs after its end");
+            assert!(
+                record.repeatable || record.sent <= 1,
+                "{attempt} sent twice"
+            );
         }
         assert!(used.values().all(|count| *count <= SLOTS), "{used:?}");
         let on_leaving = self.on_leaving();
@@ -379,13 +388,13 @@
             .copied()
             .collect();
         for attempt in &new {
-            let fate = self.fates[attempt];
+            let record = self.records[attempt];
             assert!(
-                fate.unwanted || fate.repeatable,
+                record.abandoned || record.repeatable,
                 "{attempt} may not be stopped"
             );
         }
-        let lower = new.iter().filter(|a| self.fates[a].tier > 0).count() as u64;
+        let lower = new.iter().filter(|a| self.records[a].tier > 0).count() as u64;
         let more = preempted - self.preempted;
         assert!(more <= lower, "{more} preempted, of {new:?}");
         self.preempted = preempted;
@@ -420,9 +429,9 @@
         if self.owned {
             assert_eq!(self.world.held(), (0, 0));
         }
-        for (attempt, fate) in &self.fates {
+        for (attempt, record) in &self.records {
             assert!(
-                fate.unwanted || fate.answers == 1,
+                record.abandoned || record.replies == 1,
                 "{attempt} has no answer"
             );
         }
@@ -449,7 +458,7 @@
     fn init_test(_: &u32) -> Self {
         Self {
             world: World::new(UPSTREAMS, SLOTS, &FLOORS),
-            fates: BTreeMap::new(),
+            records: BTreeMap::new(),
             read: 0,
             known_stops: BTreeSet::new(),
             sent: BTreeSet::new(),
--- a/kernel/tests/dispatch/order.rs
+++ b/kernel/tests/dispatch/order.rs
@@ -5,7 +5,7 @@
 use monsoonbank_kernel::call::{AttemptEnd, RefusalReason, ReturnReason};
 use monsoonbank_kernel::event::Event;
 
-use crate::world::{Ask, World, ask, ms};
+use crate::world::{CallParams, World, ms, params};
 
 macro_rules! case {
     ($name:ident, $world:ident = ($upstreams:expr, $slots:expr, $floors:expr), $body:block) => {
@@ -21,9 +21,9 @@
     the_higher_tier_starts_first,
     world = (1, 1, &[0.0, 0.05, 0.05]),
     {
-        let first = world.offer(ask(0));
-        let low = world.offer(ask(2));
-        let high = world.offer(ask(0));
+        let first = world.offer(params(0));
+        let low = world.offer(params(2));
+        let high = world.offer(params(0));
         world.complete(first, 1);
         assert!(world.runs.contains_key(&high));
         world.complete(high, 1);
@@ -35,14 +35,14 @@
     the_earlier_deadline_starts_first,
     world = (1, 1, &[0.0, 0.05]),
     {
-        let first = world.offer(ask(1));
-        let late = world.offer(Ask {
+        let first = world.offer(params(1));
+        let late = world.offer(CallParams {
             left: ms(9_000),
-            ..ask(1)
+            ..params(1)
         });
-        let soon = world.offer(Ask {
+        let soon = world.offer(CallParams {
             left: ms(4_000),
-            ..ask(1)
+            ..params(1)
         });
         world.complete(first, 1);
         assert!(world.runs.contains_key(&soon));
@@ -52,16 +52,16 @@
 );
 
 case!(
-    a_flood_leaves_others_their_share,
+    a_busy_workspace_leaves_others_their_share,
     world = (1, 4, &[0.0, 0.05]),
     {
         for _ in 0..400 {
-            world.offer(ask(1));
+            world.offer(params(1));
         }
         for _ in 0..20 {
-            world.offer(Ask {
+            world.offer(CallParams {
                 workspace: "w2",
-                ..ask(1)
+                ..params(1)
             });
         }
         let mut other = 0;
@@ -83,17 +83,17 @@
     world = (1, 10, &[0.0, 0.2, 0.1]),
     {
         for _ in 0..200 {
-            world.offer(Ask {
+            world.offer(CallParams {
                 left: ms(60_000),
-                ..ask(0)
+                ..params(0)
             });
         }
         for _ in 0..20 {
-            world.offer(Ask {
+            world.offer(CallParams {
                 left: ms(600_000),
-                ..ask(1)
+                ..params(1)
             });
-            world.offer(ask(2));
+            world.offer(params(2));
         }
         for _ in 0..40 {
             world.pass(ms(50));
@@ -111,17 +111,17 @@
     world = (1, 2, &[0.0, 0.1]),
     {
         for _ in 0..100 {
-            world.offer(Ask {
+            world.offer(CallParams {
                 left: ms(600_000),
-                ..ask(1)
+                ..params(1)
             });
         }
         let (mut low, mut all) = (0, 0);
         for _ in 0..400 {
             for _ in 0..2 {
-                world.offer(Ask {
+                world.offer(CallParams {
                     left: ms(60_000),
-                    ..ask(0)
+                    ..params(0)
                 });
             }
             world.pass(ms(100));
@@ -137,27 +137,27 @@
 );
 
 case!(
-    urgent_work_takes_a_slot_of_the_lowest_tier,
+    urgent_work_preempts_the_lowest_tier,
     world = (1, 4, &[0.0, 0.25, 0.25]),
     {
-        let one = [world.offer(ask(1)), world.offer(ask(1))];
+        let one = [world.offer(params(1)), world.offer(params(1))];
         let two = [
-            world.offer(Ask {
+            world.offer(CallParams {
                 prompt: 900,
-                ..ask(2)
+                ..params(2)
             }),
-            world.offer(Ask {
+            world.offer(CallParams {
                 prompt: 30,
-                ..ask(2)
+                ..params(2)
             }),
         ];
         world.pass(ms(200));
         for attempt in one.iter().chain(&two) {
-            world.tell(Event::AttemptSent(*attempt));
+            world.handle(Event::AttemptSent(*attempt));
         }
-        let urgent = world.offer(Ask {
+        let urgent = world.offer(CallParams {
             left: ms(20),
-            ..ask(0)
+            ..params(0)
         });
         assert_eq!(world.stops, [two[1]], "the cheapest of the lowest tier");
         world.end(two[1], AttemptEnd::Cancelled { tokens: 7 });
@@ -176,35 +176,35 @@
     preemption_spares_floors_and_unrepeatable_work,
     world = (1, 3, &[0.0, 0.33, 0.33]),
     {
-        world.offer(ask(1));
-        world.offer(Ask {
+        world.offer(params(1));
+        world.offer(CallParams {
             repeatable: false,
-            ..ask(1)
+            ..params(1)
         });
-        world.offer(ask(2));
-        world.offer(Ask {
+        world.offer(params(2));
+        world.offer(CallParams {
             left: ms(20),
-            ..ask(0)
+            ..params(0)
         });
         assert_eq!(world.stops.len(), 1);
         assert!(world.runs[&world.stops[0]].work.spec.repeatable);
-        world.offer(Ask {
+        world.offer(CallParams {
             left: ms(20),
-            ..ask(0)
+            ..params(0)
         });
         assert_eq!(world.stops.len(), 1);
     }
 );
 
 case!(urgent_work_is_not_preempted, world = (1, 2, &[0.0, 0.4]), {
-    let urgent = [world.offer(ask(0)), world.offer(ask(0))];
-    world.offer(Ask {
+    let urgent = [world.offer(params(0)), world.offer(params(0))];
+    world.offer(CallParams {
         left: ms(10),
-        ..ask(1)
+        ..params(1)
     });
-    world.offer(Ask {
+    world.offer(CallParams {
         left: ms(10),
-        ..ask(0)
+        ..params(0)
     });
     world.pass(ms(5_000));
     assert!(world.stops.is_empty());
@@ -219,8 +219,8 @@
     work_that_is_late_is_refused_at_once,
     world = (1, 1, &[0.0]),
     {
-        world.offer(ask(0));
-        let late = world.offer(ask(0));
+        world.offer(params(0));
+        let late = world.offer(params(0));
         world.pass(ms(550));
         let Some(ReturnReason::Refused {
             reason,
@@ -236,19 +236,19 @@
 );
 
 case!(
-    a_long_queue_refuses_at_the_door,
+    a_long_queue_rejects_calls_on_arrival,
     world = (1, 2, &[0.0, 0.05]),
     {
         for _ in 0..30 {
-            let attempt = world.offer(Ask {
+            let attempt = world.offer(CallParams {
                 left: ms(60_000),
-                ..ask(1)
+                ..params(1)
             });
             world.pass(ms(1_000));
             world.complete(attempt, 100);
         }
         for _ in 0..100 {
-            world.offer(ask(1));
+            world.offer(params(1));
         }
         let refused = world.messages.iter().rev().take(20);
         let refused = refused.filter(|(_, message)| format!("{message:?}").contains("Overloaded"));
@@ -258,26 +258,30 @@
 );
 
 case!(
-    lower_work_with_time_waits,
+    low_tier_work_with_a_late_deadline_waits,
     world = (1, 1, &[0.0, 0.05, 0.05]),
     {
         for _ in 0..50 {
-            world.offer(ask(2));
+            world.offer(params(2));
         }
         world.pass(Duration::from_mins(5));
         assert_eq!(world.held(), (49, 1));
     }
 );
 
-case!(begun_work_is_not_refused, world = (1, 1, &[0.0, 0.05]), {
-    world.offer(ask(0));
-    let mut work = world.work(Ask {
-        left: ms(0),
-        ..ask(0)
-    });
-    work.resume_from = 12;
-    world.offer_work(work);
-    world.pass(ms(1_000));
-    assert_eq!(world.returned(work.attempt), None);
-    assert_eq!(world.held(), (1, 1));
-});
+case!(
+    work_that_may_have_run_is_not_rejected,
+    world = (1, 1, &[0.0, 0.05]),
+    {
+        world.offer(params(0));
+        let mut work = world.work(CallParams {
+            left: ms(0),
+            ..params(0)
+        });
+        work.resume_from = 12;
+        world.offer_work(work);
+        world.pass(ms(1_000));
+        assert_eq!(world.returned(work.attempt), None);
+        assert_eq!(world.held(), (1, 1));
+    }
+);
--- a/kernel/tests/dispatch/world.rs
+++ b/kernel/tests/dispatch/world.rs
@@ -88,7 +88,7 @@
 
 /// The properties of a call that tests vary; the others are filled in.
 #[derive(Clone, Copy)]
-pub struct Ask {
+pub struct CallParams {
     pub tier: u8,
     pub workspace: &'static str,
     pub left: Duration,
@@ -96,8 +96,8 @@
     pub prompt: u32,
 }
 
-pub fn ask(tier: u8) -> Ask {
-    Ask {
+pub fn params(tier: u8) -> CallParams {
+    CallParams {
         tier,
         workspace: "w1",
         left: [ms(500), Duration::from_secs(10), Duration::from_hours(1)][usize::from(tier)],
@@ -120,7 +120,7 @@
             log: Vec::new(),
             sequence: 0,
         };
-        world.tell(Event::ConfigApplied(config));
+        world.handle(Event::ConfigApplied(config));
         world.own(true);
         for n in 1..=upstreams {
             world.report(n, 0);
@@ -134,11 +134,11 @@
         let owners = OwnerMap {
             owners: owners.collect(),
         };
-        self.tell(Event::OwnersChanged(Arc::new(owners)));
+        self.handle(Event::OwnersChanged(Arc::new(owners)));
     }
 
     pub fn report(&mut self, upstream: u32, running: u32) {
-        self.tell(Event::UpstreamReported {
+        self.handle(Event::UpstreamReported {
             upstream: upstream_id(upstream),
             report: LoadReport {
                 running,
@@ -147,11 +147,11 @@
         });
     }
 
-    pub fn tell(&mut self, event: Event) {
+    pub fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.kernel.handle(self.now, event, &mut actions);
         for action in actions {
-            self.note(&action);
+            self.log_action(&action);
             match action {
                 Action::StartAttempt(start) => {
                     let before = self.runs.insert(start.work.attempt, start);
@@ -169,7 +169,7 @@
     }
 
     /// Adds an action to the log.
-    pub fn note(&mut self, action: &Action) {
+    pub fn log_action(&mut self, action: &Action) {
         let number = |attempt: &AttemptId| attempt.call.sequence;
         let line = match action {
             Action::StartAttempt(start) => {
@@ -187,14 +187,14 @@
                 message: Message::Work(message),
                 ..
             } => match message {
-                WorkMessage::Started(attempt) => format!("tell started {}", number(attempt)),
+                WorkMessage::Started(attempt) => format!("send started {}", number(attempt)),
                 WorkMessage::Returned {
                     attempt, reason, ..
-                } => format!("tell returned {}: {reason:?}", number(attempt)),
+                } => format!("send returned {}: {reason:?}", number(attempt)),
                 WorkMessage::Ended { attempt, end, .. } => {
-                    format!("tell ended {}: {end:?}", number(attempt))
+                    format!("send ended {}: {end:?}", number(attempt))
                 }
-                other => format!("tell {other:?}"),
+                other => format!("send {other:?}"),
             },
             _ => return,
         };
@@ -209,11 +209,11 @@
         let end = self.now + time;
         while self.now < end {
             self.now = (self.now + ms(50)).min(end);
-            self.tell(Event::Tick);
+            self.handle(Event::Tick);
         }
     }
 
-    pub fn work(&mut self, ask: Ask) -> WorkSpec {
+    pub fn work(&mut self, params: CallParams) -> WorkSpec {
         self.sequence += 1;
         let call = CallId {
             node: NodeId::named(ENTRY),
@@ -224,13 +224,13 @@
             attempt: AttemptId { call, number: 1 },
             spec: CallSpec {
                 call,
-                workspace: WorkspaceId::named(ask.workspace),
-                class: ClassId(u64::from(ask.tier)),
-                tier: Tier(ask.tier),
+                workspace: WorkspaceId::named(params.workspace),
+                class: ClassId(u64::from(params.tier)),
+                tier: Tier(params.tier),
                 pool: PoolId::named("model"),
-                time_left: ask.left,
-                repeatable: ask.repeatable,
-                prompt_tokens: ask.prompt,
+                time_left: params.left,
+                repeatable: params.repeatable,
+                prompt_tokens: params.prompt,
                 max_tokens: 0,
                 prefix: 0,
             },
@@ -239,20 +239,20 @@
     }
 
     pub fn offer_work(&mut self, work: WorkSpec) {
-        self.tell(Event::PeerMessage {
+        self.handle(Event::PeerMessage {
             from: NodeId::named(ENTRY),
             message: WorkMessage::Offer(work).into(),
         });
     }
 
-    pub fn offer(&mut self, ask: Ask) -> AttemptId {
-        let work = self.work(ask);
+    pub fn offer(&mut self, params: CallParams) -> AttemptId {
+        let work = self.work(params);
         self.offer_work(work);
         work.attempt
     }
 
     pub fn cancel(&mut self, attempt: AttemptId) {
-        self.tell(Event::PeerMessage {
+        self.handle(Event::PeerMessage {
             from: NodeId::named(ENTRY),
             message: WorkMessage::Cancel(attempt).into(),
         });
@@ -261,11 +261,11 @@
     pub fn end(&mut self, attempt: AttemptId, end: AttemptEnd) {
         self.runs.remove(&attempt).expect("runs");
         self.stops.retain(|stopped| *stopped != attempt);
-        self.tell(Event::AttemptEnded { attempt, end });
+        self.handle(Event::AttemptEnded { attempt, end });
     }
 
     pub fn complete(&mut self, attempt: AttemptId, tokens: u32) {
-        self.tell(Event::AttemptSent(attempt));
+        self.handle(Event::AttemptSent(attempt));
         self.end(attempt, AttemptEnd::Complete { tokens });
     }
 
--- a/kernel/tests/limits/main.rs
+++ b/kernel/tests/limits/main.rs
@@ -71,8 +71,8 @@
         let config = Arc::new(Config::from_file(1, &file));
         let view = Arc::new(fleet.view(nodes));
         for node in 0..nodes {
-            fleet.tell(node, Event::ConfigApplied(Arc::clone(&config)));
-            fleet.tell(node, Event::MembersChanged(Arc::clone(&view)));
+            fleet.handle(node, Event::ConfigApplied(Arc::clone(&config)));
+            fleet.handle(node, Event::MembersChanged(Arc::clone(&view)));
         }
         fleet
     }
@@ -93,7 +93,7 @@
         }
     }
 
-    fn tell(&mut self, node: usize, event: Event) {
+    fn handle(&mut self, node: usize, event: Event) {
         let mut queue = VecDeque::from([(node, event)]);
         while let Some((node, event)) = queue.pop_front() {
             if let Event::CallFinished(call) = &event {
@@ -164,7 +164,7 @@
             prefix: 0,
         };
         self.admitted[node].push(call);
-        self.tell(node, Event::CallArrived { spec, key: None });
+        self.handle(node, Event::CallArrived { spec, key: None });
         call
     }
 
@@ -173,7 +173,7 @@
         while self.now < end {
             self.now += Duration::from_millis(50);
             for node in 0..self.kernels.len() {
-                self.tell(node, Event::Tick);
+                self.handle(node, Event::Tick);
             }
         }
     }
@@ -189,28 +189,28 @@
     /// Offers `rate` calls per second to each node for some seconds. Each call has no time to wait
     /// for its turn and ends at once. Returns the number of admitted calls.
     fn load(&mut self, nodes: &[usize], rate: u64, seconds: u64) -> usize {
-        let mut let_in = 0;
+        let mut admitted_calls = 0;
         for _ in 0..seconds * rate {
             for node in nodes {
                 let call = self.call_with(*node, Duration::ZERO);
-                self.pass_little(rate, nodes.len() as u64);
+                self.pass_one_call(rate, nodes.len() as u64);
                 if self.admitted[*node].contains(&call) {
-                    let_in += 1;
-                    self.tell(*node, Event::CallFinished(call));
+                    admitted_calls += 1;
+                    self.handle(*node, Event::CallFinished(call));
                 }
             }
         }
-        let_in
+        admitted_calls
     }
 
-    fn pass_little(&mut self, rate: u64, nodes: u64) {
+    fn pass_one_call(&mut self, rate: u64, nodes: u64) {
         let before = self.now.as_millis() / 50;
         self.now += Duration::from_micros(1_000_000 / (rate * nodes));
         if self.now.as_millis() / 50 == before {
             return;
         }
         for node in 0..self.kernels.len() {
-            self.tell(node, Event::Tick);
+            self.handle(node, Event::Tick);
         }
     }
 }
@@ -225,12 +225,16 @@
     };
 }
 
-case!(no_limit_costs_nothing, fleet = Fleet::new(3, None, None), {
-    for _ in 0..50 {
-        fleet.call(0);
+case!(
+    an_unlimited_workspace_costs_no_messages,
+    fleet = Fleet::new(3, None, None),
+    {
+        for _ in 0..50 {
+            fleet.call(0);
+        }
+        assert_eq!((fleet.limited, fleet.messages), (0, 0));
     }
-    assert_eq!((fleet.limited, fleet.messages), (0, 0));
-});
+);
 
 case!(
     one_busy_node_gets_the_whole_limit,
@@ -248,7 +252,7 @@
 );
 
 case!(
-    calls_at_a_time_hold_over_all_nodes,
+    concurrency_limit_holds_over_all_nodes,
     fleet = Fleet::new(9, None, Some(20)),
     {
         for round in 0..400 {
@@ -274,12 +278,15 @@
 );
 
 case!(
-    rates_hold_over_all_nodes,
+    rate_limit_holds_over_all_nodes,
     fleet = Fleet::new(5, Some(50.0), None),
     {
         fleet.load(&[0, 1, 2, 3, 4], 40, 12);
-        let let_in = fleet.load(&[0, 1, 2, 3, 4], 40, 10);
-        assert!((440..=560).contains(&let_in), "{let_in} in 10 s");
+        let admitted_calls = fleet.load(&[0, 1, 2, 3, 4], 40, 10);
+        assert!(
+            (440..=560).contains(&admitted_calls),
+            "{admitted_calls} in 10 s"
+        );
     }
 );
 
@@ -305,7 +312,7 @@
         fleet.call(0);
         fleet.pass(Duration::from_millis(300));
         assert_eq!((fleet.running(), fleet.limited), (1, 1));
-        fleet.tell(0, Event::CallFinished(call));
+        fleet.handle(0, Event::CallFinished(call));
         fleet.call(0);
         assert_eq!((fleet.running(), fleet.limited), (1, 1));
     }
@@ -341,7 +348,7 @@
 );
 
 case!(
-    a_flood_is_refused_without_delay,
+    calls_above_the_limit_are_refused_without_delay,
     fleet = Fleet::new(3, None, Some(6)),
     {
         fleet.pass(Duration::from_secs(5));
@@ -377,14 +384,14 @@
         let all: Vec<usize> = (0..9).collect();
         fleet.load(&all, 10, 5);
         fleet.messages = 0;
-        let let_in = fleet.load(&all, 10, 20);
-        assert_eq!(let_in, 9 * 10 * 20);
+        let admitted_calls = fleet.load(&all, 10, 20);
+        assert_eq!(admitted_calls, 9 * 10 * 20);
         assert!(fleet.messages <= 9 * 20, "{} messages", fleet.messages);
     }
 );
 
 case!(
-    a_flood_at_many_nodes_costs_few_messages,
+    excess_calls_at_many_nodes_cost_few_messages,
     fleet = Fleet::new(9, Some(50.0), None),
     {
         let all: Vec<usize> = (0..9).collect();
@@ -396,7 +403,7 @@
 );
 
 case!(
-    only_a_share_that_is_taken_back_is_answered,
+    only_a_reclaimed_share_is_acknowledged,
     fleet = Fleet::new(2, None, Some(40)),
     {
         fleet.pass(Duration::from_secs(5));
@@ -415,7 +422,7 @@
             };
             let message = Message::Limit(grant);
             let from = fleet.ids[1];
-            fleet.tell(0, Event::PeerMessage { from, message });
+            fleet.handle(0, Event::PeerMessage { from, message });
             assert!(fleet.messages <= answers, "{} messages", fleet.messages);
         }
     }
