--- a/kernel/src/keys.rs
+++ b/kernel/src/keys.rs
@@ -76,7 +76,8 @@
 }
 
 impl KeyParts {
-    /// Parses a key's text. Every key has exactly one accepted spelling.
+    /// Parses a key's text, or returns [`KeyError::Malformed`]. Every key has exactly one accepted
+    /// spelling.
     pub fn parse(text: &str) -> Result<Self, KeyError> {
         let fields: Vec<&str> = text.splitn(7, '.').collect();
         let [version, node, incarnation, sequence, second, mac] = fields[..] else {
--- a/kernel/src/limits/allowance.rs
+++ b/kernel/src/limits/allowance.rs
@@ -125,9 +125,7 @@
         even: LimitShare,
         limits: LimitShare,
     ) -> LimitDecision {
-        let answer_due = self
-            .first_demand
-            .map_or(now, |demand_sent| demand_sent + FIRST_WAIT);
+        let answer_due = self.first_demand.map_or(now, |sent| sent + FIRST_WAIT);
         let share = match self.leased_share(now) {
             Some(share) => share,
             None if now < answer_due => return LimitDecision::Wait,
