--- a/kernel/src/gateway/crashes.rs
+++ b/kernel/src/gateway/crashes.rs
@@ -1,9 +1,9 @@
 //! Calls whose content crashes the upstreams that run it.
 //!
-//! A crash takes along every call that is at the upstream, so one crash accuses no one. Content that was
-//! at three runs of upstreams when these broke off is quarantined: no node sends it any more, but for a
-//! few trials that one node makes. Nodes tell each other what they saw; what they hold is a union, so
-//! reports may come late, twice and in any order.
+//! A crash ends every call at the upstream, so a single crash does not show which call caused it.
+//! Content that was at three runs of upstreams when they crashed is quarantined: no node sends it
+//! any more, except for a few trials that one node makes. Nodes exchange their records and merge
+//! them as a union, so reports may arrive late, twice and in any order.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -14,36 +14,37 @@
 
 use crate::gateway::content::ContentDigest;
 
-/// Runs of upstreams that content may break before it is quarantined.
-pub const MOST_CRASHES: usize = 3;
-/// Runs that are kept for each content: those beyond tell nothing new.
-const MOST_RUNS: usize = 8;
-/// Times since the newest crash at which quarantined content is sent once more: a pool that lost all its
-/// upstreams at once accuses calls that do no harm.
-const TRIAL_PAUSES: [Duration; 2] = [Duration::from_secs(30), Duration::from_mins(5)];
-/// Time since the newest crash after which quarantined content is sent again.
-const QUARANTINE_LIFE: Duration = Duration::from_hours(1);
-/// Time since the newest crash after which suspicion is dropped.
-const SUSPICION_LIFE: Duration = Duration::from_mins(10);
-/// Time for which a change is told: two of the longest pauses between heartbeats.
-const NEWS_AGE: Duration = Duration::from_millis(1500);
-/// Changes that one heartbeat tells, some 20 bytes each.
-const MOST_NEWS: usize = 8;
-/// Changes by which the next heartbeat's begin further on: fewer than one tells, as some are always told.
-const NEWS_STEP: usize = MOST_NEWS / 2;
-/// Contents that are kept.
-const MOST_RECORDS: usize = 4096;
+/// Crashed runs of upstreams at which content is quarantined.
+pub const QUARANTINE_CRASHES: usize = 3;
+/// Maximum number of runs recorded for each content; further ones would not change any decision.
+const MAX_RUNS: usize = 8;
+/// Times since the newest crash at which quarantined content is sent once more: if a pool lost all
+/// its upstreams at once, harmless calls are quarantined too.
+const TRIAL_DELAYS: [Duration; 2] = [Duration::from_secs(30), Duration::from_mins(5)];
+/// Time since the newest crash after which a quarantine ends.
+const QUARANTINE_TTL: Duration = Duration::from_hours(1);
+/// Time since the newest crash after which a record below the quarantine threshold expires.
+const SUSPICION_TTL: Duration = Duration::from_mins(10);
+/// Time for which a change is sent in heartbeats: two of the longest intervals between heartbeats.
+const UPDATE_TTL: Duration = Duration::from_millis(1500);
+/// Maximum number of changes in one heartbeat, some 20 bytes each.
+const MAX_UPDATES: usize = 8;
+/// Step by which the start of the next heartbeat's changes advances: smaller than `MAX_UPDATES`, as
+/// those closest to quarantine are in every heartbeat.
+const UPDATE_STEP: usize = MAX_UPDATES / 2;
+/// Maximum number of recorded contents.
+const MAX_RECORDS: usize = 4096;
 
-/// What a node knows of content that upstreams crashed under, as others are told.
+/// One node's record of content during whose calls upstreams crashed, as sent to other nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct CrashReport {
-    /// The content.
+    /// Digest of the content.
     pub content: ContentDigest,
-    /// How often it has been cleared.
+    /// Number of times that its quarantine was cleared.
     pub round: u32,
-    /// Trials since then.
+    /// Number of trials since the last clearing.
     pub trials: u8,
-    /// Hashes of the runs of upstreams that broke off under it since then.
+    /// Hashes of the runs of upstreams that crashed during a call with it since the last clearing.
     pub runs: BTreeSet<u64>,
     /// Time since the newest crash or clearing, in ms.
     pub age_ms: u64,
@@ -52,33 +53,34 @@
 impl CrashReport {
     /// Whether the content is quarantined.
     pub fn is_quarantined(&self) -> bool {
-        self.runs.len() >= MOST_CRASHES
+        self.runs.len() >= QUARANTINE_CRASHES
     }
 }
 
-/// What a report changed.
+/// Effect of a report on this node's records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CrashNews {
-    /// Nothing.
-    Known,
-    /// More is known of the content, and it is treated as before.
-    Noted,
-    /// The content is quarantined from now on.
+pub enum CrashChange {
+    /// The report contained nothing new, or was too old.
+    Unchanged,
+    /// The record changed, but the content is admitted or rejected as before.
+    Updated,
+    /// The content is newly quarantined.
     Quarantined,
-    /// Quarantined content was answered well.
+    /// The quarantine ended, since a call with the content was answered successfully.
     Cleared,
 }
 
-/// What to do with a call.
+/// Whether a call with given content may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ContentVerdict {
-    /// It may be sent.
-    Clear,
-    /// It is quarantined, and this node may send it once to see whether that is right.
+pub enum ContentDecision {
+    /// The content is not quarantined; the call may be sent.
+    Admitted,
+    /// The content is quarantined, and this node may send the call once to test whether it still
+    /// causes a crash.
     Trial,
-    /// It is quarantined.
+    /// The content is quarantined; the call is rejected.
     Quarantined {
-        /// Time until it may be sent again.
+        /// Time until the content may be sent again.
         pause: Duration,
     },
 }
@@ -93,29 +95,30 @@
 
 impl ContentRecord {
     fn is_quarantined(&self) -> bool {
-        self.runs.len() >= MOST_CRASHES
+        self.runs.len() >= QUARANTINE_CRASHES
     }
 
-    /// Whether nodes have to agree on it.
-    fn is_settled(&self) -> bool {
+    /// Whether all nodes have to agree on the record: the content is quarantined or was cleared
+    /// before.
+    fn is_decided(&self) -> bool {
         self.is_quarantined() || self.round > 0
     }
 
     fn ends_at(&self) -> Duration {
-        let life = if self.is_settled() {
-            QUARANTINE_LIFE
+        let ttl = if self.is_decided() {
+            QUARANTINE_TTL
         } else {
-            SUSPICION_LIFE
+            SUSPICION_TTL
         };
-        self.changed_at + life
+        self.changed_at + ttl
     }
 
     fn trial_at(&self) -> Option<Duration> {
-        let pause = TRIAL_PAUSES.get(usize::from(self.trials))?;
+        let pause = TRIAL_DELAYS.get(usize::from(self.trials))?;
         Some(self.changed_at + *pause)
     }
 
-    /// Takes a report in. Gives whether that changed anything but the time.
+    /// Merges a report and returns whether anything but the time changed.
     fn merge(&mut self, report: &CrashReport, at: Duration) -> bool {
         if report.round < self.round {
             return false;
@@ -129,7 +132,7 @@
         }
         self.trials = self.trials.max(report.trials);
         self.runs.extend(&report.runs);
-        while self.runs.len() > MOST_RUNS {
+        while self.runs.len() > MAX_RUNS {
             self.runs.pop_last();
         }
         self.changed_at = self.changed_at.max(at);
@@ -148,18 +151,19 @@
     }
 }
 
-/// Contents that upstreams crashed under.
+/// Records of contents during whose calls upstreams crashed.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLedger {
     records: BTreeMap<ContentDigest, ContentRecord>,
-    news: VecDeque<(Duration, ContentDigest)>,
-    news_turn: usize,
+    updates: VecDeque<(Duration, ContentDigest)>,
+    update_turn: usize,
     digest: u64,
 }
 
 impl CrashLedger {
-    /// A connection to this run of an upstream broke while a call with this content was there.
-    pub fn crashed(&mut self, content: ContentDigest, run: u64, now: Duration) -> CrashNews {
+    /// Records that the connection to this run of an upstream broke during a call with this
+    /// content.
+    pub fn record_crash(&mut self, content: ContentDigest, run: u64, now: Duration) -> CrashChange {
         let known = self.records.get(&content);
         let report = CrashReport {
             content,
@@ -171,8 +175,8 @@
         self.receive(&report, now)
     }
 
-    /// Takes in what another node knows.
-    pub fn receive(&mut self, report: &CrashReport, now: Duration) -> CrashNews {
+    /// Merges another node's report.
+    pub fn receive(&mut self, report: &CrashReport, now: Duration) -> CrashChange {
         let at = now.saturating_sub(Duration::from_millis(report.age_ms));
         let mut record = self
             .records
@@ -181,24 +185,25 @@
             .unwrap_or_default();
         let was_quarantined = record.is_quarantined();
         if !record.merge(report, at) || record.ends_at() <= now {
-            return CrashNews::Known;
+            return CrashChange::Unchanged;
         }
         let is_quarantined = record.is_quarantined();
         self.put(report.content, record, now);
         match (was_quarantined, is_quarantined) {
-            (false, true) => CrashNews::Quarantined,
-            (true, false) => CrashNews::Cleared,
-            _ => CrashNews::Noted,
+            (false, true) => CrashChange::Quarantined,
+            (true, false) => CrashChange::Cleared,
+            _ => CrashChange::Updated,
         }
     }
 
-    /// A call with this content was answered well. Gives whether that ends its quarantine.
-    pub fn answered(&mut self, content: ContentDigest, now: Duration) -> bool {
+    /// Records that a call with this content was answered successfully. Returns whether that ends
+    /// its quarantine.
+    pub fn record_answer(&mut self, content: ContentDigest, now: Duration) -> bool {
         let Some(record) = self.records.get(&content) else {
             return false;
         };
         if !record.is_quarantined() {
-            if !record.is_settled() {
+            if !record.is_decided() {
                 self.records.remove(&content);
             }
             return false;
@@ -212,32 +217,33 @@
         true
     }
 
-    /// What to do with a call. `may_try` says whether this node is the one that makes trials. A trial is
-    /// one send: what follows asks anew.
-    pub fn verdict(
+    /// Decides whether a call with this content may be sent. `may_try` returns whether this node is
+    /// the one that makes trials. A trial covers one attempt: each further one needs a new
+    /// decision.
+    pub fn decide(
         &self,
         content: ContentDigest,
         may_try: impl FnOnce() -> bool,
         now: Duration,
-    ) -> ContentVerdict {
+    ) -> ContentDecision {
         let Some(record) = self.records.get(&content) else {
-            return ContentVerdict::Clear;
+            return ContentDecision::Admitted;
         };
         if !record.is_quarantined() || record.ends_at() <= now {
-            return ContentVerdict::Clear;
+            return ContentDecision::Admitted;
         }
         let trial_at = record.trial_at();
         if trial_at.is_some_and(|at| at <= now) && may_try() {
-            return ContentVerdict::Trial;
+            return ContentDecision::Trial;
         }
         let next = trial_at.filter(|at| *at > now);
         let until = next.unwrap_or_else(|| record.ends_at());
-        ContentVerdict::Quarantined {
+        ContentDecision::Quarantined {
             pause: until.saturating_sub(now),
         }
     }
 
-    /// A call is sent as a trial.
+    /// Records that a call with this content is sent as a trial.
     pub fn begin_trial(&mut self, content: ContentDigest, now: Duration) {
         let Some(mut record) = self.records.get(&content).cloned() else {
             return;
@@ -246,27 +252,27 @@
         self.put(content, record, now);
     }
 
-    /// Runs of upstreams that broke off under this content.
+    /// Number of runs of upstreams that crashed during a call with this content.
     pub fn crashes(&self, content: ContentDigest) -> usize {
         let record = self.records.get(&content);
         record.map_or(0, |record| record.runs.len())
     }
 
-    /// Reports for the next heartbeat: content that is quarantined or nearly so first, then others in
-    /// turn.
-    pub fn news(&mut self, now: Duration) -> Vec<CrashReport> {
+    /// Recent changes for the next heartbeat, at most `MAX_UPDATES`: content closest to or in
+    /// quarantine first, the others in turn.
+    pub fn recent_reports(&mut self, now: Duration) -> Vec<CrashReport> {
         while self
-            .news
+            .updates
             .front()
-            .is_some_and(|(at, _)| *at + NEWS_AGE <= now)
+            .is_some_and(|(at, _)| *at + UPDATE_TTL <= now)
         {
-            self.news.pop_front();
+            self.updates.pop_front();
         }
         let mut contents: Vec<ContentDigest> =
-            self.news.iter().map(|(_, content)| *content).collect();
-        if contents.len() > MOST_NEWS {
-            self.news_turn = self.news_turn.wrapping_add(NEWS_STEP);
-            let turn = self.news_turn % contents.len();
+            self.updates.iter().map(|(_, content)| *content).collect();
+        if contents.len() > MAX_UPDATES {
+            self.update_turn = self.update_turn.wrapping_add(UPDATE_STEP);
+            let turn = self.update_turn % contents.len();
             contents.rotate_left(turn);
             contents.sort_by_key(|content| Reverse(self.crashes(*content)));
         }
@@ -274,33 +280,35 @@
             let record = self.records.get(&content)?;
             Some(record.report(content, now))
         });
-        reports.take(MOST_NEWS).collect()
+        reports.take(MAX_UPDATES).collect()
     }
 
-    /// All that nodes have to agree on.
-    pub fn settled(&self, now: Duration) -> Vec<CrashReport> {
-        let settled = self
+    /// Reports on all contents that are quarantined or were cleared, on which all nodes have to
+    /// agree.
+    pub fn decided_reports(&self, now: Duration) -> Vec<CrashReport> {
+        let decided = self
             .records
             .iter()
-            .filter(|(_, record)| record.is_settled());
-        settled
+            .filter(|(_, record)| record.is_decided());
+        decided
             .map(|(content, record)| record.report(*content, now))
             .collect()
     }
 
-    /// The same for the same settled contents; 0 if there are none.
+    /// Digest of the quarantined and cleared contents, to compare with other nodes; 0 if there are
+    /// none.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Number of contents that are quarantined.
+    /// Number of quarantined contents.
     pub fn quarantined(&self) -> usize {
         let records = self.records.values();
         records.filter(|record| record.is_quarantined()).count()
     }
 
-    /// Forgets what is too old.
-    pub fn forget(&mut self, now: Duration) {
+    /// Removes expired records.
+    pub fn expire(&mut self, now: Duration) {
         let count = self.records.len();
         self.records.retain(|_, record| record.ends_at() > now);
         if self.records.len() < count {
@@ -309,20 +317,20 @@
     }
 
     fn put(&mut self, content: ContentDigest, record: ContentRecord, now: Duration) {
-        let is_settled = record.is_settled();
+        let is_decided = record.is_decided();
         let old = self.records.insert(content, record);
-        self.news.retain(|(_, known)| *known != content);
-        self.news.push_back((now, content));
-        if self.records.len() > MOST_RECORDS {
+        self.updates.retain(|(_, known)| *known != content);
+        self.updates.push_back((now, content));
+        if self.records.len() > MAX_RECORDS {
             self.drop_oldest();
         }
-        if is_settled || old.is_some_and(|old| old.is_settled()) {
+        if is_decided || old.is_some_and(|old| old.is_decided()) {
             self.refresh_digest();
         }
     }
 
     fn drop_oldest(&mut self) {
-        let age = |record: &ContentRecord| (record.is_settled(), record.changed_at);
+        let age = |record: &ContentRecord| (record.is_decided(), record.changed_at);
         let oldest = self.records.iter().min_by_key(|(_, record)| age(record));
         if let Some(content) = oldest.map(|(content, _)| *content) {
             self.records.remove(&content);
@@ -331,16 +339,16 @@
     }
 
     fn refresh_digest(&mut self) {
-        let mark = |(content, record): (&ContentDigest, &ContentRecord)| {
+        let hash = |(content, record): (&ContentDigest, &ContentRecord)| {
             let is_quarantined = u64::from(record.is_quarantined());
             let seed =
                 u64::from(record.round) << 16 | u64::from(record.trials) << 1 | is_quarantined;
             xxh3_64_with_seed(&u64::from(*content).to_le_bytes(), seed) >> 32
         };
-        let settled = self
+        let decided = self
             .records
             .iter()
-            .filter(|(_, record)| record.is_settled());
-        self.digest = settled.map(mark).fold(0, |digest, mark| digest ^ mark);
+            .filter(|(_, record)| record.is_decided());
+        self.digest = decided.map(hash).fold(0, |digest, hash| digest ^ hash);
     }
 }
--- a/kernel/src/leases.rs
+++ b/kernel/src/leases.rs
@@ -265,7 +265,7 @@
                     .apply(head, node, incarnation, context.now, context.random);
                 self.send_due(context);
             }
-            Event::AppendDone { ticket, result } if ticket.is_of(AppendOwner::Lease) => {
+            Event::AppendDone { ticket, result } if ticket.belongs_to(AppendOwner::Lease) => {
                 self.appended(*result, context);
             }
             Event::OrderRequested(request) => self.add_wanted(request),
