--- a/kernel/benches/decision.rs
+++ b/kernel/benches/decision.rs
@@ -1,7 +1,8 @@
-//! Cost of a scheduling decision with many calls queued: one run ends, the next one starts.
+//! Cost of a dispatch decision with many calls queued: one run ends, and the next one starts.
 //!
-//! Beside Criterion's means it prints percentiles of single decisions and the memory of a queued
-//! call, which Criterion does not give.
+//!
+//! Besides Criterion's means it prints percentiles of single decisions and the memory per queued
+//! call, which Criterion does not measure.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::hint::black_box;
@@ -30,18 +31,18 @@
 
 struct CountingAllocator;
 
-static HELD: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: every call goes to the system's allocator unchanged.
+// SAFETY: every call is forwarded to the system allocator unchanged.
 #[allow(unsafe_code)]
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size(), Ordering::Relaxed);
+        ALLOCATED.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size(), Ordering::Relaxed);
+        ALLOCATED.fetch_sub(layout.size(), Ordering::Relaxed);
         unsafe { System.dealloc(pointer, layout) }
     }
 }
@@ -133,10 +134,10 @@
             owners: owners.collect(),
         };
         let upstreams: Vec<_> = config.upstreams.keys().copied().collect();
-        bench.tell(Event::ConfigApplied(config));
-        bench.tell(Event::OwnersChanged(Arc::new(owners)));
+        bench.handle(Event::ConfigApplied(config));
+        bench.handle(Event::OwnersChanged(Arc::new(owners)));
         for upstream in upstreams {
-            bench.tell(Event::UpstreamReported {
+            bench.handle(Event::UpstreamReported {
                 upstream,
                 report: LoadReport::default(),
             });
@@ -147,7 +148,7 @@
         bench
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.kernel.handle(self.now, event, &mut self.actions);
         for action in self.actions.drain(..) {
             if let Action::StartAttempt(start) = action {
@@ -159,35 +160,35 @@
     fn offer(&mut self) {
         self.sequence += 1;
         let work = work(self.sequence);
-        self.tell(Event::PeerMessage {
+        self.handle(Event::PeerMessage {
             from: NodeId(2),
             message: WorkMessage::Offer(work).into(),
         });
     }
 
-    /// One run ends and the next one starts.
+    /// Ends one run, so that the next one starts.
     fn decide(&mut self) {
         let index = self.sequence as usize * 7 % self.running.len();
         let attempt = self.running.swap_remove(index);
         self.now += Duration::from_micros(100);
         let end = AttemptEnd::Complete { tokens: 100 };
-        self.tell(Event::AttemptEnded { attempt, end });
+        self.handle(Event::AttemptEnded { attempt, end });
     }
 }
 
 fn memory(queued: u64) -> usize {
-    let before = HELD.load(Ordering::Relaxed);
+    let before = ALLOCATED.load(Ordering::Relaxed);
     let empty = Bench::new(0);
-    let base = HELD.load(Ordering::Relaxed) - before;
+    let base = ALLOCATED.load(Ordering::Relaxed) - before;
     drop(empty);
-    let before = HELD.load(Ordering::Relaxed);
+    let before = ALLOCATED.load(Ordering::Relaxed);
     let bench = Bench::new(queued);
-    let held = HELD.load(Ordering::Relaxed) - before - base;
+    let allocated = ALLOCATED.load(Ordering::Relaxed) - before - base;
     drop(bench);
-    held / queued as usize
+    allocated / queued as usize
 }
 
-/// The pool alone, so that a decision can be timed without what comes before and after it.
+/// A pool without the dispatcher, to time a decision by itself.
 struct PoolBench {
     pool: PoolState,
     arena: WorkArena,
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Frees one slot and times the choice of what starts there.
+    /// Frees one slot and times the decision about the next run.
     fn decide(&mut self) -> Duration {
         let index = self.sequence as usize * 7 % self.running.len();
         let key = self.running.swap_remove(index);
--- a/kernel/tests/calls/attempts.rs
+++ b/kernel/tests/calls/attempts.rs
@@ -1,4 +1,4 @@
-//! What each piece of news means for a try, and when a call is tried again.
+//! What each update means for an attempt, and when a call is retried.
 
 use std::time::Duration;
 
@@ -26,8 +26,8 @@
 };
 const MAY_HAVE_RUN: AttemptStatus = AttemptStatus::MayHaveRun { tokens: 2 };
 
-macro_rules! verdicts {
-    ($($name:ident: $phase:expr, $news:expr => $verdict:expr;)*) => {
+macro_rules! statuses {
+    ($($name:ident: $phase:expr, $update:expr => $status:expr;)*) => {
         $(
             #[test]
             fn $name() {
@@ -39,13 +39,13 @@
                     unanswered: 0,
                     query_interval: Duration::ZERO,
                 };
-                assert_eq!(attempt.apply($news), $verdict);
+                assert_eq!(attempt.apply($update), $status);
             }
         )*
     };
 }
 
-verdicts! {
+statuses! {
     offered_starts: AttemptPhase::Offered, AttemptUpdate::Started => AttemptStatus::Open;
     offered_is_returned: AttemptPhase::Offered, NOT_OWNER => RETURNED;
     offered_is_lost: AttemptPhase::Offered, LOST => MAY_HAVE_RUN;
@@ -100,7 +100,8 @@
     }
 }
 
-/// A refusal by an owner: with room elsewhere the call goes there, without it ends at once.
+/// A refusal by an owner: the call moves to another owner with capacity, or ends at once without
+/// one.
 fn refused(reason: RefusalReason, full: bool) -> (Fleet, Option<CallOutcome>) {
     let mut fleet = Fleet::new(2, 1);
     let load = LoadSummary {
@@ -126,13 +127,13 @@
     };
     let message = returned.into();
     let from = node_id(usize::from(full));
-    fleet.tell(0, Event::PeerMessage { from, message });
+    fleet.handle(0, Event::PeerMessage { from, message });
     let outcome = fleet.outcomes.get(&call).map(|outcomes| outcomes[0]);
     (fleet, outcome)
 }
 
 #[test]
-fn refused_call_goes_where_there_is_room() {
+fn refused_call_moves_to_an_owner_with_capacity() {
     let (mut fleet, outcome) = refused(RefusalReason::Overloaded, false);
     assert_eq!(outcome, None);
     fleet.pass(Duration::from_millis(20));
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn refused_call_ends_at_once_without_room() {
+fn refused_call_ends_at_once_without_capacity() {
     for reason in [RefusalReason::Overloaded, RefusalReason::Limit] {
         let (_, outcome) = refused(reason, true);
         let retry_after = Some(Duration::from_secs(3));
