--- a/kernel/src/config.rs
+++ b/kernel/src/config.rs
@@ -136,7 +136,7 @@
             DocumentKey::Rules => self.put_rules(Vec::new()),
             DocumentKey::Placement(name) => {
                 Arc::make_mut(&mut self.placements).remove(&UpstreamId::named(name));
-                self.place_again(name);
+                self.reassign_pool(name);
             }
         }
     }
@@ -201,10 +201,10 @@
             version: 0,
         };
         Arc::make_mut(&mut self.placements).insert(id, placed);
-        self.place_again(&placement.upstream);
+        self.reassign_pool(&placement.upstream);
     }
 
-    fn place_again(&mut self, name: &str) {
+    fn reassign_pool(&mut self, name: &str) {
         if let Some(upstream) = self.upstreams.get(&UpstreamId::named(name)) {
             let spec = upstream.spec.clone();
             self.put_upstream(spec);
--- a/kernel/src/config/check.rs
+++ b/kernel/src/config/check.rs
@@ -57,7 +57,7 @@
     }
 }
 
-fn known<'a>(names: impl Iterator<Item = &'a str>) -> String {
+fn expected_names<'a>(names: impl Iterator<Item = &'a str>) -> String {
     let mut names: Vec<&str> = names.collect();
     names.sort_unstable();
     match names.len() {
@@ -67,8 +67,8 @@
     }
 }
 
-fn unknown<'a>(what: &str, name: &str, names: impl Iterator<Item = &'a str>) -> String {
-    format!("unknown {what} `{name}`; {}", known(names))
+fn unknown_name<'a>(what: &str, name: &str, names: impl Iterator<Item = &'a str>) -> String {
+    format!("unknown {what} `{name}`; {}", expected_names(names))
 }
 
 fn check_name(name: &str, faults: &mut FaultList) {
@@ -110,7 +110,7 @@
 
 fn unknown_tier(config: &Config, tier: Tier) -> String {
     let names: Vec<String> = config.tiers.keys().map(ToString::to_string).collect();
-    unknown("tier", &tier.to_string(), names.iter().map(String::as_str))
+    unknown_name("tier", &tier.to_string(), names.iter().map(String::as_str))
 }
 
 fn check_class(config: &Config, class: &ClassSpec, faults: &mut FaultList) {
@@ -195,7 +195,7 @@
             .upstreams
             .values()
             .map(|upstream| &*upstream.spec.name);
-        unknown("upstream", &placement.upstream, names)
+        unknown_name("upstream", &placement.upstream, names)
     });
     let allowed = upstream.is_some_and(|upstream| {
         upstream.spec.pool == placement.pool || upstream.spec.also.contains(&placement.pool)
@@ -207,7 +207,7 @@
 }
 
 fn unknown_pool(config: &Config, name: &str) -> String {
-    unknown("pool", name, config.pools.values().map(|pool| &*pool.name))
+    unknown_name("pool", name, config.pools.values().map(|pool| &*pool.name))
 }
 
 fn check_match(config: &Config, rule: &RuleSpec, faults: &mut FaultList) {
@@ -216,7 +216,7 @@
     for (position, name) in when.workspaces.iter().enumerate() {
         if !config.workspaces.contains_key(&WorkspaceId::named(name)) {
             let names = config.workspaces.values().map(|workspace| &*workspace.name);
-            let message = unknown("workspace", name, names);
+            let message = unknown_name("workspace", name, names);
             faults.add(path.clone().field("workspaces").item(position), message);
         }
     }
@@ -265,7 +265,7 @@
         .contains_key(&ClassId::named(&rule.then.class))
     {
         let names = config.classes.values().map(|class| &*class.name);
-        let message = unknown("class", &rule.then.class, names);
+        let message = unknown_name("class", &rule.then.class, names);
         faults.add(path.clone().field("class"), message);
     }
     if let Some(tier) = rule.then.tier
--- a/kernel/src/config/locate.rs
+++ b/kernel/src/config/locate.rs
@@ -85,13 +85,16 @@
         .deserialize(serde_yaml_ng::Deserializer::from_str(text))
         .err()?;
     let location = error.location()?;
-    error.to_string().contains(FOUND).then_some(TextPosition {
-        line: location.line(),
-        column: location.column(),
-    })
+    error
+        .to_string()
+        .contains(TARGET_FOUND)
+        .then_some(TextPosition {
+            line: location.line(),
+            column: location.column(),
+        })
 }
 
-const FOUND: &str = "the field that is looked for";
+const TARGET_FOUND: &str = "the field that is looked for";
 
 struct PathWalk<'a> {
     steps: &'a [PathStep],
@@ -106,9 +109,9 @@
 }
 
 impl PathWalk<'_> {
-    fn leaf<E: Error>(&self) -> Result<(), E> {
+    fn check_target<E: Error>(&self) -> Result<(), E> {
         if self.steps.is_empty() {
-            return Err(E::custom(FOUND));
+            return Err(E::custom(TARGET_FOUND));
         }
         Ok(())
     }
@@ -122,31 +125,31 @@
     }
 
     fn visit_bool<E: Error>(self, _: bool) -> Result<(), E> {
-        self.leaf()
+        self.check_target()
     }
 
     fn visit_i64<E: Error>(self, _: i64) -> Result<(), E> {
-        self.leaf()
+        self.check_target()
     }
 
     fn visit_u64<E: Error>(self, _: u64) -> Result<(), E> {
-        self.leaf()
+        self.check_target()
     }
 
     fn visit_f64<E: Error>(self, _: f64) -> Result<(), E> {
-        self.leaf()
+        self.check_target()
     }
 
     fn visit_str<E: Error>(self, _: &str) -> Result<(), E> {
-        self.leaf()
+        self.check_target()
     }
 
     fn visit_unit<E: Error>(self) -> Result<(), E> {
-        self.leaf()
+        self.check_target()
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut items: A) -> Result<(), A::Error> {
-        self.leaf()?;
+        self.check_target()?;
         let Some((PathStep::Item(wanted), rest)) = self.steps.split_first() else {
             while items.next_element::<IgnoredAny>()?.is_some() {}
             return Ok(());
@@ -162,7 +165,7 @@
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut fields: A) -> Result<(), A::Error> {
-        self.leaf()?;
+        self.check_target()?;
         let wanted = match self.steps.split_first() {
             Some((PathStep::Field(name), rest)) => Some((&**name, rest)),
             _ => None,
--- a/kernel/src/config/rules.rs
+++ b/kernel/src/config/rules.rs
@@ -96,11 +96,11 @@
     },
 }
 
-fn among(names: &[Box<str>], name: &str) -> bool {
+fn is_allowed(names: &[Box<str>], name: &str) -> bool {
     names.is_empty() || names.iter().any(|known| &**known == name)
 }
 
-fn list(names: &[Box<str>]) -> Box<str> {
+fn quote_all(names: &[Box<str>]) -> Box<str> {
     let quoted: Vec<String> = names.iter().map(|name| format!("`{name}`")).collect();
     quoted.join(" or ").into()
 }
@@ -116,8 +116,8 @@
 impl RuleMatch {
     /// Whether every given condition holds for the request.
     pub fn matches(&self, facts: &RequestFacts<'_>) -> bool {
-        among(&self.workspaces, facts.workspace)
-            && among(&self.models, facts.model)
+        is_allowed(&self.workspaces, facts.workspace)
+            && is_allowed(&self.models, facts.model)
             && self.method.as_deref().is_none_or(|m| m == facts.method)
             && self.streamed.is_none_or(|s| s == facts.streamed)
             && self.matches_rest(facts)
@@ -140,16 +140,16 @@
 
     /// The first condition that does not hold; `None` if the rule matches.
     pub fn mismatch(&self, facts: &RequestFacts<'_>) -> Option<RuleMismatch> {
-        if !among(&self.workspaces, facts.workspace) {
+        if !is_allowed(&self.workspaces, facts.workspace) {
             return Some(RuleMismatch::Workspace {
                 found: facts.workspace.into(),
-                expected: list(&self.workspaces),
+                expected: quote_all(&self.workspaces),
             });
         }
-        if !among(&self.models, facts.model) {
+        if !is_allowed(&self.models, facts.model) {
             return Some(RuleMismatch::Model {
                 found: facts.model.into(),
-                expected: list(&self.models),
+                expected: quote_all(&self.models),
             });
         }
         self.path_mismatch(facts)
@@ -201,8 +201,7 @@
         })
     }
 
-    /// Whether this match accepts every request that `other` accepts. May be false although it
-    /// does.
+    /// Whether this match accepts every request that `other` accepts.
     pub fn covers(&self, other: &Self) -> bool {
         let names = |wide: &[Box<str>], narrow: &[Box<str>]| {
             wide.is_empty() || (!narrow.is_empty() && narrow.iter().all(|name| wide.contains(name)))
@@ -311,13 +310,13 @@
         let methods = self.methods.get(facts.method);
         let streamed = &self.streamed[usize::from(facts.streamed)];
         for (word, streamed) in streamed.iter().enumerate() {
-            let mut left = workspaces[word] & models[word] & methods[word] & streamed;
-            while left != 0 {
-                let position = word * 64 + left.trailing_zeros() as usize;
+            let mut candidates = workspaces[word] & models[word] & methods[word] & streamed;
+            while candidates != 0 {
+                let position = word * 64 + candidates.trailing_zeros() as usize;
                 if rules[position].when.matches_rest(facts) {
                     return Some(position);
                 }
-                left &= left - 1;
+                candidates &= candidates - 1;
             }
         }
         None
--- a/kernel/src/config/text.rs
+++ b/kernel/src/config/text.rs
@@ -38,7 +38,7 @@
             file: file.into(),
             position,
             field: field.into(),
-            message: without_place(&error.inner().to_string())
+            message: strip_location(&error.inner().to_string())
                 .replace("expected a duration", "expected a duration such as `650ms`")
                 .into(),
         }
@@ -46,7 +46,7 @@
 }
 
 /// Strips the position and the path from the parser's message; both are reported separately.
-fn without_place(message: &str) -> &str {
+fn strip_location(message: &str) -> &str {
     let message = message
         .rsplit_once(" at line ")
         .map_or(message, |(before, _)| before);
@@ -78,7 +78,7 @@
     faults.extend(
         check_file(&merged)
             .into_iter()
-            .map(|fault| place(&fault, &files)),
+            .map(|fault| locate_fault(&fault, &files)),
     );
     if faults.is_empty() {
         return Ok(merged);
@@ -112,9 +112,9 @@
 }
 
 /// Maps an error in the merged configuration to its file and the position in it.
-fn place(fault: &ConfigFault, files: &[(&str, &str, ConfigFile)]) -> FileFault {
+fn locate_fault(fault: &ConfigFault, files: &[(&str, &str, ConfigFile)]) -> FileFault {
     let mut path = fault.path.clone();
-    let mut home = files.first();
+    let mut source = files.first();
     if let [PathStep::Field(section), rest @ ..] = path.0.as_mut_slice() {
         let mut before = 0;
         let wanted = match rest.first() {
@@ -124,7 +124,7 @@
         for file in files {
             let count = section_len(&file.2, section);
             if wanted < before + count {
-                home = Some(file);
+                source = Some(file);
                 break;
             }
             before += count;
@@ -133,7 +133,7 @@
             *position -= before;
         }
     }
-    let (file, text) = home.map_or(("", ""), |(file, text, _)| (*file, *text));
+    let (file, text) = source.map_or(("", ""), |(file, text, _)| (*file, *text));
     FileFault {
         file: file.into(),
         position: locate(text, &path).unwrap_or_default(),
--- a/kernel/src/configuration.rs
+++ b/kernel/src/configuration.rs
@@ -37,7 +37,7 @@
 
 /// Minimum time between two checkpoints that a node sends to other nodes, so that many starting
 /// nodes at once cannot overload it.
-const CHECKPOINT_PAUSE: Duration = Duration::from_millis(200);
+const MIN_CHECKPOINT_GAP: Duration = Duration::from_millis(200);
 
 /// The replicated configuration of one node.
 #[derive(Debug, Default)]
@@ -50,31 +50,31 @@
     read_from: u64,
     reader: LogReader,
     tail: RecordTail,
-    early: ReorderBuffer,
+    reorder_buffer: ReorderBuffer,
     assembly: CheckpointAssembly,
     duty: CheckpointDuty,
     peers: PeerExchange,
     publishes: PublishTracker,
-    reach: RolloutCounter,
-    checkpoint_sent: Option<Duration>,
+    rollouts: RolloutCounter,
+    checkpoint_sent_at: Option<Duration>,
 }
 
 impl ConfigurationStore {
     /// Folds records from the log or from another node in order of offset, and buffers those that
     /// arrive early.
-    fn take(&mut self, records: &[LogRecord], context: &mut Context<'_>) {
+    fn fold_records(&mut self, records: &[LogRecord], context: &mut Context<'_>) {
         for entry in records {
             if entry.offset == self.fold.next() {
                 self.fold_one(entry, context);
-                self.fold_early(context);
+                self.fold_buffered(context);
             } else if entry.offset > self.fold.next() {
-                self.early.keep(entry.clone());
+                self.reorder_buffer.insert(entry.clone());
             }
         }
     }
 
-    fn fold_early(&mut self, context: &mut Context<'_>) {
-        while let Some(entry) = self.early.take(self.fold.next()) {
+    fn fold_buffered(&mut self, context: &mut Context<'_>) {
+        while let Some(entry) = self.reorder_buffer.take(self.fold.next()) {
             self.fold_one(&entry, context);
         }
     }
@@ -98,14 +98,19 @@
             return;
         };
         for request in self.publishes.folded(id, &result, context) {
-            self.count(request, &result, context);
+            self.start_count(request, &result, context);
         }
     }
 
     /// Starts to count the nodes on which an accepted change is in force.
-    fn count(&mut self, request: RequestTicket, result: &PublishResult, context: &mut Context<'_>) {
+    fn start_count(
+        &mut self,
+        request: RequestTicket,
+        result: &PublishResult,
+        context: &mut Context<'_>,
+    ) {
         if let PublishResult::Accepted { version } = result {
-            self.reach
+            self.rollouts
                 .start(request, *version, self.peers.view(), context);
         }
     }
@@ -118,25 +123,25 @@
     ) {
         let answered = self.publishes.request(request, record, &self.fold, context);
         if let Some(result) = answered {
-            self.count(request, &result, context);
+            self.start_count(request, &result, context);
         }
     }
 
     /// Assembles checkpoints from records of the log, and restores one that is ahead of this node.
-    fn take_checkpoints(&mut self, records: &[LogRecord], context: &mut Context<'_>) {
+    fn restore_checkpoints(&mut self, records: &[LogRecord], context: &mut Context<'_>) {
         for entry in records {
             let Some(Record::Checkpoint(part)) = &entry.record else {
                 continue;
             };
             if let Some(fold) = self.assembly.take(part) {
                 self.duty.record_checkpoint(fold.next(), context.now);
-                self.adopt(fold, context);
+                self.restore(fold, context);
             }
         }
     }
 
     /// Replaces this node's folded state by one that is ahead of it; does nothing otherwise.
-    fn adopt(&mut self, fold: ConfigFold, context: &mut Context<'_>) {
+    fn restore(&mut self, fold: ConfigFold, context: &mut Context<'_>) {
         if fold.next() <= self.fold.next() {
             return;
         }
@@ -149,7 +154,7 @@
         for id in seen {
             self.answer(&id, context);
         }
-        self.fold_early(context);
+        self.fold_buffered(context);
     }
 
     fn log_read(&mut self, records: &[LogRecord], end: u64, context: &mut Context<'_>) {
@@ -160,8 +165,8 @@
             }
             self.read_from = last.offset + 1;
         }
-        self.take(records, context);
-        self.take_checkpoints(records, context);
+        self.fold_records(records, context);
+        self.restore_checkpoints(records, context);
         self.log_end = Some(end);
     }
 
@@ -179,59 +184,64 @@
         self.read_from.max(self.log_first)
     }
 
-    fn message(&mut self, from: NodeId, message: &ConfigurationMessage, context: &mut Context<'_>) {
+    fn handle_message(
+        &mut self,
+        from: NodeId,
+        message: &ConfigurationMessage,
+        context: &mut Context<'_>,
+    ) {
         match message {
-            ConfigurationMessage::Have { next, ready } => self.heard(from, *next, *ready, context),
+            ConfigurationMessage::Have { next, ready } => self.record(from, *next, *ready, context),
             ConfigurationMessage::Ask { next, ready } => {
-                self.heard(from, *next, *ready, context);
-                self.tell(from, context);
+                self.record(from, *next, *ready, context);
+                self.send_offset(from, context);
             }
-            ConfigurationMessage::Want { from: offset } => self.wanted(from, *offset, context),
+            ConfigurationMessage::Want { from: offset } => self.send_from(from, *offset, context),
             ConfigurationMessage::Records(records) => {
                 self.peers.received();
-                self.take(records, context);
+                self.fold_records(records, context);
             }
             ConfigurationMessage::Checkpoint { covered, part } => {
                 self.peers.received();
                 self.duty.record_checkpoint(*covered, context.now);
                 if let Some(fold) = self.assembly.take(part) {
-                    self.adopt(fold, context);
+                    self.restore(fold, context);
                 }
             }
             ConfigurationMessage::Count { id, version, nodes } => {
-                self.reach.asked(*id, from, *version, nodes, context);
+                self.rollouts.asked(*id, from, *version, nodes, context);
             }
-            ConfigurationMessage::Counted { id, nodes } => self.reach.reached(*id, from, *nodes),
+            ConfigurationMessage::Counted { id, nodes } => self.rollouts.reached(*id, from, *nodes),
         }
     }
 
-    fn heard(&mut self, from: NodeId, next: u64, ready: bool, context: &mut Context<'_>) {
+    fn record(&mut self, from: NodeId, next: u64, ready: bool, context: &mut Context<'_>) {
         self.peers.record_offset(from, next, ready);
         let at_once = !self.ready || self.reader.is_unavailable(context.now);
         self.peers
             .request_missing(self.fold.next(), at_once, context);
     }
 
-    fn tell(&self, to: NodeId, context: &mut Context<'_>) {
+    fn send_offset(&self, to: NodeId, context: &mut Context<'_>) {
         let next = self.fold.next();
         let ready = self.ready;
         context.send(to, ConfigurationMessage::Have { next, ready });
     }
 
-    fn wanted(&mut self, from: NodeId, offset: u64, context: &mut Context<'_>) {
+    fn send_from(&mut self, from: NodeId, offset: u64, context: &mut Context<'_>) {
         if offset >= self.fold.next() {
-            self.tell(from, context);
+            self.send_offset(from, context);
             return;
         }
         if let Some(page) = self.tail.page(offset) {
             context.send(from, ConfigurationMessage::Records(page));
             return;
         }
-        let lately = |sent| context.now.saturating_sub(sent) < CHECKPOINT_PAUSE;
-        if self.checkpoint_sent.is_some_and(lately) {
+        let is_recent = |sent| context.now.saturating_sub(sent) < MIN_CHECKPOINT_GAP;
+        if self.checkpoint_sent_at.is_some_and(is_recent) {
             return;
         }
-        self.checkpoint_sent = Some(context.now);
+        self.checkpoint_sent_at = Some(context.now);
         for part in checkpoint::parts(&self.fold) {
             let covered = self.duty.covered();
             let part = Box::new(part);
@@ -249,18 +259,18 @@
     }
 
     fn tick(&mut self, context: &mut Context<'_>) {
-        let log_out = self.reader.is_unavailable(context.now);
+        let log_unavailable = self.reader.is_unavailable(context.now);
         self.publishes.tick(context);
         self.peers
-            .tick(self.fold.next(), self.ready, log_out, context);
-        if self.ready && !log_out {
+            .tick(self.fold.next(), self.ready, log_unavailable, context);
+        if self.ready && !log_unavailable {
             self.duty.tick(&self.fold, self.peers.view(), context);
         }
     }
 
     /// Whether this node's folded state is the newest that the log or the other nodes are known to
     /// have. Evaluated until it holds once, since the state never goes back.
-    fn is_newest(&self, now: Duration) -> bool {
+    fn is_up_to_date(&self, now: Duration) -> bool {
         let known = self.fold.config().version > 0 && self.fold.next() >= self.peers.newest();
         let log = self.log_end.is_some_and(|end| self.fold.next() >= end);
         let peers = self.reader.is_unavailable(now) && self.peers.any_ready();
@@ -269,14 +279,14 @@
 
     /// Runs after every event: applies a new configuration, announces it, and starts the next read
     /// of the log.
-    fn settle(&mut self, context: &mut Context<'_>) {
-        self.ready = self.ready || self.is_newest(context.now);
+    fn finish_event(&mut self, context: &mut Context<'_>) {
+        self.ready = self.ready || self.is_up_to_date(context.now);
         if self.ready && self.fold.config().version > self.in_force.version {
             self.in_force = Arc::new(self.fold.config().clone());
             context.raise(Event::ConfigApplied(Arc::clone(&self.in_force)));
             self.peers.announce(self.fold.next(), self.ready, context);
         }
-        self.reach.tick(self.in_force.version, context);
+        self.rollouts.tick(self.in_force.version, context);
         if self.reader.poll(context.now) {
             let from = self.next_read();
             context.act(Action::ReadLog { from });
@@ -297,7 +307,7 @@
             Event::PeerMessage {
                 from,
                 message: Message::Configuration(message),
-            } => self.message(*from, message, context),
+            } => self.handle_message(*from, message, context),
             Event::MembersChanged(view) => self.peers.update_view(view),
             Event::PublishRequested { request, record } => {
                 self.publish(*request, record, context);
@@ -309,7 +319,7 @@
             Event::Tick => self.tick(context),
             _ => return,
         }
-        self.settle(context);
+        self.finish_event(context);
     }
 
     fn dump(&self) -> Value {
--- a/kernel/src/configuration/checkpoint.rs
+++ b/kernel/src/configuration/checkpoint.rs
@@ -13,7 +13,7 @@
 pub const PART_BYTES: usize = 48 * 1024;
 
 /// Maximum number of incomplete checkpoints; beyond it the one with the lowest offset is evicted.
-const OPEN_CHECKPOINTS: usize = 4;
+const MAX_OPEN_CHECKPOINTS: usize = 4;
 
 /// Size of a value encoded as JSON, in bytes.
 pub fn json_size(value: &impl Serialize) -> usize {
@@ -25,12 +25,12 @@
     let mut chunk = Vec::new();
     let mut size = 0;
     for item in items {
-        let more = json_size(&item);
-        if size + more > PART_BYTES && !chunk.is_empty() {
+        let item_size = json_size(&item);
+        if size + item_size > PART_BYTES && !chunk.is_empty() {
             chunks.push(std::mem::take(&mut chunk));
             size = 0;
         }
-        size += more;
+        size += item_size;
         chunk.push(item);
     }
     if !chunk.is_empty() {
@@ -44,7 +44,7 @@
     let list = fold.documents();
     let seen: Vec<FoldedChange> = fold.seen().cloned().collect();
     let whole = serde_json::to_vec(&(&list, &seen, fold.lease())).unwrap_or_default();
-    let blank = CheckpointRecord {
+    let template = CheckpointRecord {
         through: fold.next(),
         digest: xxh3_64(&whole),
         part: 0,
@@ -56,15 +56,15 @@
     };
     let mut parts = Vec::new();
     for documents in chunks(list.documents) {
-        let part = blank.clone();
+        let part = template.clone();
         parts.push(CheckpointRecord { documents, ..part });
     }
     for seen in chunks(seen) {
-        let part = blank.clone();
+        let part = template.clone();
         parts.push(CheckpointRecord { seen, ..part });
     }
     if parts.is_empty() {
-        parts.push(blank);
+        parts.push(template);
     }
     let count = parts.len() as u32;
     for (position, part) in parts.iter_mut().enumerate() {
@@ -83,15 +83,15 @@
 impl CheckpointAssembly {
     /// Adds a part; returns the state if the checkpoint is complete.
     pub fn take(&mut self, part: &CheckpointRecord) -> Option<ConfigFold> {
-        let name = (part.through, part.digest);
-        let parts = self.open.entry(name).or_default();
+        let key = (part.through, part.digest);
+        let parts = self.open.entry(key).or_default();
         parts.insert(part.part, part.clone());
-        let wanted = part.parts as usize;
-        if wanted > 0 && parts.len() == wanted {
-            let parts = self.open.remove(&name)?;
+        let expected = part.parts as usize;
+        if expected > 0 && parts.len() == expected {
+            let parts = self.open.remove(&key)?;
             return Some(join(&parts));
         }
-        while self.open.len() > OPEN_CHECKPOINTS {
+        while self.open.len() > MAX_OPEN_CHECKPOINTS {
             self.open.pop_first();
         }
         None
--- a/kernel/src/configuration/duty.rs
+++ b/kernel/src/configuration/duty.rs
@@ -17,14 +17,14 @@
 
 /// Minimum size of the changes since the last checkpoint, in bytes of JSON, before a new one is
 /// appended. A larger configuration raises the threshold to its own size.
-const LEAST_BYTES: usize = 64 * 1024;
+const MIN_CHANGED_BYTES: usize = 64 * 1024;
 
 /// Age at which a checkpoint is repeated, so that the log's retention never removes the last one.
 /// The log must retain records for at least twice this time.
-const REPEAT_AFTER: Duration = Duration::from_hours(6);
+const MAX_CHECKPOINT_AGE: Duration = Duration::from_hours(6);
 
 /// Timeout for reading back an appended checkpoint, after which it is appended again.
-const READ_BACK: Duration = Duration::from_secs(30);
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Additional delay per rank: each node waits this much longer than the one before it.
 const RANK_DELAY: Duration = Duration::from_secs(2);
@@ -47,13 +47,13 @@
 pub struct CheckpointDuty {
     covered: u64,
     covered_at: Duration,
-    bytes: usize,
+    changed_bytes: usize,
     state_bytes: usize,
     log_first: u64,
     due: Option<Duration>,
     parts: Vec<CheckpointRecord>,
     ticket: Option<AppendTicket>,
-    tickets: u64,
+    last_ticket: u64,
     failures: u32,
     not_before: Duration,
 }
@@ -66,7 +66,7 @@
 
     /// Records that a change of this size, in bytes of JSON, was folded.
     pub fn record_change(&mut self, bytes: usize) {
-        self.bytes += bytes;
+        self.changed_bytes += bytes;
     }
 
     /// Records that a complete checkpoint up to this offset was read from the log.
@@ -76,7 +76,7 @@
         }
         self.covered = through;
         self.covered_at = now;
-        self.bytes = 0;
+        self.changed_bytes = 0;
         self.due = None;
         self.parts.clear();
         self.ticket = None;
@@ -88,8 +88,8 @@
     }
 
     fn is_needed(&self, fold: &ConfigFold, now: Duration) -> bool {
-        let grown = self.bytes > LEAST_BYTES.max(self.state_bytes);
-        let old = now.saturating_sub(self.covered_at) > REPEAT_AFTER;
+        let grown = self.changed_bytes > MIN_CHANGED_BYTES.max(self.state_bytes);
+        let old = now.saturating_sub(self.covered_at) > MAX_CHECKPOINT_AGE;
         let lost = self.covered < self.log_first;
         fold.next() > self.covered && fold.config().version > 0 && (grown || old || lost)
     }
@@ -126,8 +126,8 @@
         let Some(part) = self.parts.last() else {
             return;
         };
-        self.tickets += 1;
-        let ticket = AppendTicket::new(AppendOwner::Checkpoint, self.tickets);
+        self.last_ticket += 1;
+        let ticket = AppendTicket::new(AppendOwner::Checkpoint, self.last_ticket);
         self.ticket = Some(ticket);
         let record = Record::Checkpoint(part.clone());
         context.act(Action::Append { ticket, record });
@@ -148,8 +148,8 @@
             self.failures = 0;
             self.parts.pop();
             if self.parts.is_empty() {
-                self.bytes = 0;
-                self.due = Some(context.now + READ_BACK);
+                self.changed_bytes = 0;
+                self.due = Some(context.now + READ_BACK_TIMEOUT);
             }
             self.append(context);
             return;
--- a/kernel/src/configuration/fold.rs
+++ b/kernel/src/configuration/fold.rs
@@ -16,10 +16,10 @@
 pub const RETAINED_CHANGES: usize = 1_024;
 
 /// Maximum number of refused and skipped records in the state dump.
-const SHOWN_REFUSALS: usize = 32;
+const MAX_REFUSALS: usize = 32;
 
 /// Maximum length of a change identifier, in bytes.
-const MAX_ID: usize = 64;
+const MAX_ID_BYTES: usize = 64;
 
 /// A record that had no effect.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -52,7 +52,7 @@
     config: Config,
     versions: BTreeMap<DocumentKey, u64>,
     results: BTreeMap<Box<str>, FoldedChange>,
-    seen: VecDeque<Box<str>>,
+    retained: VecDeque<Box<str>>,
     lease: Option<LeaseHead>,
     refused: VecDeque<RefusedRecord>,
 }
@@ -79,7 +79,7 @@
         }
         fold.config.version = version;
         for change in seen {
-            fold.remember(change.clone());
+            fold.retain_result(change.clone());
         }
         fold
     }
@@ -101,7 +101,7 @@
 
     /// The retained results of changes, oldest first.
     pub fn seen(&self) -> impl Iterator<Item = &FoldedChange> {
-        self.seen.iter().filter_map(|id| self.results.get(id))
+        self.retained.iter().filter_map(|id| self.results.get(id))
     }
 
     /// The result of a change; `None` if its record was not folded or its result is no longer
@@ -145,7 +145,7 @@
             Some(Record::Lease(lease)) => self.apply_lease(entry.offset, lease),
             Some(Record::Checkpoint(_)) => FoldOutcome::Unchanged,
             None => {
-                self.refuse(entry.offset, None, "its shape is unknown".into());
+                self.record_refusal(entry.offset, None, "its shape is unknown".into());
                 FoldOutcome::Unchanged
             }
         }
@@ -169,14 +169,14 @@
         let version = offset + 1;
         let refusal = self.replace(version, change);
         let step = if let Some(refusal) = &refusal {
-            self.refuse(offset, Some(&change.id), refusal.to_string());
+            self.record_refusal(offset, Some(&change.id), refusal.to_string());
             FoldOutcome::Refused(change.id.clone())
         } else {
             self.config.version = version;
             FoldOutcome::Changed(change.id.clone())
         };
-        if change.id.len() <= MAX_ID {
-            self.remember(FoldedChange {
+        if change.id.len() <= MAX_ID_BYTES {
+            self.retain_result(FoldedChange {
                 id: change.id.clone(),
                 offset,
                 result: refusal.unwrap_or(PublishResult::Accepted { version }),
@@ -188,7 +188,7 @@
     /// The refusal of a change that cannot be accepted whatever is folded before it: its shape is
     /// invalid, or it replaces a version older than the one in force. `None` if it may be accepted.
     pub fn preview(&self, change: &ChangeRecord) -> Option<PublishResult> {
-        if let Some(reason) = wrong_shape(change) {
+        if let Some(reason) = shape_error(change) {
             return Some(PublishResult::Invalid { reason });
         }
         self.conflict(change).filter(|conflict| {
@@ -209,7 +209,7 @@
     }
 
     fn replace(&mut self, version: u64, change: &ChangeRecord) -> Option<PublishResult> {
-        if let Some(reason) = wrong_shape(change) {
+        if let Some(reason) = shape_error(change) {
             return Some(PublishResult::Invalid { reason });
         }
         if let Some(conflict) = self.conflict(change) {
@@ -220,7 +220,7 @@
             .iter()
             .map(|one| self.set(version, one))
             .collect();
-        let reason = self.wrong_content(change)?;
+        let reason = self.content_error(change)?;
         for (one, old) in change.changes.iter().zip(before).rev() {
             let undo = DocumentChange {
                 key: one.key.clone(),
@@ -247,7 +247,7 @@
         before
     }
 
-    fn wrong_content(&self, change: &ChangeRecord) -> Option<Box<str>> {
+    fn content_error(&self, change: &ChangeRecord) -> Option<Box<str>> {
         let tokens = self.config.tokens.len() == self.config.workspaces.len();
         let addresses = self.config.addresses.len() == self.config.upstreams.len();
         if !tokens {
@@ -267,23 +267,23 @@
         })
     }
 
-    fn remember(&mut self, change: FoldedChange) {
-        self.seen.push_back(change.id.clone());
+    fn retain_result(&mut self, change: FoldedChange) {
+        self.retained.push_back(change.id.clone());
         self.results.insert(change.id.clone(), change);
-        while self.seen.len() > RETAINED_CHANGES {
-            if let Some(oldest) = self.seen.pop_front() {
+        while self.retained.len() > RETAINED_CHANGES {
+            if let Some(oldest) = self.retained.pop_front() {
                 self.results.remove(&oldest);
             }
         }
     }
 
-    fn refuse(&mut self, offset: u64, id: Option<&str>, reason: String) {
+    fn record_refusal(&mut self, offset: u64, id: Option<&str>, reason: String) {
         self.refused.push_back(RefusedRecord {
             offset,
-            id: id.map(|id| id.chars().take(MAX_ID).collect::<String>().into()),
+            id: id.map(|id| id.chars().take(MAX_ID_BYTES).collect::<String>().into()),
             reason: reason.into(),
         });
-        while self.refused.len() > SHOWN_REFUSALS {
+        while self.refused.len() > MAX_REFUSALS {
             self.refused.pop_front();
         }
     }
@@ -296,11 +296,11 @@
     format!("{key}: {}: {}", fault.path, fault.message).into()
 }
 
-fn wrong_shape(change: &ChangeRecord) -> Option<Box<str>> {
-    if change.id.is_empty() || change.id.len() > MAX_ID {
+fn shape_error(change: &ChangeRecord) -> Option<Box<str>> {
+    if change.id.is_empty() || change.id.len() > MAX_ID_BYTES {
         return Some(
             format!(
-                "the id has {} bytes; expected 1 to {MAX_ID}",
+                "the id has {} bytes; expected 1 to {MAX_ID_BYTES}",
                 change.id.len()
             )
             .into(),
--- a/kernel/src/configuration/peers.rs
+++ b/kernel/src/configuration/peers.rs
@@ -19,17 +19,17 @@
 use crate::plugin::Context;
 
 /// Time between two comparisons with another node.
-const COMPARE_EVERY: Duration = Duration::from_secs(4);
+const COMPARE_PERIOD: Duration = Duration::from_secs(4);
 
 /// Time to wait for the log to deliver records that another node is known to have, before
 /// requesting them from that node.
 const LOG_GRACE: Duration = Duration::from_millis(300);
 
 /// Time without an answer after which another node is asked.
-const ANSWER_WAIT: Duration = Duration::from_secs(1);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Number of nodes that a starting node asks in one round.
-const FIRST_ASKED: usize = 5;
+const INITIAL_PEERS: usize = 5;
 
 /// Last advertised state of another node.
 #[derive(Clone, Copy, Debug)]
@@ -42,10 +42,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct PeerExchange {
     view: Arc<MemberView>,
-    told: BTreeMap<NodeId, PeerOffset>,
+    offsets: BTreeMap<NodeId, PeerOffset>,
     compare_at: Option<Duration>,
     behind_since: Option<Duration>,
-    wanted: Option<(NodeId, Duration)>,
+    pending_request: Option<(NodeId, Duration)>,
     asked: BTreeSet<NodeId>,
     asked_at: Option<Duration>,
     last_asked: Option<Duration>,
@@ -86,7 +86,7 @@
         };
         let live: BTreeSet<NodeId> = live_nodes(view).collect();
         let stays = |node: &NodeId| live.contains(node) && run(view, node) == run(&self.view, node);
-        self.told.retain(|node, _| stays(node));
+        self.offsets.retain(|node, _| stays(node));
         self.asked.retain(stays);
         self.view = Arc::clone(view);
     }
@@ -98,16 +98,19 @@
 
     /// Records the offset that another node advertises.
     pub fn record_offset(&mut self, from: NodeId, next: u64, ready: bool) {
-        let told = self.told.entry(from).or_insert(PeerOffset { next, ready });
-        told.next = told.next.max(next);
-        told.ready |= ready;
+        let known = self
+            .offsets
+            .entry(from)
+            .or_insert(PeerOffset { next, ready });
+        known.next = known.next.max(next);
+        known.ready |= ready;
     }
 
     /// The highest offset that a live node advertises; 0 if there is none.
     pub fn newest(&self) -> u64 {
-        self.told
+        self.offsets
             .values()
-            .map(|told| told.next)
+            .map(|known| known.next)
             .max()
             .unwrap_or_default()
     }
@@ -119,43 +122,52 @@
         };
         let alone = self.view.members.len() == 1;
         let asked = alone || !self.asked.is_empty();
-        let all = self.asked.iter().all(|node| self.told.contains_key(node));
-        (asked && all) || now.saturating_sub(asked_at) > ANSWER_WAIT * 2
+        let all = self
+            .asked
+            .iter()
+            .all(|node| self.offsets.contains_key(node));
+        (asked && all) || now.saturating_sub(asked_at) > ANSWER_TIMEOUT * 2
     }
 
     /// Whether some node has advertised that it accepts calls.
     pub fn any_ready(&self) -> bool {
-        self.told.values().any(|told| told.ready)
+        self.offsets.values().any(|known| known.ready)
     }
 
     /// Announces a new offset to the neighbours that are not known to have it.
     pub fn announce(&self, next: u64, ready: bool, context: &mut Context<'_>) {
-        let lacks = |node: &NodeId| self.told.get(node).is_none_or(|told| told.next < next);
-        let near = neighbours(&self.view, context.profile.node);
-        for node in near.into_iter().filter(lacks) {
+        let lacks = |node: &NodeId| self.offsets.get(node).is_none_or(|known| known.next < next);
+        let neighbours = neighbours(&self.view, context.profile.node);
+        for node in neighbours.into_iter().filter(lacks) {
             context.send(node, ConfigurationMessage::Have { next, ready });
         }
     }
 
     /// Records that requested data arrived.
     pub fn received(&mut self) {
-        self.wanted = None;
+        self.pending_request = None;
     }
 
     /// Sends what is due: the questions of a starting node, the periodic comparison, and requests
     /// for missing records.
-    pub fn tick(&mut self, next: u64, ready: bool, log_out: bool, context: &mut Context<'_>) {
+    pub fn tick(
+        &mut self,
+        next: u64,
+        ready: bool,
+        log_unavailable: bool,
+        context: &mut Context<'_>,
+    ) {
         if !ready {
-            self.ask_first(next, context);
+            self.ask_initial_peers(next, context);
         }
         self.compare(next, ready, context);
-        self.request_missing(next, !ready || log_out, context);
+        self.request_missing(next, !ready || log_unavailable, context);
     }
 
-    fn ask_first(&mut self, next: u64, context: &mut Context<'_>) {
+    fn ask_initial_peers(&mut self, next: u64, context: &mut Context<'_>) {
         self.asked_at.get_or_insert(context.now);
-        let waited = |since| context.now.saturating_sub(since) > ANSWER_WAIT;
-        let unanswered = |node: &NodeId| !self.told.contains_key(node);
+        let waited = |since| context.now.saturating_sub(since) > ANSWER_TIMEOUT;
+        let unanswered = |node: &NodeId| !self.offsets.contains_key(node);
         let missing = self.asked.is_empty() || self.asked.iter().any(unanswered);
         if !missing || !self.last_asked.is_none_or(waited) {
             return;
@@ -166,7 +178,7 @@
             return;
         }
         self.last_asked = Some(context.now);
-        for _ in 0..FIRST_ASKED.min(others.len()) {
+        for _ in 0..INITIAL_PEERS.min(others.len()) {
             let node = others.swap_remove(context.random.random_range(0..others.len()));
             self.asked.insert(node);
             context.send(node, ConfigurationMessage::Ask { next, ready: false });
@@ -177,12 +189,12 @@
         let jitter = context.random.random_range(0.5..1.5);
         let due = self
             .compare_at
-            .get_or_insert(context.now + COMPARE_EVERY.mul_f64(jitter));
+            .get_or_insert(context.now + COMPARE_PERIOD.mul_f64(jitter));
         if context.now < *due {
             return;
         }
-        self.compare_at = Some(context.now + COMPARE_EVERY.mul_f64(jitter));
-        let Some(node) = self.partner(context) else {
+        self.compare_at = Some(context.now + COMPARE_PERIOD.mul_f64(jitter));
+        let Some(node) = self.comparison_peer(context) else {
             return;
         };
         context.send(node, ConfigurationMessage::Ask { next, ready });
@@ -190,11 +202,11 @@
 
     /// Selects the node to compare with: three times out of four a neighbour, because the link to
     /// it exists already, otherwise any node.
-    fn partner(&self, context: &mut Context<'_>) -> Option<NodeId> {
+    fn comparison_peer(&self, context: &mut Context<'_>) -> Option<NodeId> {
         let own = context.profile.node;
-        let near = neighbours(&self.view, own);
-        if !near.is_empty() && context.random.random_range(0..4) > 0 {
-            return Some(near[context.random.random_range(0..near.len())]);
+        let neighbours = neighbours(&self.view, own);
+        if !neighbours.is_empty() && context.random.random_range(0..4) > 0 {
+            return Some(neighbours[context.random.random_range(0..neighbours.len())]);
         }
         let others: Vec<NodeId> = live_nodes(&self.view).filter(|node| *node != own).collect();
         if others.is_empty() {
@@ -207,9 +219,9 @@
     /// the log gets some time to deliver them first.
     pub fn request_missing(&mut self, next: u64, at_once: bool, context: &mut Context<'_>) {
         let ahead: Vec<NodeId> = self
-            .told
+            .offsets
             .iter()
-            .filter(|(_, told)| told.next > next)
+            .filter(|(_, known)| known.next > next)
             .map(|(node, _)| *node)
             .collect();
         if ahead.is_empty() {
@@ -217,15 +229,15 @@
             return;
         }
         let since = *self.behind_since.get_or_insert(context.now);
-        let patient = !at_once && context.now.saturating_sub(since) < LOG_GRACE;
-        let answering = self
-            .wanted
-            .is_some_and(|(_, since)| context.now.saturating_sub(since) < ANSWER_WAIT);
-        if patient || answering {
+        let wait_for_log = !at_once && context.now.saturating_sub(since) < LOG_GRACE;
+        let request_pending = self
+            .pending_request
+            .is_some_and(|(_, since)| context.now.saturating_sub(since) < ANSWER_TIMEOUT);
+        if wait_for_log || request_pending {
             return;
         }
         let node = ahead[context.random.random_range(0..ahead.len())];
-        self.wanted = Some((node, context.now));
+        self.pending_request = Some((node, context.now));
         context.send(node, ConfigurationMessage::Want { from: next });
     }
 }
--- a/kernel/src/configuration/publish.rs
+++ b/kernel/src/configuration/publish.rs
@@ -14,13 +14,13 @@
 use crate::record::{AppendOwner, AppendResult, AppendTicket, ChangeRecord, PublishResult, Record};
 
 /// Maximum number of open changes; further ones are answered as unavailable.
-const MAX_OPEN: usize = 256;
+const MAX_OPEN_CHANGES: usize = 256;
 
 /// Time after which an open change is abandoned and answered as unavailable.
-const PATIENCE: Duration = Duration::from_secs(10);
+const PUBLISH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Timeout for reading back an appended record, after which it is appended again.
-const READ_BACK: Duration = Duration::from_secs(3);
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Identifies a request of the process to its kernel until it is answered.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -41,16 +41,16 @@
     requests: Vec<RequestTicket>,
     record: ChangeRecord,
     ticket: Option<AppendTicket>,
-    tries: u32,
-    next_try: Duration,
-    give_up: Duration,
+    attempts: u32,
+    next_attempt: Duration,
+    expires: Duration,
 }
 
 /// Open changes by identifier.
 #[derive(Clone, Debug, Default)]
 pub struct PublishTracker {
     open: BTreeMap<Box<str>, OpenChange>,
-    tickets: u64,
+    last_ticket: u64,
 }
 
 fn answer(request: RequestTicket, id: &str, result: &PublishResult, context: &mut Context<'_>) {
@@ -79,7 +79,7 @@
             .result(&record.id)
             .cloned()
             .or_else(|| fold.preview(record));
-        let full = (self.open.len() >= MAX_OPEN).then_some(PublishResult::Unavailable);
+        let full = (self.open.len() >= MAX_OPEN_CHANGES).then_some(PublishResult::Unavailable);
         if let Some(result) = known.or(full) {
             answer(request, &record.id, &result, context);
             return Some(result);
@@ -88,9 +88,9 @@
             requests: vec![request],
             record: record.clone(),
             ticket: None,
-            tries: 0,
-            next_try: context.now,
-            give_up: context.now + PATIENCE,
+            attempts: 0,
+            next_attempt: context.now,
+            expires: context.now + PUBLISH_TIMEOUT,
         };
         self.open.insert(record.id.clone(), open);
         self.tick(context);
@@ -112,10 +112,10 @@
         else {
             return;
         };
-        open.next_try = match result {
-            AppendResult::Appended { .. } => context.now + READ_BACK,
-            AppendResult::Refused => context.now + backoff(open.tries, context.random),
-            AppendResult::Unknown => context.now + backoff(open.tries, context.random) * 2,
+        open.next_attempt = match result {
+            AppendResult::Appended { .. } => context.now + READ_BACK_TIMEOUT,
+            AppendResult::Refused => context.now + backoff(open.attempts, context.random),
+            AppendResult::Unknown => context.now + backoff(open.attempts, context.random) * 2,
         };
     }
 
@@ -140,17 +140,21 @@
     /// Appends the records that are due, and abandons changes that timed out.
     pub fn tick(&mut self, context: &mut Context<'_>) {
         let now = context.now;
-        for (id, open) in self.open.extract_if(.., |_, open| now >= open.give_up) {
+        for (id, open) in self.open.extract_if(.., |_, open| now >= open.expires) {
             for request in open.requests {
                 answer(request, &id, &PublishResult::Unavailable, context);
             }
         }
-        for open in self.open.values_mut().filter(|open| now >= open.next_try) {
-            self.tickets += 1;
-            let ticket = AppendTicket::new(AppendOwner::Publish, self.tickets);
+        for open in self
+            .open
+            .values_mut()
+            .filter(|open| now >= open.next_attempt)
+        {
+            self.last_ticket += 1;
+            let ticket = AppendTicket::new(AppendOwner::Publish, self.last_ticket);
             open.ticket = Some(ticket);
-            open.tries += 1;
-            open.next_try = now + READ_BACK;
+            open.attempts += 1;
+            open.next_attempt = now + READ_BACK_TIMEOUT;
             let record = Record::Change(open.record.clone());
             context.act(Action::Append { ticket, record });
         }
--- a/kernel/src/configuration/rollout.rs
+++ b/kernel/src/configuration/rollout.rs
@@ -15,10 +15,10 @@
 use crate::plugin::Context;
 
 /// Time after which a count ends even if it is incomplete.
-const COUNT_FOR: Duration = Duration::from_secs(30);
+const COUNT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Time between two requests to nodes that have not reached the version.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
+const REQUEST_PERIOD: Duration = Duration::from_secs(1);
 
 /// Maximum number of counts that a node takes part in at a time.
 const MAX_COUNTS: usize = 64;
@@ -55,8 +55,8 @@
     asked: BTreeMap<NodeId, Vec<NodeId>>,
     reached: BTreeMap<NodeId, u32>,
     of: u32,
-    told: Option<u32>,
-    ask_at: Duration,
+    reported: Option<u32>,
+    next_request: Duration,
     expires: Duration,
 }
 
@@ -67,7 +67,7 @@
     sequence: u64,
 }
 
-fn by_zone(view: &MemberView, own: NodeId) -> BTreeMap<NodeId, Vec<NodeId>> {
+fn nodes_by_zone(view: &MemberView, own: NodeId) -> BTreeMap<NodeId, Vec<NodeId>> {
     let mut zones: BTreeMap<ZoneId, Vec<NodeId>> = BTreeMap::new();
     for node in live_nodes(view).filter(|node| *node != own) {
         zones
@@ -98,7 +98,7 @@
             node: context.profile.node,
             sequence: self.sequence,
         };
-        let asked = by_zone(view, context.profile.node);
+        let asked = nodes_by_zone(view, context.profile.node);
         let of = asked
             .values()
             .map(|nodes| nodes.len() as u32 + 1)
@@ -124,7 +124,7 @@
         context: &mut Context<'_>,
     ) {
         if let Some(count) = self.counts.get_mut(&id) {
-            count.told = None;
+            count.reported = None;
             return;
         }
         let asked: BTreeMap<NodeId, Vec<NodeId>> =
@@ -151,9 +151,9 @@
             asked,
             reached: BTreeMap::new(),
             of,
-            told: None,
-            ask_at: Duration::ZERO,
-            expires: context.now + COUNT_FOR,
+            reported: None,
+            next_request: Duration::ZERO,
+            expires: context.now + COUNT_TIMEOUT,
         };
         self.counts.insert(id, count);
     }
@@ -174,10 +174,10 @@
     pub fn tick(&mut self, version: u64, context: &mut Context<'_>) {
         let mut done = BTreeSet::new();
         for (id, count) in &mut self.counts {
-            count.ask(*id, context);
+            count.send_requests(*id, context);
             let own = u32::from(version >= count.version);
             let reached = own + count.reached.values().sum::<u32>();
-            count.tell(*id, reached, context);
+            count.report(*id, reached, context);
             if reached >= count.of || context.now >= count.expires {
                 done.insert(*id);
             }
@@ -187,14 +187,14 @@
 }
 
 impl NodeCount {
-    fn ask(&mut self, id: CountId, context: &mut Context<'_>) {
-        if context.now < self.ask_at {
+    fn send_requests(&mut self, id: CountId, context: &mut Context<'_>) {
+        if context.now < self.next_request {
             return;
         }
-        if self.ask_at > Duration::ZERO {
-            self.replace_silent();
+        if self.next_request > Duration::ZERO {
+            self.replace_unresponsive();
         }
-        self.ask_at = context.now + ASK_AGAIN;
+        self.next_request = context.now + REQUEST_PERIOD;
         for (node, nodes) in &self.asked {
             let counted = self.reached.get(node).copied().unwrap_or_default();
             if counted <= nodes.len() as u32 {
@@ -209,14 +209,14 @@
     }
 
     /// Replaces each asked node that has not answered at all by another one of its zone.
-    fn replace_silent(&mut self) {
-        let silent: Vec<NodeId> = self
+    fn replace_unresponsive(&mut self) {
+        let unresponsive: Vec<NodeId> = self
             .asked
             .iter()
             .filter(|(node, nodes)| !nodes.is_empty() && !self.reached.contains_key(node))
             .map(|(node, _)| *node)
             .collect();
-        for node in silent {
+        for node in unresponsive {
             let Some(mut nodes) = self.asked.remove(&node) else {
                 continue;
             };
@@ -226,12 +226,12 @@
         }
     }
 
-    fn tell(&mut self, id: CountId, reached: u32, context: &mut Context<'_>) {
-        let news = self.told != Some(reached) && (reached > 0 || self.told.is_some());
-        if !news {
+    fn report(&mut self, id: CountId, reached: u32, context: &mut Context<'_>) {
+        let changed = self.reported != Some(reached) && (reached > 0 || self.reported.is_some());
+        if !changed {
             return;
         }
-        self.told = Some(reached);
+        self.reported = Some(reached);
         match self.parent {
             CountParent::Request(request) => context.act(Action::PublishProgressed {
                 request,
--- a/kernel/src/configuration/tail.rs
+++ b/kernel/src/configuration/tail.rs
@@ -6,13 +6,13 @@
 use crate::record::LogRecord;
 
 /// Maximum number of folded records retained for other nodes.
-const KEPT_RECORDS: usize = 4_096;
+const MAX_TAIL_RECORDS: usize = 4_096;
 
 /// Maximum total size of the folded records retained for other nodes, in bytes of JSON.
-const KEPT_BYTES: usize = 2 * 1024 * 1024;
+const MAX_TAIL_BYTES: usize = 2 * 1024 * 1024;
 
 /// Maximum number of early records in the buffer.
-const EARLY_RECORDS: usize = 8_192;
+const MAX_EARLY_RECORDS: usize = 8_192;
 
 /// The last folded records, without gaps.
 #[derive(Clone, Debug, Default)]
@@ -27,7 +27,7 @@
         let size = json_size(&entry);
         self.bytes += size;
         self.records.push_back((entry, size));
-        while self.records.len() > KEPT_RECORDS || self.bytes > KEPT_BYTES {
+        while self.records.len() > MAX_TAIL_RECORDS || self.bytes > MAX_TAIL_BYTES {
             let Some((_, size)) = self.records.pop_front() else {
                 break;
             };
@@ -77,9 +77,9 @@
 
 impl ReorderBuffer {
     /// Inserts a record. If the buffer is full, evicts the record with the lowest offset.
-    pub fn keep(&mut self, entry: LogRecord) {
+    pub fn insert(&mut self, entry: LogRecord) {
         self.records.insert(entry.offset, entry);
-        if self.records.len() > EARLY_RECORDS {
+        if self.records.len() > MAX_EARLY_RECORDS {
             self.records.pop_first();
         }
     }
--- a/kernel/src/kernel.rs
+++ b/kernel/src/kernel.rs
@@ -32,10 +32,10 @@
     }
 
     /// Creates a kernel with the registered plug-ins whose names `chosen` accepts.
-    pub fn with_plugins(profile: NodeProfile, chosen: impl Fn(&str) -> bool) -> Self {
+    pub fn with_plugins(profile: NodeProfile, selected: impl Fn(&str) -> bool) -> Self {
         let mut registrations: Vec<&Registration> = inventory::iter::<Registration>
             .into_iter()
-            .filter(|registration| chosen(registration.name))
+            .filter(|registration| selected(registration.name))
             .collect();
         registrations.sort_by_key(|registration| (registration.order, registration.name));
         let slots = registrations
@@ -75,7 +75,7 @@
         };
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
-            actions.extend(snapshot(&event));
+            actions.extend(publication(&event));
             for slot in &mut self.slots {
                 let mut context = Context {
                     now,
@@ -117,7 +117,7 @@
 
 /// The action that publishes state to the process around the kernel, if the event changes state
 /// that the edges read.
-fn snapshot(event: &Event) -> Option<Action> {
+fn publication(event: &Event) -> Option<Action> {
     match event {
         Event::ConfigApplied(config) => Some(Action::UseConfig(Arc::clone(config))),
         Event::MembersChanged(view) => Some(Action::UseMembers(Arc::clone(view))),
--- a/kernel/src/leaving.rs
+++ b/kernel/src/leaving.rs
@@ -23,47 +23,49 @@
 /// State of this node's planned shutdown.
 #[derive(Debug, Default)]
 pub struct NodeDrain {
-    listed: bool,
-    first_list: Option<Duration>,
-    flag_since_start: bool,
+    listed_leaving: bool,
+    first_list_at: Option<Duration>,
+    leaving_since_first_list: bool,
     leaving_since: Option<Duration>,
     open_work: usize,
     exited: bool,
 }
 
 impl NodeDrain {
-    fn begin(&mut self, context: &mut Context<'_>) {
+    fn begin_leaving(&mut self, context: &mut Context<'_>) {
         if self.leaving_since.is_none() {
             self.leaving_since = Some(context.now);
             context.raise(Event::NodeLeaving);
         }
     }
 
-    fn list(&mut self, hosts: &[HostEntry], context: &mut Context<'_>) {
+    fn apply_host_list(&mut self, hosts: &[HostEntry], context: &mut Context<'_>) {
         let name = &context.profile.name;
         let own = hosts
             .iter()
             .find(|host| host.role == HostRole::Node && host.name == *name);
         let leaving = own.is_some_and(|host| host.leaving);
-        let first = self.first_list.is_none();
-        self.first_list.get_or_insert(context.now);
-        self.flag_since_start = leaving && (first || self.flag_since_start);
-        self.listed = leaving;
+        let first = self.first_list_at.is_none();
+        self.first_list_at.get_or_insert(context.now);
+        self.leaving_since_first_list = leaving && (first || self.leaving_since_first_list);
+        self.listed_leaving = leaving;
     }
 
     fn tick(&mut self, context: &mut Context<'_>) {
         self.open_work = context.open_work;
-        let listed_for = self
-            .first_list
+        let since_first_list = self
+            .first_list_at
             .map_or(Duration::ZERO, |first| context.now.saturating_sub(first));
-        if self.listed && (!self.flag_since_start || listed_for >= STALE_LEAVING_TIME) {
-            self.begin(context);
+        if self.listed_leaving
+            && (!self.leaving_since_first_list || since_first_list >= STALE_LEAVING_TIME)
+        {
+            self.begin_leaving(context);
         }
         let Some(since) = self.leaving_since else {
             return;
         };
-        let lingered = context.now >= since + DRAIN_GRACE;
-        if lingered && self.open_work == 0 && !self.exited {
+        let grace_elapsed = context.now >= since + DRAIN_GRACE;
+        if grace_elapsed && self.open_work == 0 && !self.exited {
             self.exited = true;
             context.act(Action::Exit);
         }
@@ -73,8 +75,8 @@
 impl Plugin for NodeDrain {
     fn handle(&mut self, event: &Event, context: &mut Context<'_>) {
         match event {
-            Event::DrainNode => self.begin(context),
-            Event::HostList(hosts) => self.list(hosts, context),
+            Event::DrainNode => self.begin_leaving(context),
+            Event::HostList(hosts) => self.apply_host_list(hosts, context),
             Event::Tick => self.tick(context),
             _ => {}
         }
--- a/kernel/src/membership.rs
+++ b/kernel/src/membership.rs
@@ -165,27 +165,27 @@
     }
 
     fn receive(&mut self, from: NodeId, message: &MembershipMessage, context: &mut Context<'_>) {
-        self.hear(from, context.now);
+        self.record_contact(from, context.now);
         match message {
-            MembershipMessage::Ping(sequence, digest, news) => {
-                self.answer_ping(from, *sequence, news, context);
+            MembershipMessage::Ping(sequence, digest, updates) => {
+                self.answer_ping(from, *sequence, updates, context);
                 self.compare(from, *digest, context);
             }
-            MembershipMessage::Ack(sequence, digest, news) => {
-                self.merge(from, news, context);
-                self.take_ack(*sequence, from, context);
+            MembershipMessage::Ack(sequence, digest, updates) => {
+                self.merge(from, updates, context);
+                self.handle_ack(*sequence, from, context);
                 self.compare(from, *digest, context);
             }
             MembershipMessage::ProbeFor(sequence, target) => {
-                self.probe_for(from, *sequence, *target, context);
+                self.probe_on_behalf(from, *sequence, *target, context);
             }
             MembershipMessage::Reached(sequence) => {
-                self.take_reached(*sequence, context.now);
+                self.handle_reached(*sequence, context.now);
             }
-            MembershipMessage::Updates(news) => self.take_news(from, news, context),
+            MembershipMessage::Updates(updates) => self.handle_updates(from, updates, context),
             MembershipMessage::Compare(pairs) => self.answer_compare(from, pairs, context),
             MembershipMessage::Bridge(answer, digest, beats) => {
-                self.take_bridge(from, *answer, beats, context);
+                self.handle_bridge(from, *answer, beats, context);
                 self.compare(from, *digest, context);
             }
         }
@@ -194,7 +194,7 @@
     /// Records that a message of this node arrived. It proves that the path from the sender works,
     /// so any local suspicion of the sender is cleared; contact with a node of the group also shows
     /// that this node is not isolated.
-    fn hear(&mut self, from: NodeId, now: Duration) {
+    fn record_contact(&mut self, from: NodeId, now: Duration) {
         if self.group.ring.binary_search(&from).is_ok() || self.group.dead.contains(&from) {
             self.prober.record_contact(now);
         }
@@ -212,14 +212,14 @@
         self.tick_repair(context);
         self.tick_probes(context);
         self.tick_zones(context);
-        self.tick_news(context);
+        self.send_updates(context);
     }
 
     /// Whether to publish a new view now. Changes that messages cause in quick succession are
     /// batched; a tick publishes the remainder.
-    fn is_publishable(&self, event: &Event, now: Duration) -> bool {
-        let rest = matches!(event, Event::PeerMessage { .. });
-        self.dirty && (!rest || now >= self.published + PUBLISH_GAP)
+    fn should_publish(&self, event: &Event, now: Duration) -> bool {
+        let from_peer = matches!(event, Event::PeerMessage { .. });
+        self.dirty && (!from_peer || now >= self.published + PUBLISH_GAP)
     }
 
     fn publish(&mut self, context: &mut Context<'_>) {
@@ -253,7 +253,7 @@
 impl Plugin for MembershipTable {
     fn handle(&mut self, event: &Event, context: &mut Context<'_>) {
         match event {
-            Event::HostList(hosts) => self.list(hosts, context),
+            Event::HostList(hosts) => self.apply_host_list(hosts, context),
             Event::Tick => self.tick(context),
             Event::PeerMessage {
                 from,
@@ -261,7 +261,7 @@
             } => self.receive(*from, message, context),
             Event::LinkDown(node) => self.link_down(*node, context),
             Event::LinkUp(node) => self.link_up(*node),
-            Event::NodeLeaving => self.leave(context.now),
+            Event::NodeLeaving => self.announce_leaving(context.now),
             Event::DrainUpstream(upstream) => self.drain_upstream(*upstream, context),
             Event::UpstreamReported { upstream, report } => {
                 self.apply_report(*upstream, report.leaving, context);
@@ -269,7 +269,7 @@
             Event::UpstreamLeaveAnnounced(upstream) => self.apply_report(*upstream, true, context),
             _ => return,
         }
-        if self.is_publishable(event, context.now) {
+        if self.should_publish(event, context.now) {
             self.publish(context);
         }
     }
--- a/kernel/src/membership/gossip.rs
+++ b/kernel/src/membership/gossip.rs
@@ -14,11 +14,11 @@
 
 /// Time that a bridge other than the first waits for the first one to send updates from another
 /// zone to its own zone.
-const SECOND_BRIDGE_WAIT: Duration = Duration::from_millis(300);
+const BACKUP_BRIDGE_DELAY: Duration = Duration::from_millis(300);
 
 /// Number of bridges per zone that propagate its updates at once; the others take part in repairs
 /// only.
-const TELLING_BRIDGES: usize = 2;
+const PROPAGATING_BRIDGES: usize = 2;
 
 impl MembershipTable {
     /// The updates with these keys, with their current content.
@@ -41,24 +41,24 @@
 
     /// Updates to piggyback on a probe of `peer`. A suspicion of the peer itself is always
     /// included, so that the peer can refute it.
-    pub(super) fn riding_news(&mut self, peer: NodeId) -> UpdateBatch {
+    pub(super) fn piggyback_updates(&mut self, peer: NodeId) -> UpdateBatch {
         let mut keys = self.outbox.take_piggyback();
-        let doubted = self
+        let suspected = self
             .rows
             .get(peer)
             .is_some_and(|row| row.record.health != NodeHealth::Live);
-        if doubted && !keys.contains(&UpdateKey::Node(peer)) {
+        if suspected && !keys.contains(&UpdateKey::Node(peer)) {
             keys.push(UpdateKey::Node(peer));
         }
         self.batch(&keys)
     }
 
     /// Sends queued updates as far as the rate limit permits.
-    pub(super) fn tick_news(&mut self, context: &mut Context<'_>) {
+    pub(super) fn send_updates(&mut self, context: &mut Context<'_>) {
         let keys = self.outbox.take_group(self.group.ring.len(), context.now);
         if !keys.is_empty() {
             let receivers = self.group.ring.clone();
-            self.tell(&receivers, &keys, context);
+            self.send_to(&receivers, &keys, context);
         }
         if !self.group.zoned {
             return;
@@ -66,24 +66,24 @@
         let receivers = self.group.counterparts(context.profile.zone);
         let keys = self.outbox.take_other_zones(receivers.len(), context.now);
         if !keys.is_empty() {
-            self.tell(&receivers, &keys, context);
+            self.send_to(&receivers, &keys, context);
         }
     }
 
-    fn tell(&self, receivers: &[NodeId], keys: &[UpdateKey], context: &mut Context<'_>) {
+    fn send_to(&self, receivers: &[NodeId], keys: &[UpdateKey], context: &mut Context<'_>) {
         let batch = self.batch(keys);
         for receiver in receivers {
             context.send(*receiver, MembershipMessage::Updates(batch.clone()));
         }
     }
 
-    /// Queues the changed record of a node. `here` is set if the change was detected here or came
-    /// from another zone, so that this node sends it to its group.
-    pub(super) fn note_change(
+    /// Queues the changed record of a node. `detected_here` is set if the change was detected here
+    /// or came from another zone, so that this node sends it to its group.
+    pub(super) fn queue_change(
         &mut self,
         node: NodeId,
         before: &NodeRecord,
-        here: bool,
+        detected_here: bool,
         now: Duration,
     ) {
         self.dirty = true;
@@ -91,43 +91,45 @@
             return;
         };
         let own = !self.group.zoned || row.zone == self.zone;
-        let notable = before.is_fleet_wide() || row.record.is_fleet_wide();
+        let fleet_wide = before.is_fleet_wide() || row.record.is_fleet_wide();
         let audience = UpdateAudience {
-            group: here && (own || notable),
-            other_zones: own && notable && self.tells_world(),
+            group: detected_here && (own || fleet_wide),
+            other_zones: own && fleet_wide && self.propagates_to_zones(),
         };
-        if own || notable {
-            let after = if own { now } else { self.telling_time(now) };
+        if own || fleet_wide {
+            let after = if own { now } else { self.group_send_time(now) };
             self.outbox.add(UpdateKey::Node(node), audience, after);
         }
-        self.forget_if_gone(node);
+        self.remove_if_gone(node);
     }
 
     /// When this node sends an update from another zone to its group.
-    fn telling_time(&self, now: Duration) -> Duration {
+    fn group_send_time(&self, now: Duration) -> Duration {
         match self.group.rank {
             None | Some(0) => now,
-            Some(_) => now + SECOND_BRIDGE_WAIT,
+            Some(_) => now + BACKUP_BRIDGE_DELAY,
         }
     }
 
-    fn tells_world(&self) -> bool {
-        self.group.rank.is_some_and(|rank| rank < TELLING_BRIDGES)
+    fn propagates_to_zones(&self) -> bool {
+        self.group
+            .rank
+            .is_some_and(|rank| rank < PROPAGATING_BRIDGES)
     }
 
-    fn is_outside(&self, from: NodeId) -> bool {
+    fn is_in_other_group(&self, from: NodeId) -> bool {
         self.group.zoned && self.rows.get(from).is_none_or(|row| row.zone != self.zone)
     }
 
     /// Merges updates that arrived outside a probe. Each node newly suspected by them is pinged at
     /// once, so that it learns of the suspicion by more than one path.
-    pub(super) fn take_news(
+    pub(super) fn handle_updates(
         &mut self,
         from: NodeId,
-        news: &UpdateBatch,
+        updates: &UpdateBatch,
         context: &mut Context<'_>,
     ) {
-        let suspects = self.merge(from, news, context);
+        let suspects = self.merge(from, updates, context);
         for suspect in suspects {
             self.ping(suspect, context);
         }
@@ -137,13 +139,13 @@
     pub(super) fn merge(
         &mut self,
         from: NodeId,
-        news: &UpdateBatch,
+        updates: &UpdateBatch,
         context: &mut Context<'_>,
     ) -> Vec<NodeId> {
         let mut suspects = Vec::new();
-        for node_news in &news.0 {
-            let node = node_news.0;
-            let Some(record) = node_news.record() else {
+        for node_update in &updates.0 {
+            let node = node_update.0;
+            let Some(record) = node_update.record() else {
                 continue;
             };
             if node == self.node {
@@ -152,29 +154,29 @@
                 suspects.push(node);
             }
         }
-        self.merge_marks(from, news, context);
+        self.merge_marks(from, updates, context);
         suspects
     }
 
     /// Refutes a record of this node that is newer than its own, by raising its epoch above it.
-    fn refute(&mut self, told: &NodeRecord, now: Duration) {
+    fn refute(&mut self, received: &NodeRecord, now: Duration) {
         let Some(row) = self.rows.get(self.node) else {
             return;
         };
-        if !told.supersedes(&row.record) {
+        if !received.supersedes(&row.record) {
             return;
         }
         let record = NodeRecord {
-            epoch: told.epoch.saturating_add(1),
+            epoch: received.epoch.saturating_add(1),
             ..row.record
         };
         let before = row.record;
         self.rows.set_record(self.node, record);
-        self.note_change(self.node, &before, true, now);
+        self.queue_change(self.node, &before, true, now);
     }
 
     /// Announces that this node is leaving. Irrevocable for this run.
-    pub(super) fn leave(&mut self, now: Duration) {
+    pub(super) fn announce_leaving(&mut self, now: Duration) {
         let Some(row) = self.rows.get(self.node) else {
             return;
         };
@@ -188,7 +190,7 @@
         };
         let before = row.record;
         self.rows.set_record(self.node, record);
-        self.note_change(self.node, &before, true, now);
+        self.queue_change(self.node, &before, true, now);
     }
 
     fn merge_node(
@@ -198,20 +200,20 @@
         mut record: NodeRecord,
         context: &mut Context<'_>,
     ) -> bool {
-        let outside = self.is_outside(from);
-        let distant = self.is_outside(node);
+        let from_other_group = self.is_in_other_group(from);
+        let in_other_group = self.is_in_other_group(node);
         let Some(row) = self.rows.get_mut(node) else {
             return false;
         };
         let known = row.record;
-        if distant && record.health == NodeHealth::Suspect {
+        if in_other_group && record.health == NodeHealth::Suspect {
             record.health = NodeHealth::Live;
         }
         if !record.supersedes(&known) {
             if from == node && known.supersedes(&record) {
-                self.correct(node, context);
+                self.send_correction(node, context);
             }
-            if !outside && known == record {
+            if !from_other_group && known == record {
                 self.outbox.mark_group_informed(UpdateKey::Node(node));
             }
             return false;
@@ -233,64 +235,64 @@
             self.prober.clear_suspicion(node);
         }
         self.repair.record_update(context.now);
-        let here = outside && record.health != NodeHealth::Suspect;
-        self.note_change(node, &known, here, context.now);
+        let detected_here = from_other_group && record.health != NodeHealth::Suspect;
+        self.queue_change(node, &known, detected_here, context.now);
         record.health == NodeHealth::Suspect
     }
 
     /// Sends a node the newer record that the fleet has of it.
-    fn correct(&self, node: NodeId, context: &mut Context<'_>) {
-        let news = self.batch(&[UpdateKey::Node(node)]);
-        context.send(node, MembershipMessage::Updates(news));
+    fn send_correction(&self, node: NodeId, context: &mut Context<'_>) {
+        let updates = self.batch(&[UpdateKey::Node(node)]);
+        context.send(node, MembershipMessage::Updates(updates));
     }
 
-    fn merge_marks(&mut self, from: NodeId, news: &UpdateBatch, context: &mut Context<'_>) {
-        let outside = self.is_outside(from);
-        for upstream_news in &news.1 {
-            let (new, change) = self.upstreams.merge(*upstream_news);
+    fn merge_marks(&mut self, from: NodeId, updates: &UpdateBatch, context: &mut Context<'_>) {
+        let from_other_group = self.is_in_other_group(from);
+        for upstream_update in &updates.1 {
+            let (new, change) = self.upstreams.merge(*upstream_update);
             if new {
                 self.repair.record_update(context.now);
-                let after = self.telling_time(context.now);
-                self.note_upstream(upstream_news.0, outside, after);
-            } else if !outside {
+                let after = self.group_send_time(context.now);
+                self.queue_upstream(upstream_update.0, from_other_group, after);
+            } else if !from_other_group {
                 self.outbox
-                    .mark_group_informed(UpdateKey::Upstream(upstream_news.0));
+                    .mark_group_informed(UpdateKey::Upstream(upstream_update.0));
             }
             raise_change(change, context);
         }
-        if outside {
+        if from_other_group {
             return;
         }
-        for zone_news in &news.2 {
-            if self.zones.merge(*zone_news) {
+        for zone_update in &updates.2 {
+            if self.zones.merge(*zone_update) {
                 self.repair.record_update(context.now);
-                let key = UpdateKey::Zone(zone_news.0);
+                let key = UpdateKey::Zone(zone_update.0);
                 self.outbox.add(key, UpdateAudience::default(), context.now);
                 self.dirty = true;
             }
         }
     }
 
-    fn note_upstream(&mut self, upstream: UpstreamId, here: bool, after: Duration) {
+    fn queue_upstream(&mut self, upstream: UpstreamId, detected_here: bool, after: Duration) {
         let audience = UpdateAudience {
-            group: here,
-            other_zones: self.tells_world(),
+            group: detected_here,
+            other_zones: self.propagates_to_zones(),
         };
         self.outbox
             .add(UpdateKey::Upstream(upstream), audience, after);
     }
 
     /// Propagates and raises a change of an upstream that was detected here.
-    pub(super) fn upstream_changed(&mut self, change: UpstreamChange, context: &mut Context<'_>) {
+    pub(super) fn propagate_change(&mut self, change: UpstreamChange, context: &mut Context<'_>) {
         let (UpstreamChange::Leaving(upstream) | UpstreamChange::Returned(upstream)) = change;
-        self.note_upstream(upstream, true, context.now);
+        self.queue_upstream(upstream, true, context.now);
         raise_change(Some(change), context);
     }
 
     /// Marks an upstream as leaving on an operator's request.
     pub(super) fn drain_upstream(&mut self, upstream: UpstreamId, context: &mut Context<'_>) {
         if let Some(change) = self.upstreams.drain(upstream) {
-            self.upstream_changed(change, context);
+            self.propagate_change(change, context);
         }
     }
 
@@ -302,7 +304,7 @@
         context: &mut Context<'_>,
     ) {
         if let Some(change) = self.upstreams.report(upstream, leaving, context.now) {
-            self.upstream_changed(change, context);
+            self.propagate_change(change, context);
         }
     }
 
--- a/kernel/src/membership/hosts.rs
+++ b/kernel/src/membership/hosts.rs
@@ -10,7 +10,7 @@
 
 impl MembershipTable {
     /// Applies the host list, unless it is unchanged.
-    pub(super) fn list(&mut self, hosts: &[HostEntry], context: &mut Context<'_>) {
+    pub(super) fn apply_host_list(&mut self, hosts: &[HostEntry], context: &mut Context<'_>) {
         if self.started.is_some() && hosts == &*self.hosts {
             return;
         }
@@ -21,21 +21,21 @@
             .map(|host| (NodeId::named(&host.name), host))
             .collect();
         for (node, host) in &listed {
-            self.list_node(*node, host);
+            self.apply_entry(*node, host);
         }
-        self.unlist(&listed);
+        self.mark_unlisted(&listed);
         self.dirty = true;
         let zones: Vec<ZoneId> = self.rows.rows().values().map(|row| row.zone).collect();
         self.zones.set_zones(zones.into_iter());
         for change in self.upstreams.apply_host_list(hosts) {
-            self.upstream_changed(change, context);
+            self.propagate_change(change, context);
         }
         if self.started.is_none() {
             self.start(context);
         }
     }
 
-    fn list_node(&mut self, node: NodeId, host: &HostEntry) {
+    fn apply_entry(&mut self, node: NodeId, host: &HostEntry) {
         let Some(row) = self.rows.get_mut(node) else {
             let mut row = NodeRow::new(host);
             row.list_leaving = host.leaving;
@@ -60,25 +60,25 @@
     /// Marks nodes that the list no longer contains. Such a node is removed once it is dead or
     /// leaving. A node that still responds is retained, so that an incomplete list cannot take down
     /// the fleet.
-    fn unlist(&mut self, listed: &BTreeMap<NodeId, &HostEntry>) {
+    fn mark_unlisted(&mut self, listed: &BTreeMap<NodeId, &HostEntry>) {
         let own = self.node;
-        let missing: Vec<NodeId> = self
+        let unlisted: Vec<NodeId> = self
             .rows
             .rows()
             .keys()
             .filter(|node| **node != own && !listed.contains_key(node))
             .copied()
             .collect();
-        for node in missing {
+        for node in unlisted {
             if let Some(row) = self.rows.get_mut(node) {
                 row.listed = false;
             }
-            self.forget_if_gone(node);
+            self.remove_if_gone(node);
         }
     }
 
     /// Removes the row of a node that is unlisted and either dead or leaving.
-    pub(super) fn forget_if_gone(&mut self, node: NodeId) {
+    pub(super) fn remove_if_gone(&mut self, node: NodeId) {
         let gone = self
             .rows
             .get(node)
--- a/kernel/src/membership/outbox.rs
+++ b/kernel/src/membership/outbox.rs
@@ -6,11 +6,11 @@
 use crate::ids::{NodeId, UpstreamId, ZoneId};
 
 /// Number of probes and acknowledgements that carry each update.
-const RIDES: u8 = 4;
+const PIGGYBACK_COUNT: u8 = 4;
 /// Maximum number of updates in one probe or acknowledgement.
-const RIDES_PER_PROBE: usize = 6;
+const UPDATES_PER_PROBE: usize = 6;
 /// Maximum number of updates in one separate message.
-const NEWS_PER_MESSAGE: usize = 32;
+const UPDATES_PER_MESSAGE: usize = 32;
 /// Capacity of the token bucket, in messages.
 const BURST_MESSAGES: f64 = 128.0;
 /// Refill rate of the token bucket, in messages per second.
@@ -37,8 +37,8 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct PendingNews {
-    rides: u8,
+struct PendingUpdate {
+    piggybacks_left: u8,
     audience: UpdateAudience,
     group_after: Duration,
 }
@@ -46,9 +46,9 @@
 /// Queue of updates to be sent, with a rate limit on separate messages.
 #[derive(Debug)]
 pub struct UpdateOutbox {
-    pending: BTreeMap<UpdateKey, PendingNews>,
+    pending: BTreeMap<UpdateKey, PendingUpdate>,
     tokens: f64,
-    filled: Duration,
+    refilled_at: Duration,
 }
 
 impl Default for UpdateOutbox {
@@ -56,7 +56,7 @@
         Self {
             pending: BTreeMap::new(),
             tokens: BURST_MESSAGES,
-            filled: Duration::ZERO,
+            refilled_at: Duration::ZERO,
         }
     }
 }
@@ -74,12 +74,12 @@
 
     /// Queues an update; it is sent to the group at `group_after` or later.
     pub fn add(&mut self, key: UpdateKey, audience: UpdateAudience, group_after: Duration) {
-        let entry = self.pending.entry(key).or_insert(PendingNews {
-            rides: RIDES,
+        let entry = self.pending.entry(key).or_insert(PendingUpdate {
+            piggybacks_left: PIGGYBACK_COUNT,
             audience,
             group_after,
         });
-        entry.rides = RIDES;
+        entry.piggybacks_left = PIGGYBACK_COUNT;
         entry.group_after = group_after;
         entry.audience.group |= audience.group;
         entry.audience.other_zones |= audience.other_zones;
@@ -87,8 +87,8 @@
 
     /// Records that another node sent this update to the group.
     pub fn mark_group_informed(&mut self, key: UpdateKey) {
-        if let Some(news) = self.pending.get_mut(&key) {
-            news.audience.group = false;
+        if let Some(update) = self.pending.get_mut(&key) {
+            update.audience.group = false;
         }
     }
 
@@ -97,62 +97,64 @@
         let keys: Vec<UpdateKey> = self
             .pending
             .iter()
-            .filter(|(_, news)| news.rides > 0)
+            .filter(|(_, update)| update.piggybacks_left > 0)
             .map(|(key, _)| *key)
-            .take(RIDES_PER_PROBE)
+            .take(UPDATES_PER_PROBE)
             .collect();
         for key in &keys {
-            if let Some(news) = self.pending.get_mut(key) {
-                news.rides -= 1;
+            if let Some(update) = self.pending.get_mut(key) {
+                update.piggybacks_left -= 1;
             }
         }
-        self.drop_told();
+        self.drop_sent();
         keys
     }
 
     /// Takes updates for the group, if the rate limit permits `receivers` messages now.
     pub fn take_group(&mut self, receivers: usize, now: Duration) -> Vec<UpdateKey> {
-        self.take(receivers, now, |news| {
-            let due = now >= news.group_after;
-            due.then_some(&mut news.audience.group)
+        self.take(receivers, now, |update| {
+            let due = now >= update.group_after;
+            due.then_some(&mut update.audience.group)
         })
     }
 
     /// Takes updates for other zones, if the rate limit permits `receivers` messages now.
     pub fn take_other_zones(&mut self, receivers: usize, now: Duration) -> Vec<UpdateKey> {
-        self.take(receivers, now, |news| Some(&mut news.audience.other_zones))
+        self.take(receivers, now, |update| {
+            Some(&mut update.audience.other_zones)
+        })
     }
 
     fn take(
         &mut self,
         receivers: usize,
         now: Duration,
-        flag: impl Fn(&mut PendingNews) -> Option<&mut bool>,
+        flag: impl Fn(&mut PendingUpdate) -> Option<&mut bool>,
     ) -> Vec<UpdateKey> {
-        let wanted = self
+        let pending = self
             .pending
             .values_mut()
-            .any(|news| flag(news).is_some_and(|wanted| *wanted));
-        if !wanted || !self.spend(receivers, now) {
+            .any(|update| flag(update).is_some_and(|pending| *pending));
+        if !pending || !self.take_tokens(receivers, now) {
             return Vec::new();
         }
         let mut keys = Vec::new();
-        for (key, news) in &mut self.pending {
-            let Some(wanted) = flag(news) else {
+        for (key, update) in &mut self.pending {
+            let Some(pending) = flag(update) else {
                 continue;
             };
-            if *wanted && keys.len() < NEWS_PER_MESSAGE {
-                *wanted = false;
+            if *pending && keys.len() < UPDATES_PER_MESSAGE {
+                *pending = false;
                 keys.push(*key);
             }
         }
-        self.drop_told();
+        self.drop_sent();
         keys
     }
 
-    fn spend(&mut self, messages: usize, now: Duration) -> bool {
-        let elapsed = now.saturating_sub(self.filled).as_secs_f64();
-        self.filled = now;
+    fn take_tokens(&mut self, messages: usize, now: Duration) -> bool {
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
         self.tokens = (self.tokens + elapsed * MESSAGES_PER_SECOND).min(BURST_MESSAGES);
         if self.tokens < (messages as f64).min(BURST_MESSAGES) {
             return false;
@@ -161,8 +163,9 @@
         true
     }
 
-    fn drop_told(&mut self) {
-        self.pending
-            .retain(|_, news| news.rides > 0 || news.audience != UpdateAudience::default());
+    fn drop_sent(&mut self) {
+        self.pending.retain(|_, update| {
+            update.piggybacks_left > 0 || update.audience != UpdateAudience::default()
+        });
     }
 }
--- a/kernel/src/membership/probe.rs
+++ b/kernel/src/membership/probe.rs
@@ -66,12 +66,12 @@
     probes: BTreeMap<u32, OpenProbe>,
     relays: BTreeMap<u32, RelayedProbe>,
     suspicions: BTreeMap<NodeId, OpenSuspicion>,
-    doubts: BTreeMap<NodeId, Duration>,
+    link_suspicions: BTreeMap<NodeId, Duration>,
     order: Vec<NodeId>,
-    watch_turn: bool,
+    ring_turn: bool,
     next_probe: Duration,
     next_dead_probe: Duration,
-    heard: Duration,
+    last_contact: Duration,
 }
 
 impl ProbeTable {
@@ -82,7 +82,7 @@
 
     /// Records that a message of a node in the group arrived.
     pub fn record_contact(&mut self, now: Duration) {
-        self.heard = now;
+        self.last_contact = now;
     }
 
     /// Records a suspicion that another node reported.
@@ -98,7 +98,7 @@
         self.suspicions.remove(&node);
     }
 
-    fn number(&mut self) -> u32 {
+    fn next_sequence(&mut self) -> u32 {
         self.sequence = self.sequence.wrapping_add(1);
         self.sequence
     }
@@ -118,7 +118,7 @@
     pub(super) fn tick_probes(&mut self, context: &mut Context<'_>) {
         self.expire_probes(context);
         self.expire_suspicions(context);
-        self.expire_doubts(context.now);
+        self.expire_link_suspicions(context.now);
         self.start_probe(context);
         self.probe_dead(context);
     }
@@ -178,10 +178,10 @@
             .collect();
         for (node, suspicion) in due {
             self.prober.suspicions.remove(&node);
-            if self.prober.heard > suspicion.began {
+            if self.prober.last_contact > suspicion.began {
                 self.declare_dead(node, now);
             } else {
-                self.lose(node);
+                self.mark_dead_locally(node);
             }
         }
     }
@@ -196,12 +196,12 @@
         };
         let before = row.record;
         self.rows.set_record(node, record);
-        self.note_change(node, &before, true, now);
+        self.queue_change(node, &before, true, now);
     }
 
     /// Treats a node as dead locally without gossiping it. A node that receives no messages may
     /// itself be isolated, and its reports would only force all other nodes to refute them later.
-    fn lose(&mut self, node: NodeId) {
+    fn mark_dead_locally(&mut self, node: NodeId) {
         if let Some(row) = self.rows.get_mut(node) {
             row.local_suspicion = Some(LocalSuspicion::DeadWhileIsolated);
             self.dirty = true;
@@ -236,11 +236,11 @@
         self.outbox
             .add(UpdateKey::Node(node), UpdateAudience::default(), now);
         self.dirty = true;
-        let mut told = self.helpers(node, context);
-        told.push(node);
-        let news = self.batch(&[UpdateKey::Node(node)]);
-        for receiver in told {
-            context.send(receiver, MembershipMessage::Updates(news.clone()));
+        let mut receivers = self.helpers(node, context);
+        receivers.push(node);
+        let updates = self.batch(&[UpdateKey::Node(node)]);
+        for receiver in receivers {
+            context.send(receiver, MembershipMessage::Updates(updates.clone()));
         }
     }
 
@@ -250,18 +250,18 @@
         }
         let next = self.prober.next_probe + jitter(PROBE_PERIOD, context);
         self.prober.next_probe = next.max(context.now + PROBE_PERIOD / 2);
-        self.prober.watch_turn = !self.prober.watch_turn;
-        let target = if self.prober.watch_turn {
+        self.prober.ring_turn = !self.prober.ring_turn;
+        let target = if self.prober.ring_turn {
             self.group.successor(context.profile.node)
         } else {
-            self.next_random(context)
+            self.next_random_target(context)
         };
         if let Some(target) = target {
             self.probe(target, context);
         }
     }
 
-    fn next_random(&mut self, context: &mut Context<'_>) -> Option<NodeId> {
+    fn next_random_target(&mut self, context: &mut Context<'_>) -> Option<NodeId> {
         if self.prober.order.is_empty() {
             let mut order = self.group.ring.clone();
             let all = order.len();
@@ -269,8 +269,8 @@
             self.prober.order = order;
         }
         let next = self.prober.order.pop()?;
-        let known = self.group.ring.binary_search(&next).is_ok();
-        known.then_some(next)
+        let in_group = self.group.ring.binary_search(&next).is_ok();
+        in_group.then_some(next)
     }
 
     fn probe_dead(&mut self, context: &mut Context<'_>) {
@@ -298,9 +298,9 @@
 
     /// Sends a ping without a timeout for its acknowledgement.
     pub(super) fn ping(&mut self, target: NodeId, context: &mut Context<'_>) -> u32 {
-        let sequence = self.prober.number();
-        let news = self.riding_news(target);
-        let message = MembershipMessage::Ping(sequence, self.digest_for(target), news);
+        let sequence = self.prober.next_sequence();
+        let updates = self.piggyback_updates(target);
+        let message = MembershipMessage::Ping(sequence, self.digest_for(target), updates);
         context.send(target, message);
         sequence
     }
@@ -308,9 +308,9 @@
     /// Probes a node at once, directly and indirectly, because its link broke. A broken link alone
     /// does not prove that the node is dead.
     pub(super) fn link_down(&mut self, node: NodeId, context: &mut Context<'_>) {
-        self.doubt_link(node, context.now);
-        let watched = self.group.ring.binary_search(&node).is_ok();
-        if !watched {
+        self.suspect_link(node, context.now);
+        let in_group = self.group.ring.binary_search(&node).is_ok();
+        if !in_group {
             return;
         }
         if let Some(suspicion) = self.prober.suspicions.get_mut(&node) {
@@ -330,18 +330,18 @@
         &mut self,
         from: NodeId,
         sequence: u32,
-        news: &UpdateBatch,
+        updates: &UpdateBatch,
         context: &mut Context<'_>,
     ) {
-        self.merge(from, news, context);
-        let news = self.riding_news(from);
+        self.merge(from, updates, context);
+        let updates = self.piggyback_updates(from);
         let digest = self.digest_for(from);
-        context.send(from, MembershipMessage::Ack(sequence, digest, news));
+        context.send(from, MembershipMessage::Ack(sequence, digest, updates));
     }
 
     /// Closes the probe that an acknowledgement belongs to, and reports it if the probe was on
     /// behalf of another node.
-    pub(super) fn take_ack(&mut self, sequence: u32, from: NodeId, context: &mut Context<'_>) {
+    pub(super) fn handle_ack(&mut self, sequence: u32, from: NodeId, context: &mut Context<'_>) {
         if let Some(relay) = self.prober.relays.remove(&sequence) {
             context.send(relay.origin, MembershipMessage::Reached(relay.sequence));
         }
@@ -353,25 +353,30 @@
 
     /// Closes a probe that only succeeded indirectly: the target is live, but the link to it is
     /// suspect.
-    pub(super) fn take_reached(&mut self, sequence: u32, now: Duration) {
+    pub(super) fn handle_reached(&mut self, sequence: u32, now: Duration) {
         if let Some(probe) = self.prober.probes.remove(&sequence) {
-            self.doubt_link(probe.target, now);
+            self.suspect_link(probe.target, now);
         }
     }
 
-    fn doubt_link(&mut self, node: NodeId, now: Duration) {
+    fn suspect_link(&mut self, node: NodeId, now: Duration) {
         let Some(row) = self.rows.get_mut(node) else {
             return;
         };
-        self.prober.doubts.insert(node, now + LINK_SUSPICION_TIME);
+        self.prober
+            .link_suspicions
+            .insert(node, now + LINK_SUSPICION_TIME);
         if row.local_suspicion.is_none() {
             row.local_suspicion = Some(LocalSuspicion::LinkDown);
             self.dirty = true;
         }
     }
 
-    fn expire_doubts(&mut self, now: Duration) {
-        let due = self.prober.doubts.extract_if(.., |_, until| *until <= now);
+    fn expire_link_suspicions(&mut self, now: Duration) {
+        let due = self
+            .prober
+            .link_suspicions
+            .extract_if(.., |_, until| *until <= now);
         let nodes: Vec<NodeId> = due.map(|(node, _)| node).collect();
         for node in nodes {
             self.link_up(node);
@@ -379,7 +384,7 @@
     }
 
     /// Pings a node on behalf of another one.
-    pub(super) fn probe_for(
+    pub(super) fn probe_on_behalf(
         &mut self,
         origin: NodeId,
         sequence: u32,
--- a/kernel/src/membership/sync.rs
+++ b/kernel/src/membership/sync.rs
@@ -33,26 +33,26 @@
 pub struct RepairTimer {
     next: Duration,
     gap: Duration,
-    changed: Duration,
-    started: bool,
-    asked: bool,
+    last_update: Duration,
+    synced: bool,
+    requested: bool,
 }
 
 impl RepairTimer {
     /// Records that new information arrived.
     pub fn record_update(&mut self, now: Duration) {
-        self.changed = now;
+        self.last_update = now;
         self.gap = MIN_REPAIR_GAP;
         self.next = self.next.min(now + MIN_REPAIR_GAP);
     }
 
     fn is_due(&self, now: Duration) -> bool {
-        let settled = !self.started || now >= self.changed + SETTLE_TIME;
+        let settled = !self.synced || now >= self.last_update + SETTLE_TIME;
         settled && now >= self.next
     }
 }
 
-fn fold(digest: u64) -> u32 {
+fn fold_digest(digest: u64) -> u32 {
     (digest >> 32) as u32 ^ digest as u32
 }
 
@@ -65,23 +65,23 @@
             .fold(0, |all, (tag, digest)| all ^ digest.rotate_left(tag % 32))
     }
 
-    fn is_neighbour(&self, peer: NodeId) -> bool {
+    fn is_in_own_zone(&self, peer: NodeId) -> bool {
         self.rows.get(peer).is_some_and(|row| row.zone == self.zone)
     }
 
     /// Digests by tag of the records that this node and `peer` share; digests that are 0 are left
     /// out.
     fn shared_digests(&self, peer: NodeId) -> BTreeMap<u32, u32> {
-        let neighbour = self.is_neighbour(peer);
+        let same_zone = self.is_in_own_zone(peer);
         let mut digests: BTreeMap<u32, u32> = BTreeMap::new();
         for (zone, digest) in self.rows.digests() {
-            let full = !self.group.zoned || (neighbour && *zone == self.zone);
+            let full = !self.group.zoned || (same_zone && *zone == self.zone);
             let digest = if full { digest.full } else { digest.fleet_wide };
-            digests.insert(zone_tag(*zone), fold(digest));
+            digests.insert(zone_tag(*zone), fold_digest(digest));
         }
-        digests.insert(UPSTREAM_TAG, fold(self.upstreams.digest()));
-        if neighbour {
-            digests.insert(ZONE_MARK_TAG, fold(self.zones.digest()));
+        digests.insert(UPSTREAM_TAG, fold_digest(self.upstreams.digest()));
+        if same_zone {
+            digests.insert(ZONE_MARK_TAG, fold_digest(self.zones.digest()));
         }
         digests.retain(|_, digest| *digest != 0);
         digests
@@ -90,29 +90,29 @@
     /// Requests a repair if the peer's digest differs from this node's and no update is in transit.
     pub(super) fn compare(&mut self, from: NodeId, digest: u32, context: &mut Context<'_>) {
         if digest == self.digest_for(from) {
-            self.repair.started = true;
+            self.repair.synced = true;
             self.repair.gap = MIN_REPAIR_GAP;
             return;
         }
         if self.repair.is_due(context.now) {
-            self.ask_repair(from, context);
+            self.request_repair(from, context);
         }
     }
 
     /// Requests a repair from a peer at the first tick of a run. Before that the edges have no
     /// addresses.
     pub(super) fn tick_repair(&mut self, context: &mut Context<'_>) {
-        if self.repair.asked {
+        if self.repair.requested {
             return;
         }
-        self.repair.asked = true;
+        self.repair.requested = true;
         if let Some(peer) = self.group.successor(self.node) {
-            self.ask_repair(peer, context);
+            self.request_repair(peer, context);
         }
     }
 
     /// Requests the records that this node lacks from a peer.
-    pub(super) fn ask_repair(&mut self, peer: NodeId, context: &mut Context<'_>) {
+    pub(super) fn request_repair(&mut self, peer: NodeId, context: &mut Context<'_>) {
         let pairs: Vec<u32> = self
             .shared_digests(peer)
             .into_iter()
@@ -160,7 +160,7 @@
     }
 
     fn records_of(&self, differing: &BTreeSet<u32>, context: &mut Context<'_>) -> UpdateBatch {
-        let mut news: Vec<NodeUpdate> = self
+        let mut updates: Vec<NodeUpdate> = self
             .rows
             .rows()
             .iter()
@@ -168,11 +168,11 @@
             .filter(|(_, row)| differing.contains(&zone_tag(row.zone)))
             .map(|(node, row)| NodeUpdate::new(*node, &row.record))
             .collect();
-        if news.len() > RECORDS_PER_REPAIR {
-            let start = context.random.random_range(0..news.len());
-            news.rotate_left(start);
-            news.truncate(RECORDS_PER_REPAIR);
+        if updates.len() > RECORDS_PER_REPAIR {
+            let start = context.random.random_range(0..updates.len());
+            updates.rotate_left(start);
+            updates.truncate(RECORDS_PER_REPAIR);
         }
-        UpdateBatch(news, Vec::new(), Vec::new())
+        UpdateBatch(updates, Vec::new(), Vec::new())
     }
 }
--- a/kernel/src/membership/upstream.rs
+++ b/kernel/src/membership/upstream.rs
@@ -11,7 +11,7 @@
 
 /// Time for which an upstream that reported itself as leaving must report the contrary before its
 /// mark is cleared.
-const RETURN_AFTER: Duration = Duration::from_secs(10);
+const RETURN_DELAY: Duration = Duration::from_secs(10);
 
 const LEAVING: u8 = 1;
 const BY_REPORT: u8 = 2;
@@ -21,9 +21,9 @@
     version: u32,
     flags: u8,
     /// Whether the host list showed the upstream as leaving, or not at all, since it was marked.
-    seen_gone: bool,
+    gone_since_mark: bool,
     /// Kernel time since which its own reports say that it is not leaving.
-    staying_since: Option<Duration>,
+    serving_since: Option<Duration>,
 }
 
 /// A change to raise as an event.
@@ -91,10 +91,10 @@
 
     /// Marks an upstream as leaving; `None` if it already was.
     pub fn drain(&mut self, id: UpstreamId) -> Option<UpstreamChange> {
-        self.leave(id, LEAVING)
+        self.mark_leaving(id, LEAVING)
     }
 
-    fn leave(&mut self, id: UpstreamId, flags: u8) -> Option<UpstreamChange> {
+    fn mark_leaving(&mut self, id: UpstreamId, flags: u8) -> Option<UpstreamChange> {
         if self.is_leaving(id) {
             return None;
         }
@@ -111,16 +111,16 @@
     ) -> Option<UpstreamChange> {
         if leaving {
             if let Some(mark) = self.marks.get_mut(&id) {
-                mark.staying_since = None;
+                mark.serving_since = None;
             }
-            return self.leave(id, LEAVING | BY_REPORT);
+            return self.mark_leaving(id, LEAVING | BY_REPORT);
         }
         let mark = self.marks.get_mut(&id)?;
         if mark.flags != LEAVING | BY_REPORT {
             return None;
         }
-        let since = *mark.staying_since.get_or_insert(now);
-        if now.saturating_sub(since) < RETURN_AFTER {
+        let since = *mark.serving_since.get_or_insert(now);
+        if now.saturating_sub(since) < RETURN_DELAY {
             return None;
         }
         self.set(id, 0);
@@ -140,22 +140,22 @@
         }
         let leaving = listed.iter().filter(|(_, leaving)| **leaving);
         let mut changes: Vec<UpstreamChange> = leaving
-            .filter_map(|(id, _)| self.leave(*id, LEAVING))
+            .filter_map(|(id, _)| self.mark_leaving(*id, LEAVING))
             .collect();
         let marked: Vec<UpstreamId> = self.leaving().collect();
         for id in marked {
-            changes.extend(self.compare(id, listed.get(&id).copied()));
+            changes.extend(self.reconcile(id, listed.get(&id).copied()));
         }
         changes
     }
 
-    fn compare(&mut self, id: UpstreamId, listed: Option<bool>) -> Option<UpstreamChange> {
+    fn reconcile(&mut self, id: UpstreamId, listed: Option<bool>) -> Option<UpstreamChange> {
         let mark = self.marks.get_mut(&id)?;
         if listed != Some(false) {
-            mark.seen_gone = true;
+            mark.gone_since_mark = true;
             return None;
         }
-        if !mark.seen_gone {
+        if !mark.gone_since_mark {
             return None;
         }
         self.set(id, 0);
@@ -163,8 +163,8 @@
     }
 
     /// Merges another node's mark; returns whether it was newer, and the resulting change.
-    pub fn merge(&mut self, news: UpstreamUpdate) -> (bool, Option<UpstreamChange>) {
-        let UpstreamUpdate(id, version, flags) = news;
+    pub fn merge(&mut self, update: UpstreamUpdate) -> (bool, Option<UpstreamChange>) {
+        let UpstreamUpdate(id, version, flags) = update;
         let known = self.marks.get(&id).copied().unwrap_or_default();
         if (version, flags) <= (known.version, known.flags) {
             return (false, None);
--- a/kernel/src/membership/zone.rs
+++ b/kernel/src/membership/zone.rs
@@ -24,9 +24,9 @@
 const LOST_ZONE_SHARE: f64 = 0.25;
 
 #[derive(Clone, Copy, Debug)]
-struct ZoneBeat {
+struct ZoneHeartbeat {
     beat: u32,
-    heard: Duration,
+    received_at: Duration,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -38,7 +38,7 @@
 /// Heartbeats of all zones as received by bridges, and this zone's marks on other zones.
 #[derive(Debug, Default)]
 pub struct ZoneTable {
-    beats: BTreeMap<ZoneId, ZoneBeat>,
+    beats: BTreeMap<ZoneId, ZoneHeartbeat>,
     marks: BTreeMap<ZoneId, ZoneMark>,
     tags: BTreeMap<u32, ZoneId>,
     next_round: Duration,
@@ -92,8 +92,8 @@
     }
 
     /// Merges another node's mark; returns whether it was newer.
-    pub fn merge(&mut self, news: ZoneUpdate) -> bool {
-        let ZoneUpdate(zone, version, lost) = news;
+    pub fn merge(&mut self, update: ZoneUpdate) -> bool {
+        let ZoneUpdate(zone, version, lost) = update;
         let mark = self.marks.entry(zone).or_default();
         if (version, lost) <= (mark.version, mark.lost) {
             return false;
@@ -108,37 +108,43 @@
         mark.lost = lost;
     }
 
-    fn hear(&mut self, zone: ZoneId, beat: u32, now: Duration) {
-        let known = self
-            .beats
-            .entry(zone)
-            .or_insert(ZoneBeat { beat, heard: now });
+    fn record_beat(&mut self, zone: ZoneId, beat: u32, now: Duration) {
+        let known = self.beats.entry(zone).or_insert(ZoneHeartbeat {
+            beat,
+            received_at: now,
+        });
         if beat > known.beat {
-            *known = ZoneBeat { beat, heard: now };
+            *known = ZoneHeartbeat {
+                beat,
+                received_at: now,
+            };
         }
     }
 
-    fn advance(&mut self, zone: ZoneId, now: Duration) {
+    fn advance_own_beat(&mut self, zone: ZoneId, now: Duration) {
         let beat = self
             .beats
             .get(&zone)
             .map_or(1, |known| known.beat.saturating_add(1));
-        self.hear(zone, beat, now);
+        self.record_beat(zone, beat, now);
     }
 
-    fn pairs(&self) -> Vec<u32> {
+    fn beat_pairs(&self) -> Vec<u32> {
         self.beats
             .iter()
             .flat_map(|(zone, known)| [zone_tag(*zone), known.beat])
             .collect()
     }
 
-    fn verdict(&self, zone: ZoneId, now: Duration) -> Option<bool> {
+    fn detect_loss(&self, zone: ZoneId, now: Duration) -> Option<bool> {
         let since = self.bridge_since?;
-        let heard = self.beats.get(&zone).map_or(since, |known| known.heard);
-        let lost = now.saturating_sub(heard.max(since)) > ZONE_TIMEOUT;
-        let known_since = heard > since;
-        (lost || known_since).then_some(lost)
+        let last_beat = self
+            .beats
+            .get(&zone)
+            .map_or(since, |known| known.received_at);
+        let lost = now.saturating_sub(last_beat.max(since)) > ZONE_TIMEOUT;
+        let renewed = last_beat > since;
+        (lost || renewed).then_some(lost)
     }
 }
 
@@ -155,8 +161,9 @@
         }
         self.zones.next_round = context.now + jitter(BRIDGE_PERIOD, context);
         if self.group.rank == Some(0) {
-            self.zones.advance(context.profile.zone, context.now);
-            self.judge_zones(context);
+            self.zones
+                .advance_own_beat(context.profile.zone, context.now);
+            self.update_marks(context);
         }
         if let Some(peer) = self.random_bridge(context) {
             self.send_bridge(peer, true, context);
@@ -168,13 +175,13 @@
     fn random_bridge(&self, context: &mut Context<'_>) -> Option<NodeId> {
         let own = context.profile.zone;
         let others = self.group.bridges.iter().filter(|(zone, _)| **zone != own);
-        let (lost, heard): (Vec<_>, Vec<_>) =
+        let (lost, reachable): (Vec<_>, Vec<_>) =
             others.partition(|(zone, _)| self.zones.is_lost(**zone));
         let try_lost = context.random.random_bool(LOST_ZONE_SHARE);
-        let zones = if heard.is_empty() || (try_lost && !lost.is_empty()) {
+        let zones = if reachable.is_empty() || (try_lost && !lost.is_empty()) {
             lost
         } else {
-            heard
+            reachable
         };
         if zones.is_empty() {
             return None;
@@ -186,17 +193,17 @@
 
     fn send_bridge(&mut self, to: NodeId, answer: bool, context: &mut Context<'_>) {
         let digest = self.digest_for(to);
-        let message = MembershipMessage::Bridge(answer, digest, self.zones.pairs());
+        let message = MembershipMessage::Bridge(answer, digest, self.zones.beat_pairs());
         context.send(to, message);
     }
 
-    fn judge_zones(&mut self, context: &mut Context<'_>) {
+    fn update_marks(&mut self, context: &mut Context<'_>) {
         let zones: Vec<ZoneId> = self.zones.tags.values().copied().collect();
         for zone in zones {
             if zone == context.profile.zone {
                 continue;
             }
-            let Some(lost) = self.zones.verdict(zone, context.now) else {
+            let Some(lost) = self.zones.detect_loss(zone, context.now) else {
                 continue;
             };
             if lost != self.zones.is_lost(zone) {
@@ -213,7 +220,7 @@
     }
 
     /// Merges the heartbeats from another zone's bridge, and answers if requested.
-    pub(super) fn take_bridge(
+    pub(super) fn handle_bridge(
         &mut self,
         from: NodeId,
         answer: bool,
@@ -222,7 +229,7 @@
     ) {
         for pair in beats.chunks_exact(2) {
             if let Some(zone) = self.zones.tags.get(&pair[0]).copied() {
-                self.zones.hear(zone, pair[1], context.now);
+                self.zones.record_beat(zone, pair[1], context.now);
             }
         }
         if answer {
--- a/kernel/src/ownership.rs
+++ b/kernel/src/ownership.rs
@@ -99,8 +99,8 @@
     upstreams: &[UpstreamLoad],
     nodes: &NodesByZone,
 ) -> Vec<(UpstreamId, NodeId)> {
-    if let Some(own) = nodes.get(&zone) {
-        return assign_among(upstreams, own, Some(LOAD_BOUND));
+    if let Some(zone_nodes) = nodes.get(&zone) {
+        return assign_among(upstreams, zone_nodes, Some(LOAD_BOUND));
     }
     let all: Vec<NodeId> = nodes.values().flatten().copied().collect();
     assign_among(upstreams, &all, Some(LOAD_BOUND))
@@ -121,7 +121,7 @@
     fn set_config(&mut self, config: &Arc<Config>) -> BTreeSet<ZoneId> {
         self.config = Arc::clone(config);
         let upstreams = upstreams_by_zone(config);
-        let changed = differing(&self.upstreams, &upstreams);
+        let changed = changed_zones(&self.upstreams, &upstreams);
         self.upstreams = upstreams;
         changed
     }
@@ -129,13 +129,13 @@
     fn set_view(&mut self, view: &Arc<MemberView>) -> BTreeSet<ZoneId> {
         self.view = Arc::clone(view);
         let nodes = nodes_by_zone(view);
-        let mut changed = differing(&self.nodes, &nodes);
+        let mut changed = changed_zones(&self.nodes, &nodes);
         if !changed.is_empty() {
-            let orphans = self
+            let unowned_zones = self
                 .upstreams
                 .keys()
                 .filter(|zone| !nodes.contains_key(zone));
-            changed.extend(orphans.copied());
+            changed.extend(unowned_zones.copied());
         }
         self.nodes = nodes;
         changed
@@ -174,11 +174,11 @@
 
     /// Upstreams with an owner that are no longer configured, or all if no node is left.
     fn stale(&self) -> Vec<UpstreamId> {
-        let nobody = self.nodes.is_empty();
+        let no_nodes = self.nodes.is_empty();
         self.owners
             .owners
             .keys()
-            .filter(|upstream| nobody || !self.config.upstreams.contains_key(upstream))
+            .filter(|upstream| no_nodes || !self.config.upstreams.contains_key(upstream))
             .copied()
             .collect()
     }
@@ -189,7 +189,7 @@
     }
 }
 
-fn differing<T: PartialEq>(
+fn changed_zones<T: PartialEq>(
     before: &BTreeMap<ZoneId, T>,
     after: &BTreeMap<ZoneId, T>,
 ) -> BTreeSet<ZoneId> {
--- a/kernel/src/placement.rs
+++ b/kernel/src/placement.rs
@@ -27,34 +27,34 @@
 use crate::wire::{Message, WorkMessage};
 
 /// A pool's demand is high from this ratio of running and queued work to slots.
-const HIGH: f64 = 1.2;
+const HIGH_PRESSURE: f64 = 1.2;
 
 /// A pool's demand is low up to this ratio of running and queued work to slots.
-const LOW: f64 = 0.5;
+const LOW_PRESSURE: f64 = 0.5;
 
 /// Time for which a pool's demand must stay high before an engine moves to it.
-const HIGH_FOR: Duration = Duration::from_mins(1);
+const MIN_HIGH_TIME: Duration = Duration::from_mins(1);
 
 /// Time for which a pool's demand must stay low before an engine moves away from it.
-const LOW_FOR: Duration = Duration::from_mins(2);
+const MIN_LOW_TIME: Duration = Duration::from_mins(2);
 
 /// Minimum time between two moves of one engine.
-const STAY: Duration = Duration::from_mins(10);
+const MOVE_COOLDOWN: Duration = Duration::from_mins(10);
 
 /// Time after which a move without a result is abandoned.
-const MOVE_WAIT: Duration = Duration::from_mins(5);
+const MOVE_TIMEOUT: Duration = Duration::from_mins(5);
 
 /// Age at which a queue summary expires.
-const FRESH: Duration = Duration::from_secs(10);
+const LOAD_TTL: Duration = Duration::from_secs(10);
 
 /// Time between two evaluations of demand.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const EVALUATION_PERIOD: Duration = Duration::from_secs(1);
 
 /// Maximum number of open calls whose pool is retained.
-const MAX_CALLS: usize = 65_536;
+const MAX_OPEN_CALLS: usize = 65_536;
 
 /// Version in the load order: the newest in the weight store.
-const NEWEST: &str = "newest";
+const NEWEST_VERSION: &str = "newest";
 
 /// How long a pool's demand has been high or low.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -68,18 +68,18 @@
 impl PoolDemand {
     /// Records the current ratio of running and queued work to slots.
     pub fn update(&mut self, pressure: f64, now: Duration) {
-        self.high_since = (pressure >= HIGH).then(|| self.high_since.unwrap_or(now));
-        self.low_since = (pressure <= LOW).then(|| self.low_since.unwrap_or(now));
+        self.high_since = (pressure >= HIGH_PRESSURE).then(|| self.high_since.unwrap_or(now));
+        self.low_since = (pressure <= LOW_PRESSURE).then(|| self.low_since.unwrap_or(now));
     }
 
     fn is_high(&self, now: Duration) -> bool {
         self.high_since
-            .is_some_and(|since| now.saturating_sub(since) >= HIGH_FOR)
+            .is_some_and(|since| now.saturating_sub(since) >= MIN_HIGH_TIME)
     }
 
     fn is_low(&self, now: Duration) -> bool {
         self.low_since
-            .is_some_and(|since| now.saturating_sub(since) >= LOW_FOR)
+            .is_some_and(|since| now.saturating_sub(since) >= MIN_LOW_TIME)
     }
 }
 
@@ -96,15 +96,15 @@
 pub fn decide(
     config: &Config,
     demand: &BTreeMap<PoolId, PoolDemand>,
-    moved: &BTreeMap<UpstreamId, Duration>,
+    moved_at: &BTreeMap<UpstreamId, Duration>,
     now: Duration,
 ) -> Option<PlacementMove> {
-    let rested = |id: &UpstreamId| {
-        moved
+    let has_cooled_down = |id: &UpstreamId| {
+        moved_at
             .get(id)
-            .is_none_or(|since| now.saturating_sub(*since) >= STAY)
+            .is_none_or(|since| now.saturating_sub(*since) >= MOVE_COOLDOWN)
     };
-    let spare = |upstream: &Upstream| {
+    let may_leave = |upstream: &Upstream| {
         let low = demand
             .get(&upstream.pool)
             .is_some_and(|demand| demand.is_low(now));
@@ -113,7 +113,7 @@
             .get(&upstream.pool)
             .is_some_and(|all| all.len() > 1)
     };
-    let wanted = |upstream: &Upstream| {
+    let target_pool = |upstream: &Upstream| {
         let spec = &upstream.spec;
         let mut pools = std::iter::once(&spec.pool).chain(&spec.also);
         pools
@@ -127,11 +127,13 @@
     config
         .upstreams
         .iter()
-        .filter(|(id, upstream)| !upstream.spec.also.is_empty() && rested(id) && spare(upstream))
+        .filter(|(id, upstream)| {
+            !upstream.spec.also.is_empty() && has_cooled_down(id) && may_leave(upstream)
+        })
         .find_map(|(id, upstream)| {
             Some(PlacementMove {
                 upstream: *id,
-                to: wanted(upstream)?,
+                to: target_pool(upstream)?,
             })
         })
 }
@@ -144,14 +146,14 @@
     calls: BTreeMap<CallId, PoolId>,
     loads: BTreeMap<(PoolId, NodeId), (LoadSummary, Duration)>,
     demand: BTreeMap<PoolId, PoolDemand>,
-    moved: BTreeMap<UpstreamId, Duration>,
+    moved_at: BTreeMap<UpstreamId, Duration>,
     moving: Option<(PlacementMove, Duration)>,
-    look_at: Duration,
+    evaluate_at: Duration,
     published: u64,
 }
 
 impl EnginePlacer {
-    fn learn(&mut self, pool: PoolId, from: NodeId, load: LoadSummary, now: Duration) {
+    fn set_load(&mut self, pool: PoolId, from: NodeId, load: LoadSummary, now: Duration) {
         self.loads.insert((pool, from), (load, now));
     }
 
@@ -167,9 +169,9 @@
         f64::from(work) / f64::from(slots.max(1))
     }
 
-    fn look(&mut self, now: Duration) {
+    fn evaluate_demand(&mut self, now: Duration) {
         self.loads
-            .retain(|_, (_, seen)| now.saturating_sub(*seen) < FRESH);
+            .retain(|_, (_, seen)| now.saturating_sub(*seen) < LOAD_TTL);
         let pools: Vec<PoolId> = self.config.pools.keys().copied().collect();
         self.demand.retain(|pool, _| pools.contains(pool));
         for pool in pools {
@@ -180,28 +182,29 @@
 
     fn tick(&mut self, context: &mut Context<'_>) {
         let now = context.now;
-        if now < self.look_at {
+        if now < self.evaluate_at {
             return;
         }
-        self.look_at = now + LOOK_EVERY;
-        self.look(now);
-        let late = |(_, since): &(PlacementMove, Duration)| now.saturating_sub(*since) > MOVE_WAIT;
-        if self.moving.as_ref().is_some_and(late) {
+        self.evaluate_at = now + EVALUATION_PERIOD;
+        self.evaluate_demand(now);
+        let timed_out =
+            |(_, since): &(PlacementMove, Duration)| now.saturating_sub(*since) > MOVE_TIMEOUT;
+        if self.moving.as_ref().is_some_and(timed_out) {
             self.moving = None;
         }
-        let first = rank(&self.view, context.profile.node, CLAIM_OCCASION) == 0;
-        if !first || self.moving.is_some() {
+        let is_first = rank(&self.view, context.profile.node, CLAIM_OCCASION) == 0;
+        if !is_first || self.moving.is_some() {
             return;
         }
-        let Some(chosen) = decide(&self.config, &self.demand, &self.moved, now) else {
+        let Some(chosen) = decide(&self.config, &self.demand, &self.moved_at, now) else {
             return;
         };
         context.raise(Event::OrderRequested(order_for(&chosen)));
-        self.moved.insert(chosen.upstream, now);
+        self.moved_at.insert(chosen.upstream, now);
         self.moving = Some((chosen, now));
     }
 
-    fn order_ended(
+    fn finish_move(
         &mut self,
         request: &OrderRequest,
         outcome: OrderOutcome,
@@ -244,7 +247,7 @@
         upstream: chosen.upstream,
         order: EngineOrder::LoadModel {
             model: chosen.to.clone(),
-            version: NEWEST.into(),
+            version: NEWEST_VERSION.into(),
         },
     }
 }
@@ -256,7 +259,7 @@
             Event::MembersChanged(view) => self.view = Arc::clone(view),
             Event::CallAdmitted { spec, .. } => {
                 self.calls.insert(spec.call, spec.pool);
-                if self.calls.len() > MAX_CALLS {
+                if self.calls.len() > MAX_OPEN_CALLS {
                     self.calls.pop_first();
                 }
             }
@@ -270,16 +273,16 @@
                 WorkMessage::Ended { attempt, load, .. }
                 | WorkMessage::Returned { attempt, load, .. } => {
                     if let Some(pool) = self.calls.get(&attempt.call).copied() {
-                        self.learn(pool, *from, *load, context.now);
+                        self.set_load(pool, *from, *load, context.now);
                     }
                 }
-                WorkMessage::Load { pool, load } => self.learn(*pool, *from, *load, context.now),
+                WorkMessage::Load { pool, load } => self.set_load(*pool, *from, *load, context.now),
                 _ => {}
             },
             Event::PeerMessage {
                 message: Message::Order(OrderMessage::Ended { request, outcome }),
                 ..
-            } => self.order_ended(request, *outcome, context),
+            } => self.finish_move(request, *outcome, context),
             Event::Tick => self.tick(context),
             _ => {}
         }
@@ -292,12 +295,12 @@
             .iter()
             .map(|(id, pool)| {
                 let demand = self.demand.get(id).copied().unwrap_or_default();
-                let told = json!({
+                let section = json!({
                     "pressure": self.pressure(*id),
                     "high_since": demand.high_since,
                     "low_since": demand.low_since,
                 });
-                (pool.name.to_string(), told)
+                (pool.name.to_string(), section)
             })
             .collect();
         let moving = self.moving.as_ref().map(|(chosen, _)| &chosen.to);
--- a/kernel/src/transfer.rs
+++ b/kernel/src/transfer.rs
@@ -17,17 +17,17 @@
 /// Timeout state of a response body that is being received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TransferMonitor {
-    silence: Duration,
-    began: Duration,
+    idle_timeout: Duration,
+    started_at: Duration,
     received: usize,
 }
 
 impl TransferMonitor {
     /// Starts at `now`; `silence` is the longest pause between two chunks.
-    pub fn new(silence: Duration, now: Duration) -> Self {
+    pub fn new(idle_timeout: Duration, now: Duration) -> Self {
         Self {
-            silence,
-            began: now,
+            idle_timeout,
+            started_at: now,
             received: 0,
         }
     }
@@ -45,7 +45,7 @@
     /// Time until the next chunk is due: at most one idle timeout, and less if the transfer would
     /// otherwise fall below the minimum rate, counted from one idle timeout after its start.
     pub fn time_left(&self, now: Duration) -> Duration {
-        let earned = self.began + self.silence + max_transfer_time(self.received);
-        earned.saturating_sub(now).min(self.silence)
+        let deadline = self.started_at + self.idle_timeout + max_transfer_time(self.received);
+        deadline.saturating_sub(now).min(self.idle_timeout)
     }
 }
