--- a/kernel/benches/registry.rs
+++ b/kernel/benches/registry.rs
@@ -1,4 +1,5 @@
-//! Taking upstreams in, comparing what is known with a list, and the digest that each heartbeat tells.
+//! Adding upstreams to the registry, comparing it with a list, and computing the digest of a
+//! heartbeat.
 //!
 //! Run with `cargo bench -p monsoonbank-kernel --bench registry`.
 
--- a/kernel/benches/rules.rs
+++ b/kernel/benches/rules.rs
@@ -1,5 +1,5 @@
-//! Classifying a request by 1,000 rules and 5,400 workspaces, and folding changes of them; a gateway's
-//! lookup by 50 and by 8,000.
+//! Classifying a request with 1,000 rules and 5,400 workspaces, folding changes of them, and a
+//! gateway's rule lookup with 50 and with 8,000 rules.
 //!
 //! Run with `cargo bench -p monsoonbank-kernel --bench rules`.
 
@@ -45,7 +45,7 @@
     format!("{prefix}-{index}").into()
 }
 
-/// Each rule names five or six workspaces, a model, and every third a path as well.
+/// Each rule lists five or six workspaces and a model; every third one has a path prefix as well.
 fn rule(index: usize) -> RuleSpec {
     let workspaces = (0..WORKSPACES).skip(index).step_by(RULES);
     let path = (index.is_multiple_of(3)).then(|| "/v1/chat".into());
@@ -65,7 +65,7 @@
     }
 }
 
-/// No rule can be left out by an index: all differ by header alone.
+/// Rules that differ by header only, so that the index cannot exclude any.
 fn header_rule(index: usize) -> RuleSpec {
     let mut rule = rule(index);
     rule.when = RuleMatch::default();
@@ -132,7 +132,7 @@
     group.finish();
 }
 
-/// A gateway's rule of its own path, as an operator adds them by the thousand.
+/// A gateway rule with a distinct path, of which an operator may have thousands.
 fn path_rule(index: usize) -> CallRule {
     CallRule {
         name: named("rule", index),
@@ -158,7 +158,7 @@
     }
 }
 
-/// What a gateway looks up for each call, by the number of rules.
+/// The lookup that a gateway does for each call, by the number of rules.
 fn gateway(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("gateway");
     let bounds = CallerBounds {
@@ -194,8 +194,8 @@
     entry(offset, change)
 }
 
-/// Folds changes one after another; `shared` keeps the configuration before in use, as a node
-/// that serves calls does.
+/// Folds changes in sequence. With `shared` the previous configuration stays referenced, as on a
+/// node that serves calls.
 fn changes(criterion: &mut Criterion, name: &str, shared: bool, content: fn(u64) -> Document) {
     let mut fold = ConfigFold::default();
     fold.apply(&entry(0, ChangeRecord::from_file("base", &file(rule))));
--- a/kernel/tests/configuration/check.rs
+++ b/kernel/tests/configuration/check.rs
@@ -1,18 +1,18 @@
-//! What a check of a file tells: place, field, and what was expected.
+//! Errors of a configuration check: position, field and expected value.
 
 use monsoonbank_kernel::config::text::check_text;
 
 use crate::support::BASE;
 
 macro_rules! fault {
-    ($name:ident, $old:expr => $new:expr, $told:expr) => {
+    ($name:ident, $old:expr => $new:expr, $expected:expr) => {
         #[test]
         fn $name() {
             assert!(BASE.contains($old));
             let text = BASE.replacen($old, $new, 1);
             let faults = check_text("base.yaml", &text).expect_err("it has a fault");
-            let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
-            assert_eq!(told, [$told]);
+            let found: Vec<String> = faults.iter().map(ToString::to_string).collect();
+            assert_eq!(found, [$expected]);
         }
     };
 }
@@ -25,8 +25,8 @@
             env!("CARGO_MANIFEST_DIR")
         );
         let text = std::fs::read_to_string(path).expect("the example exists");
-        let told = check_text(name, &text).map(|_| ());
-        assert_eq!(told, Ok(()));
+        let found = check_text(name, &text).map(|_| ());
+        assert_eq!(found, Ok(()));
     }
 }
 
--- a/kernel/tests/configuration/fold.rs
+++ b/kernel/tests/configuration/fold.rs
@@ -1,4 +1,4 @@
-//! The fold by itself: the same records give the same state.
+//! Folding records: the same records yield the same state.
 
 use monsoonbank_kernel::call::Tier;
 use monsoonbank_kernel::config::{Document, DocumentKey, TierSpec};
@@ -37,7 +37,10 @@
             let mut records = vec![base_change(), set_workspace("w", "w", 1, 0)];
             records.push(change("wrong", $changes));
             let fold = fold_of(&records);
-            let result = fold.result("wrong").expect("it is remembered").to_string();
+            let result = fold
+                .result("wrong")
+                .expect("the result is retained")
+                .to_string();
             assert!(result.contains($reason), "{result}");
             let before = fold_of(&records[..2]);
             assert_eq!(fold.config(), before.config());
@@ -134,7 +137,7 @@
 );
 
 #[test]
-fn checkpoint_gives_the_same_state_and_the_same_answers() {
+fn checkpoint_restores_the_state_and_the_results() {
     let records = [
         base_change(),
         set_workspace("one", "w", 1, 0),
@@ -147,7 +150,7 @@
     all.reverse();
     let doubled: Vec<_> = all.iter().chain(&all).collect();
     let restored = doubled.iter().find_map(|part| assembly.take(part));
-    let restored = restored.expect("every part was given");
+    let restored = restored.expect("every part was added");
     assert_eq!(restored.config(), fold.config());
     assert_eq!(restored.documents(), fold.documents());
     for record in &records {
@@ -156,7 +159,7 @@
 }
 
 #[test]
-fn unknown_records_are_skipped_and_shown() {
+fn undecodable_records_are_skipped_and_reported() {
     let mut fold = fold_of(&[base_change()]);
     fold.apply(&LogRecord {
         offset: 1,
@@ -175,7 +178,7 @@
 }
 
 #[test]
-fn first_of_two_racing_claims_holds_and_each_names_the_one_before() {
+fn first_of_two_racing_claims_is_valid_and_each_follows_the_one_before() {
     let claim = |node: &str, follows| LeaseRecord {
         node: NodeId::named(node),
         incarnation: Incarnation(1),
@@ -188,6 +191,6 @@
         let record = Some(Record::Lease(claim));
         fold.apply(&LogRecord { offset, record });
     }
-    let head = fold.lease().expect("a claim holds");
+    let head = fold.lease().expect("a claim is valid");
     assert_eq!((head.offset, head.record.node), (2, NodeId::named("a")));
 }
--- a/kernel/tests/configuration/fuzz.rs
+++ b/kernel/tests/configuration/fuzz.rs
@@ -1,5 +1,5 @@
-//! Three to five nodes under random faults, against a simple oracle: the fold of every record that
-//! the log ever took.
+//! Three to five nodes under random faults, compared with a simple oracle: the fold of every record
+//! ever appended to the log.
 
 use std::time::Duration;
 
@@ -20,9 +20,9 @@
     Run(u8),
     Tick(u8),
     ServeLog(u8),
-    Pass(u8),
+    Deliver(u8),
     Drop(u8),
-    Double(u8),
+    Duplicate(u8),
     LogDown(bool),
     CutFromLog(u8, bool),
     LoseResponse,
@@ -59,9 +59,9 @@
             6 => (1_u8..40).prop_map(Step::Run),
             4 => any::<u8>().prop_map(Step::Tick),
             4 => any::<u8>().prop_map(Step::ServeLog),
-            4 => any::<u8>().prop_map(Step::Pass),
+            4 => any::<u8>().prop_map(Step::Deliver),
             3 => any::<u8>().prop_map(Step::Drop),
-            2 => any::<u8>().prop_map(Step::Double),
+            2 => any::<u8>().prop_map(Step::Duplicate),
             1 => any::<bool>().prop_map(Step::LogDown),
             1 => (any::<u8>(), any::<bool>()).prop_map(|(node, cut)| Step::CutFromLog(node, cut)),
             1 => Just(Step::LoseResponse),
@@ -104,7 +104,7 @@
         fold
     }
 
-    /// Publishes on top of the version that stands on the log, or of one made up.
+    /// Publishes a change that replaces the version on the log, or an arbitrary one.
     fn publish(&mut self, node: usize, workspace: u8, known: bool) {
         self.published += 1;
         let name = format!("w{workspace}");
@@ -120,9 +120,10 @@
         self.fleet.publish(node, 1_000 + self.published, record);
     }
 
-    /// Whether a ready node other than `index` has every record before this offset. Records go, and
-    /// nodes are replaced, only while another node has what the log no longer holds.
-    fn is_kept_besides(&self, index: Option<usize>, first: u64) -> bool {
+    /// Whether a ready node other than `index` has every record before this offset. The log is
+    /// truncated and nodes are replaced only while another node has the records that the log no
+    /// longer retains.
+    fn is_retained_elsewhere(&self, index: Option<usize>, first: u64) -> bool {
         let mut nodes = self.fleet.nodes.iter().enumerate();
         nodes.any(|(other, node)| {
             Some(other) != index && node.is_ready() && node.number("next_offset") >= first
@@ -131,31 +132,31 @@
 
     fn truncate(&mut self, records: u8) {
         let first = self.fleet.log.first + u64::from(records % 8);
-        if self.is_kept_besides(None, first) {
+        if self.is_retained_elsewhere(None, first) {
             self.fleet.log.truncate(first);
         }
     }
 
     fn replace(&mut self, index: usize) {
-        if self.is_kept_besides(Some(index), self.fleet.log.first) {
+        if self.is_retained_elsewhere(Some(index), self.fleet.log.first) {
             self.fleet.replace(index);
         }
     }
 
-    fn take_message(&mut self, choice: u8) -> Option<usize> {
+    fn choose_message(&mut self, choice: u8) -> Option<usize> {
         let count = self.fleet.messages.len();
         (count > 0).then(|| choice as usize % count)
     }
 
-    fn act(&mut self, step: &Step) {
+    fn apply_step(&mut self, step: &Step) {
         match *step {
             Step::Run(steps) => (0..steps).for_each(|_| self.fleet.step()),
             Step::Tick(node) => {
                 self.fleet.now += STEP;
-                self.fleet.give(self.node(node), Event::Tick);
+                self.fleet.inject(self.node(node), Event::Tick);
             }
             Step::ServeLog(node) => self.fleet.serve_log(self.node(node)),
-            Step::Pass(_) | Step::Drop(_) | Step::Double(_) => self.move_message(step),
+            Step::Deliver(_) | Step::Drop(_) | Step::Duplicate(_) => self.move_message(step),
             Step::LogDown(down) => self.fleet.log.down = down,
             Step::CutFromLog(node, cut) => {
                 let node = self.node(node);
@@ -176,30 +177,30 @@
     }
 
     fn move_message(&mut self, step: &Step) {
-        let (Step::Pass(choice) | Step::Drop(choice) | Step::Double(choice)) = *step else {
+        let (Step::Deliver(choice) | Step::Drop(choice) | Step::Duplicate(choice)) = *step else {
             return;
         };
-        let Some(position) = self.take_message(choice) else {
+        let Some(position) = self.choose_message(choice) else {
             return;
         };
         let (from, to, message) = self.fleet.messages.remove(position);
         if matches!(step, Step::Drop(_)) {
             return;
         }
-        if matches!(step, Step::Double(_)) {
+        if matches!(step, Step::Duplicate(_)) {
             self.fleet.messages.push((from, to, message.clone()));
         }
         self.fleet.deliver(from, to, message);
     }
 
-    /// The others go on while one node sleeps; it then wakes up and acts.
+    /// Pauses one node while the others go on, then resumes it with a tick.
     fn pause(&mut self, node: usize, steps: u8) {
         self.fleet.nodes[node].paused = true;
         for _ in 0..u32::from(steps) * 4 {
             self.fleet.step();
         }
         self.fleet.nodes[node].paused = false;
-        self.fleet.give(node, Event::Tick);
+        self.fleet.inject(node, Event::Tick);
     }
 
     fn order(&mut self, node: usize, adapter: u8) {
@@ -209,7 +210,7 @@
                 adapter: format!("adapter-{adapter}").into(),
             },
         };
-        self.fleet.give(node, Event::OrderRequested(request));
+        self.fleet.inject(node, Event::OrderRequested(request));
     }
 
     fn answer_order(&mut self, choice: u8, accepted: bool) {
@@ -217,17 +218,17 @@
         if count == 0 {
             return;
         }
-        let given = self.fleet.orders[choice as usize % count].clone();
+        let sent = self.fleet.orders[choice as usize % count].clone();
         let answered = Event::OrderAnswered {
-            upstream: given.request.upstream,
-            fencing: given.fencing,
+            upstream: sent.request.upstream,
+            fencing: sent.fencing,
             accepted,
         };
-        self.fleet.give(given.node, answered);
+        self.fleet.inject(sent.node, answered);
     }
 
-    /// No order outlives its lease, and two holders' orders never meet at an upstream that does
-    /// not check fencing numbers.
+    /// Checks that no order is sent after its lease expired, and that orders of two holders never
+    /// overlap at an upstream that does not check fencing tokens.
     fn check_orders(&mut self) {
         let orders = &self.fleet.orders;
         for (position, order) in orders.iter().enumerate().skip(self.checked_orders) {
@@ -273,23 +274,25 @@
     }
 
     fn apply(mut state: Self, _: &u8, step: Step) -> Self {
-        state.act(&step);
+        state.apply_step(&step);
         state.check_orders();
         state
     }
 
-    /// Every node ends with what the log ever took, and every answer was true.
+    /// Checks that every node converged to the oracle and that every answer agrees with it.
     fn teardown(mut state: Self, _: u8) {
         state.heal();
         state.check_orders();
         let oracle = state.oracle();
         for index in 0..state.fleet.nodes.len() {
             let request = RequestTicket(0);
-            state.fleet.give(index, Event::DocumentsRequested(request));
+            state
+                .fleet
+                .inject(index, Event::DocumentsRequested(request));
             let node = &state.fleet.nodes[index];
             assert_eq!(node.version(), oracle.config().version, "node {index}");
-            let alike = node.documents == oracle.documents();
-            assert!(alike, "{:?}", node.documents);
+            let equal = node.documents == oracle.documents();
+            assert!(equal, "{:?}", node.documents);
         }
         for (request, result) in &state.fleet.answers {
             let id = match request {
@@ -299,7 +302,7 @@
             match result {
                 PublishResult::Unavailable => {}
                 PublishResult::Accepted { .. } => assert_eq!(oracle.result(&id), Some(result)),
-                refused => assert!(oracle.result(&id).is_none_or(|told| told == refused)),
+                refused => assert!(oracle.result(&id).is_none_or(|known| known == refused)),
             }
         }
     }
@@ -317,7 +320,7 @@
     fn never_reverts_converges_and_fences(sequential 1..120 => FleetUnderFaults);
 }
 
-/// Time on a node that sleeps is the same as everyone's: only its steps are missing.
+/// A paused node shares the fleet's clock and only misses steps, so its lease can expire meanwhile.
 #[test]
 fn pause_is_longer_than_a_lease() {
     assert!(STEP * 4 * u32::from(u8::MAX) > Duration::from_secs(15));
--- a/kernel/tests/configuration/golden.rs
+++ b/kernel/tests/configuration/golden.rs
@@ -1,4 +1,4 @@
-//! Golden sessions: everything that the nodes ask for, line by line.
+//! Golden sessions: every action of the nodes, one per line.
 
 use monsoonbank_kernel::event::Event;
 use monsoonbank_kernel::ids::UpstreamId;
@@ -48,15 +48,15 @@
     let upstream = UpstreamId::named("engine-1");
     let adapter = "courier".into();
     let order = EngineOrder::LoadAdapter { adapter };
-    fleet.give(0, Event::OrderRequested(OrderRequest { upstream, order }));
+    fleet.inject(0, Event::OrderRequested(OrderRequest { upstream, order }));
     fleet.run(1);
-    let given = fleet.orders[0].clone();
-    let (fencing, accepted) = (given.fencing, true);
+    let sent = fleet.orders[0].clone();
+    let (fencing, accepted) = (sent.fencing, true);
     let answered = Event::OrderAnswered {
         upstream,
         fencing,
         accepted,
     };
-    fleet.give(given.node, answered);
+    fleet.inject(sent.node, answered);
     fleet.run(1);
 });
--- a/kernel/tests/configuration/main.rs
+++ b/kernel/tests/configuration/main.rs
@@ -1,4 +1,4 @@
-//! Configuration on the log, between nodes that exchange messages by the tests' own hand.
+//! Replicated configuration: a log and nodes whose messages the tests deliver.
 
 mod check;
 mod fold;
--- a/kernel/tests/configuration/orders.rs
+++ b/kernel/tests/configuration/orders.rs
@@ -1,4 +1,4 @@
-//! The lease and the orders given under it.
+//! The lease and the orders sent under it.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use monsoonbank_kernel::leases::{EngineOrder, OrderRequest};
 use monsoonbank_kernel::record::Record;
 
-use crate::support::{Fleet, GivenOrder, base_change};
+use crate::support::{Fleet, SentOrder, base_change};
 
 const QUIET: Duration = LEASE_LENGTH.saturating_add(ORDER_FLIGHT);
 
@@ -21,25 +21,29 @@
     }
 }
 
-/// A fleet, and a node that has given one order.
-fn holding(count: usize) -> (Fleet, GivenOrder) {
+/// A fleet, and the one order that its lease holder has sent.
+fn holding(count: usize) -> (Fleet, SentOrder) {
     let mut fleet = Fleet::new(count);
     fleet.publish(0, 1, base_change());
     fleet.run(2);
-    fleet.give(0, Event::OrderRequested(order("first")));
+    fleet.inject(0, Event::OrderRequested(order("first")));
     fleet.run(2);
-    assert_eq!(fleet.orders.len(), 1, "one order, though it was handed on");
-    let given = fleet.orders[0].clone();
-    (fleet, given)
+    assert_eq!(
+        fleet.orders.len(),
+        1,
+        "one order, although it was forwarded"
+    );
+    let sent = fleet.orders[0].clone();
+    (fleet, sent)
 }
 
-fn answer(fleet: &mut Fleet, given: &GivenOrder, accepted: bool) {
+fn answer(fleet: &mut Fleet, sent: &SentOrder, accepted: bool) {
     let answered = Event::OrderAnswered {
-        upstream: given.request.upstream,
-        fencing: given.fencing,
+        upstream: sent.request.upstream,
+        fencing: sent.fencing,
         accepted,
     };
-    fleet.give(given.node, answered);
+    fleet.inject(sent.node, answered);
 }
 
 fn leases(fleet: &Fleet) -> usize {
@@ -50,16 +54,16 @@
 }
 
 #[test]
-fn one_node_claims_and_its_fencing_number_is_the_offset() {
-    let (fleet, given) = holding(5);
+fn one_node_claims_the_lease_and_its_offset_is_the_fencing_token() {
+    let (fleet, sent) = holding(5);
     assert_eq!(leases(&fleet), 1);
-    let record = &fleet.log.records[given.fencing as usize];
-    assert!(matches!(record, Record::Lease(lease) if lease.node == fleet.nodes[given.node].id));
-    assert!(given.at < given.not_after);
+    let record = &fleet.log.records[sent.fencing as usize];
+    assert!(matches!(record, Record::Lease(lease) if lease.node == fleet.nodes[sent.node].id));
+    assert!(sent.at < sent.not_after);
 }
 
 #[test]
-fn nobody_claims_without_orders() {
+fn no_node_claims_the_lease_without_orders() {
     let mut fleet = Fleet::new(4);
     fleet.publish(0, 1, base_change());
     fleet.run(30);
@@ -67,40 +71,40 @@
 }
 
 #[test]
-fn order_that_was_accepted_is_not_given_again() {
-    let (mut fleet, given) = holding(3);
-    answer(&mut fleet, &given, true);
+fn accepted_order_is_not_sent_again() {
+    let (mut fleet, sent) = holding(3);
+    answer(&mut fleet, &sent, true);
     fleet.run(60);
     assert_eq!(fleet.orders.len(), 1);
 }
 
 #[test]
-fn unanswered_order_is_given_again_under_a_newer_number() {
-    let (mut fleet, given) = holding(3);
+fn unanswered_order_is_sent_again_with_a_newer_fencing_token() {
+    let (mut fleet, sent) = holding(3);
     fleet.run(20);
-    let again = fleet.orders.last().expect("it was given");
-    assert_eq!(again.request, given.request);
-    assert!(fleet.orders.len() > 1 && again.fencing > given.fencing);
+    let again = fleet.orders.last().expect("the order was sent");
+    assert_eq!(again.request, sent.request);
+    assert!(fleet.orders.len() > 1 && again.fencing > sent.fencing);
 }
 
 #[test]
-fn paused_holder_gives_nothing_after_its_lease_lapsed() {
-    let (mut fleet, given) = holding(3);
+fn paused_holder_sends_no_order_after_its_lease_expired() {
+    let (mut fleet, sent) = holding(3);
     let later = fleet.now + LEASE_LENGTH;
     fleet.orders.clear();
-    fleet.give_at(given.node, later, Event::OrderRequested(order("second")));
-    fleet.give_at(given.node, later, Event::Tick);
+    fleet.inject_at(sent.node, later, Event::OrderRequested(order("second")));
+    fleet.inject_at(sent.node, later, Event::Tick);
     assert!(fleet.orders.is_empty(), "{:?}", fleet.orders);
 }
 
 #[test]
-fn log_down_lets_the_lease_lapse_and_orders_stop_until_it_is_back() {
-    let (mut fleet, given) = holding(3);
-    answer(&mut fleet, &given, true);
+fn lease_expires_and_orders_stop_while_the_log_is_down() {
+    let (mut fleet, sent) = holding(3);
+    answer(&mut fleet, &sent, true);
     fleet.log.down = true;
     fleet.run(20);
     fleet.orders.clear();
-    fleet.give(0, Event::OrderRequested(order("second")));
+    fleet.inject(0, Event::OrderRequested(order("second")));
     fleet.run(30);
     assert!(fleet.orders.is_empty());
     fleet.log.down = false;
@@ -109,43 +113,43 @@
 }
 
 #[test]
-fn next_holder_waits_out_what_an_upstream_without_checks_may_still_get() {
-    let (mut fleet, given) = holding(3);
-    let wanting = usize::from(given.node == 0);
-    fleet.nodes[given.node].alive = false;
-    fleet.tell_members();
-    fleet.give(wanting, Event::OrderRequested(order("second")));
+fn next_holder_waits_until_no_earlier_order_can_arrive() {
+    let (mut fleet, sent) = holding(3);
+    let requester = usize::from(sent.node == 0);
+    fleet.nodes[sent.node].alive = false;
+    fleet.publish_members();
+    fleet.inject(requester, Event::OrderRequested(order("second")));
     fleet.run(QUIET.as_secs() + 10);
-    let next = fleet.orders.iter().find(|next| next.node != given.node);
+    let next = fleet.orders.iter().find(|next| next.node != sent.node);
     let next = next.expect("another node holds the lease");
-    assert!(next.fencing > given.fencing);
-    assert!(next.at >= given.not_after + ORDER_FLIGHT);
+    assert!(next.fencing > sent.fencing);
+    assert!(next.at >= sent.not_after + ORDER_FLIGHT);
 }
 
 #[test]
-fn earlier_run_of_the_same_node_is_waited_out() {
-    let (mut fleet, given) = holding(1);
+fn new_run_of_a_node_waits_until_no_order_of_the_earlier_run_can_arrive() {
+    let (mut fleet, sent) = holding(1);
     fleet.replace(0);
-    fleet.give(0, Event::OrderRequested(order("second")));
+    fleet.inject(0, Event::OrderRequested(order("second")));
     fleet.run(QUIET.as_secs() + 10);
     let next = fleet
         .orders
         .iter()
-        .find(|next| next.incarnation != given.incarnation);
+        .find(|next| next.incarnation != sent.incarnation);
     let next = next.expect("the new run holds the lease");
-    assert!(next.at >= given.not_after + ORDER_FLIGHT);
+    assert!(next.at >= sent.not_after + ORDER_FLIGHT);
 }
 
 #[test]
-fn leaving_holder_gives_the_lease_up() {
-    let (mut fleet, given) = holding(3);
-    answer(&mut fleet, &given, true);
-    fleet.give(given.node, Event::NodeLeaving);
-    fleet.nodes[given.node].alive = false;
-    fleet.serve_log(given.node);
+fn leaving_holder_releases_the_lease() {
+    let (mut fleet, sent) = holding(3);
+    answer(&mut fleet, &sent, true);
+    fleet.inject(sent.node, Event::NodeLeaving);
+    fleet.nodes[sent.node].alive = false;
+    fleet.serve_log(sent.node);
     let appended = leases(&fleet);
-    fleet.nodes[given.node].alive = true;
-    fleet.serve_log(given.node);
+    fleet.nodes[sent.node].alive = true;
+    fleet.serve_log(sent.node);
     fleet.run(1);
     assert!(leases(&fleet) >= appended);
     let last = fleet.log.records.last();
--- a/kernel/tests/configuration/outages.rs
+++ b/kernel/tests/configuration/outages.rs
@@ -1,4 +1,4 @@
-//! Outages of the log, retention, and nodes that start with nothing.
+//! Outages of the log, its retention, and nodes that start without state.
 
 use monsoonbank_kernel::record::{PublishResult, Record};
 
@@ -13,14 +13,14 @@
 }
 
 #[test]
-fn outage_right_after_acceptance_reaches_all_through_peers() {
+fn change_accepted_just_before_an_outage_reaches_all_through_peers() {
     let mut fleet = started(5);
     for index in 1..5 {
         fleet.nodes[index].cut_from_log = true;
     }
     fleet.run(1);
     fleet.publish(0, 2, set_workspace("late", "w", 2, 0));
-    fleet.give(0, monsoonbank_kernel::event::Event::Tick);
+    fleet.inject(0, monsoonbank_kernel::event::Event::Tick);
     fleet.serve_log(0);
     fleet.serve_log(0);
     fleet.log.down = true;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn fresh_node_that_nobody_can_show_anything_takes_no_calls() {
+fn fresh_node_without_log_and_ready_peers_accepts_no_calls() {
     let mut fleet = started(2);
     fleet.log.down = true;
     fleet.replace(0);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn fresh_node_waits_for_news_that_peers_have_and_the_log_lags() {
+fn fresh_node_waits_for_records_that_only_peers_have() {
     let mut fleet = started(3);
     fleet.publish(0, 2, set_workspace("news", "w", 2, 0));
     fleet.run(1);
@@ -79,7 +79,7 @@
     fleet.run(1);
 }
 
-/// Whole checkpoints on the log, by their last parts.
+/// Number of complete checkpoints on the log, counted by their last parts.
 fn checkpoints(fleet: &Fleet) -> usize {
     let records = fleet.log.records.iter();
     let last = |record: &&Record| matches!(record, Record::Checkpoint(part) if part.part + 1 == part.parts);
@@ -87,11 +87,11 @@
 }
 
 #[test]
-fn grown_tail_brings_one_checkpoint_and_a_fresh_fleet_starts_from_it() {
+fn many_changes_cause_one_checkpoint_from_which_a_fresh_fleet_starts() {
     let mut fleet = started(3);
     grow(&mut fleet, 400);
     fleet.run(20);
-    assert_eq!(checkpoints(&fleet), 1, "one in all, not one a node");
+    assert_eq!(checkpoints(&fleet), 1, "one in total, not one per node");
     let before = fleet.in_force();
     fleet
         .log
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn truncated_log_without_checkpoint_is_mended_from_a_peer_and_covered_again() {
+fn truncated_log_without_checkpoint_is_repaired_by_a_peer_and_a_checkpoint() {
     let mut fleet = started(3);
     grow(&mut fleet, 20);
     fleet.log.truncate(15);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn truncation_past_a_stopped_reader_is_mended() {
+fn truncation_past_a_disconnected_reader_is_repaired() {
     let mut fleet = started(3);
     fleet.nodes[2].cut_from_log = true;
     let cut = fleet.nodes[2].id;
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn log_that_lost_records_reverts_nobody() {
+fn log_that_lost_records_reverts_no_node() {
     let mut fleet = started(3);
     grow(&mut fleet, 5);
     fleet.log.records.truncate(1);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn repeated_checkpoint_keeps_the_last_one_from_retention() {
+fn checkpoint_is_repeated_before_retention_removes_it() {
     let mut fleet = started(2);
     fleet.now += std::time::Duration::from_hours(7);
     fleet.run(8);
--- a/kernel/tests/configuration/placement.rs
+++ b/kernel/tests/configuration/placement.rs
@@ -1,4 +1,4 @@
-//! Engines move to the pool whose demand stays high, and not back and forth.
+//! Engines move to a pool with sustained high demand, without flapping.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -31,7 +31,7 @@
     Duration::from_mins(count)
 }
 
-/// Demand of the two pools that has held since the start.
+/// Constant demand of the two pools since kernel time 0.
 fn demand(chat: f64, tags: f64) -> BTreeMap<PoolId, PoolDemand> {
     let state = |pressure| {
         let mut state = PoolDemand::default();
@@ -63,17 +63,20 @@
     };
 }
 
-decision!(high_and_low_for_long_moves, chat 2.0, tags 0.1, at minutes(3), moved [], Some("chat"));
-decision!(not_long_enough, chat 2.0, tags 0.1, at minutes(1), moved [], None);
-decision!(between_the_marks, chat 1.1, tags 0.1, at minutes(3), moved [], None);
-decision!(nothing_to_spare, chat 2.0, tags 0.6, at minutes(3), moved [], None);
 decision!(
-    moved_lately, chat 2.0, tags 0.1, at minutes(9),
+    sustained_high_and_low_demand_moves_an_engine, chat 2.0, tags 0.1, at minutes(3),
+    moved [], Some("chat")
+);
+decision!(demand_not_sustained_long_enough, chat 2.0, tags 0.1, at minutes(1), moved [], None);
+decision!(demand_between_the_thresholds, chat 1.1, tags 0.1, at minutes(3), moved [], None);
+decision!(no_other_pool_has_low_demand, chat 2.0, tags 0.6, at minutes(3), moved [], None);
+decision!(
+    engine_moved_recently, chat 2.0, tags 0.1, at minutes(9),
     moved [(UpstreamId::named("t2"), Duration::ZERO)], None
 );
 
 #[test]
-fn move_is_ordered_then_published_and_routed_alike_everywhere() {
+fn move_is_ordered_then_published_and_in_force_on_all_nodes() {
     let mut fleet = Fleet::new(3);
     fleet.publish(0, 1, ChangeRecord::from_file("base", &file()));
     fleet.run(2);
@@ -87,19 +90,19 @@
             let from = fleet.nodes[1].id;
             let pool = PoolId::named("chat");
             let message = Message::Work(WorkMessage::Load { pool, load: busy });
-            fleet.give(index, Event::PeerMessage { from, message });
+            fleet.inject(index, Event::PeerMessage { from, message });
         }
         fleet.run(1);
     }
-    let given = fleet.orders.first().cloned().expect("an order was given");
+    let sent = fleet.orders.first().cloned().expect("an order was sent");
     assert_eq!(
-        given.request.order.to_string(),
+        sent.request.order.to_string(),
         "load model chat version newest"
     );
-    fleet.give(
-        given.node,
+    fleet.inject(
+        sent.node,
         Event::OrderAnswered {
-            upstream: given.request.upstream,
+            upstream: sent.request.upstream,
             fencing: fleet.orders.last().expect("an order").fencing,
             accepted: true,
         },
--- a/kernel/tests/configuration/publish.rs
+++ b/kernel/tests/configuration/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing through a node: answers, races, lost responses.
+//! Publishing through a node: answers, races and lost responses.
 
 use monsoonbank_kernel::config::DocumentKey;
 use monsoonbank_kernel::configuration::rollout::PublishProgress;
@@ -18,8 +18,8 @@
     let fleet = started(4);
     assert_eq!(fleet.answers, [(1, PublishResult::Accepted { version: 1 })]);
     assert_eq!(fleet.in_force(), [1, 1, 1, 1]);
-    let whole = PublishProgress { in_force: 4, of: 4 };
-    assert_eq!(fleet.progress.last(), Some(&(1, whole)));
+    let complete = PublishProgress { in_force: 4, of: 4 };
+    assert_eq!(fleet.progress.last(), Some(&(1, complete)));
 }
 
 #[test]
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn lost_response_meets_racing_operator() {
+fn lost_response_with_a_racing_operator() {
     let mut fleet = started(3);
     fleet.log.lose_responses = 1;
     fleet.publish(1, 2, set_workspace("left", "w", 2, 0));
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn progress_leaves_out_a_node_that_is_cut_off() {
+fn progress_excludes_a_partitioned_node() {
     let mut fleet = started(4);
     let cut = fleet.nodes[3].id;
     fleet.publish(0, 2, set_workspace("cut", "w", 2, 0));
@@ -128,6 +128,6 @@
             .retain(|(from, to, _)| *from != cut && *to != cut);
         fleet.step();
     }
-    let (_, progress) = fleet.progress.last().expect("progress was told");
+    let (_, progress) = fleet.progress.last().expect("progress was reported");
     assert_eq!((progress.in_force, progress.of), (3, 4));
 }
--- a/kernel/tests/configuration/rules.rs
+++ b/kernel/tests/configuration/rules.rs
@@ -1,4 +1,4 @@
-//! The rule index keeps to the one-by-one definition.
+//! The rule index agrees with the linear search.
 
 use monsoonbank_kernel::config::rules::first_match;
 use monsoonbank_kernel::config::{RequestFacts, RuleIndex, RuleMatch, RuleSpec, RuleTarget};
--- a/kernel/tests/configuration/support.rs
+++ b/kernel/tests/configuration/support.rs
@@ -1,4 +1,4 @@
-//! A few nodes, a log and the messages between them, all moved by hand.
+//! A simulated fleet: nodes, a log, and messages that the tests deliver explicitly.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,17 +18,17 @@
 };
 use monsoonbank_kernel::wire::Message;
 
-/// The time that a step takes.
+/// Duration of a simulation step.
 pub const STEP: Duration = Duration::from_millis(50);
 
-/// The log service: offsets, retention and faults.
+/// A simulated log with offsets, retention and faults.
 #[derive(Default)]
 pub struct FakeLog {
     pub first: u64,
     pub records: Vec<Record>,
     pub down: bool,
     pub lose_responses: u32,
-    /// Every record ever, for the oracle.
+    /// Every record ever appended, for the oracle.
     pub history: Vec<Record>,
 }
 
@@ -85,9 +85,9 @@
     pub config: Option<Arc<Config>>,
 }
 
-/// An order that a node gave.
+/// An order that a node sent.
 #[derive(Clone, Debug)]
-pub struct GivenOrder {
+pub struct SentOrder {
     pub node: usize,
     pub incarnation: Incarnation,
     pub request: OrderRequest,
@@ -96,7 +96,7 @@
     pub not_after: Duration,
 }
 
-/// Nodes, log and messages under way.
+/// Nodes, the log, and undelivered messages.
 pub struct Fleet {
     pub now: Duration,
     pub log: FakeLog,
@@ -104,8 +104,8 @@
     pub messages: Vec<(NodeId, NodeId, Message)>,
     pub answers: Vec<(u64, PublishResult)>,
     pub progress: Vec<(u64, PublishProgress)>,
-    pub orders: Vec<GivenOrder>,
-    /// What the nodes asked for, a line each.
+    pub orders: Vec<SentOrder>,
+    /// Actions of the nodes, one per line.
     pub trace: Vec<String>,
     ids: Vec<NodeId>,
     incarnation: u64,
@@ -131,7 +131,7 @@
             let node = fleet.start(index);
             fleet.nodes.push(node);
         }
-        fleet.tell_members();
+        fleet.publish_members();
         fleet
     }
 
@@ -148,10 +148,10 @@
             seed: self.incarnation,
             secret: [0; 32],
         };
-        let wanted = |name: &str| matches!(name, "configuration" | "leases" | "placement");
+        let selected = |name: &str| matches!(name, "configuration" | "leases" | "placement");
         TestNode {
             id,
-            kernel: Kernel::with_plugins(profile, wanted),
+            kernel: Kernel::with_plugins(profile, selected),
             alive: true,
             cut_from_log: false,
             paused: false,
@@ -163,15 +163,15 @@
         }
     }
 
-    /// Replaces a node by one that has kept nothing.
+    /// Replaces a node by a new run without any state.
     pub fn replace(&mut self, index: usize) {
         let node = self.start(index);
         self.nodes[index] = node;
-        self.tell_members();
+        self.publish_members();
     }
 
-    /// Tells every node which nodes live.
-    pub fn tell_members(&mut self) {
+    /// Sends the current membership view to every node.
+    pub fn publish_members(&mut self) {
         let members = self.nodes.iter().filter(|node| node.alive).map(|node| {
             let member = Member {
                 name: node.kernel.profile().name.clone(),
@@ -188,17 +188,17 @@
             members: members.collect(),
         });
         for index in 0..self.nodes.len() {
-            self.give(index, Event::MembersChanged(Arc::clone(&view)));
+            self.inject(index, Event::MembersChanged(Arc::clone(&view)));
         }
     }
 
-    pub fn give(&mut self, index: usize, event: Event) {
+    pub fn inject(&mut self, index: usize, event: Event) {
         let now = self.now;
-        self.give_at(index, now, event);
+        self.inject_at(index, now, event);
     }
 
-    /// Gives a node an event at a time of its own.
-    pub fn give_at(&mut self, index: usize, now: Duration, event: Event) {
+    /// Injects an event at a time that differs from the fleet's.
+    pub fn inject_at(&mut self, index: usize, now: Duration, event: Event) {
         let node = &mut self.nodes[index];
         if !node.alive || node.paused {
             return;
@@ -224,7 +224,7 @@
                     request,
                     fencing,
                     not_after,
-                } => self.orders.push(GivenOrder {
+                } => self.orders.push(SentOrder {
                     node: index,
                     incarnation: node.kernel.profile().incarnation,
                     request,
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Answers a node's read and appends as the log would.
+    /// Answers a node's pending read and appends.
     pub fn serve_log(&mut self, index: usize) {
         if self.nodes[index].paused {
             return;
@@ -265,7 +265,7 @@
                 let offset = self.log.append(record);
                 AppendResult::Appended { offset }
             };
-            self.give(index, Event::AppendDone { ticket, result });
+            self.inject(index, Event::AppendDone { ticket, result });
         }
         let Some(from) = self.nodes[index].read else {
             return;
@@ -281,10 +281,10 @@
             return;
         }
         self.nodes[index].read = None;
-        self.give(index, event);
+        self.inject(index, event);
     }
 
-    /// Delivers the oldest message.
+    /// Delivers the oldest undelivered message.
     pub fn deliver_next(&mut self) {
         if !self.messages.is_empty() {
             let (from, to, message) = self.messages.remove(0);
@@ -294,15 +294,16 @@
 
     pub fn deliver(&mut self, from: NodeId, to: NodeId, message: Message) {
         if let Some(index) = self.nodes.iter().position(|node| node.id == to) {
-            self.give(index, Event::PeerMessage { from, message });
+            self.inject(index, Event::PeerMessage { from, message });
         }
     }
 
-    /// Lets one step of time pass with everything working as it is set.
+    /// Advances the time by one step, in which every node ticks, the log answers and all messages
+    /// arrive.
     pub fn step(&mut self) {
         self.now += STEP;
         for index in 0..self.nodes.len() {
-            self.give(index, Event::Tick);
+            self.inject(index, Event::Tick);
             self.serve_log(index);
         }
         for _ in 0..self.messages.len() {
@@ -318,7 +319,7 @@
 
     pub fn publish(&mut self, index: usize, request: u64, record: ChangeRecord) {
         let request = RequestTicket(request);
-        self.give(index, Event::PublishRequested { request, record });
+        self.inject(index, Event::PublishRequested { request, record });
     }
 
     pub fn answer(&self, request: u64) -> Option<&PublishResult> {
@@ -328,16 +329,16 @@
             .map(|(_, result)| result)
     }
 
-    /// The versions in force on the nodes that live.
+    /// The versions in force on the live nodes.
     pub fn in_force(&self) -> Vec<u64> {
         let live = self.nodes.iter().filter(|node| node.alive);
         live.map(TestNode::version).collect()
     }
 }
 
-/// A line of the trace; none for what is not of interest.
+/// The trace line of an action; `None` if the trace leaves it out.
 fn line(index: usize, now: Duration, action: &Action, ids: &[NodeId]) -> Option<String> {
-    let told = match action {
+    let text = match action {
         Action::Send { to, message } => {
             let to = ids.iter().position(|id| id == to)?;
             format!("to node-{to}: {}", short(message))
@@ -360,7 +361,7 @@
         } => format!("orders {} with {fencing}", request.order),
         _ => return None,
     };
-    Some(format!("{:.2} node-{index} {told}", now.as_secs_f64()))
+    Some(format!("{:.2} node-{index} {text}", now.as_secs_f64()))
 }
 
 fn short(message: &Message) -> String {
--- a/kernel/tests/members_fuzz.rs
+++ b/kernel/tests/members_fuzz.rs
@@ -1,4 +1,5 @@
-//! Membership against a simple oracle, with messages dropped, doubled, delayed and reordered.
+//! Membership compared with a simple model, with messages dropped, duplicated, delayed and
+//! reordered.
 
 mod common;
 
@@ -19,64 +20,65 @@
     Drain(usize),
     Cut(usize, usize),
     List(usize),
-    Chaos(u64, u8),
+    DisturbMessages(u64, u8),
     Settle,
 }
 
-/// What is true of a node: its run, and whether that run was told to leave.
+/// Expected state of the fleet: the current run of each node, and whether that run was drained.
 #[derive(Clone, Debug, Default)]
-struct Truth {
+struct ExpectedState {
     runs: BTreeMap<usize, (u64, bool)>,
-    /// Runs that ever were: a run's number is never given twice.
-    past: BTreeSet<(usize, u64)>,
+    /// All runs so far. The number of a run is never reused.
+    past_runs: BTreeSet<(usize, u64)>,
 }
 
 struct Model;
 
 impl ReferenceStateMachine for Model {
-    type State = Truth;
+    type State = ExpectedState;
     type Transition = Step;
 
-    fn init_state() -> BoxedStrategy<Truth> {
+    fn init_state() -> BoxedStrategy<ExpectedState> {
         let runs = (0..NODES.len()).map(|node| (node, (100, false))).collect();
-        let past = (0..NODES.len()).map(|node| (node, 100)).collect();
-        Just(Truth { runs, past }).boxed()
+        let past_runs = (0..NODES.len()).map(|node| (node, 100)).collect();
+        Just(ExpectedState { runs, past_runs }).boxed()
     }
 
-    fn transitions(_: &Truth) -> BoxedStrategy<Step> {
+    fn transitions(_: &ExpectedState) -> BoxedStrategy<Step> {
         let node = 0..NODES.len();
         prop_oneof![
-            2 => (node.clone(), any::<bool>()).prop_map(|(n, seen)| Step::Kill(n, seen)),
+            2 => (node.clone(), any::<bool>()).prop_map(|(n, detected)| Step::Kill(n, detected)),
             3 => (node.clone(), 1_u64..300).prop_map(|(n, run)| Step::Start(n, run)),
             1 => node.clone().prop_map(Step::Drain),
             2 => (node.clone(), node.clone()).prop_map(|(a, b)| Step::Cut(a, b)),
             1 => node.prop_map(Step::List),
-            6 => (any::<u64>(), 1_u8..80).prop_map(|(seed, ticks)| Step::Chaos(seed, ticks)),
+            6 => (any::<u64>(), 1_u8..80)
+                .prop_map(|(seed, ticks)| Step::DisturbMessages(seed, ticks)),
             1 => Just(Step::Settle),
         ]
         .boxed()
     }
 
-    fn apply(mut truth: Truth, step: &Step) -> Truth {
+    fn apply(mut expected_state: ExpectedState, step: &Step) -> ExpectedState {
         match step {
-            Step::Kill(node, _) => drop(truth.runs.remove(node)),
+            Step::Kill(node, _) => drop(expected_state.runs.remove(node)),
             Step::Start(node, run) => {
-                truth.past.insert((*node, *run));
-                truth.runs.insert(*node, (*run, false));
+                expected_state.past_runs.insert((*node, *run));
+                expected_state.runs.insert(*node, (*run, false));
             }
             Step::Drain(node) => {
-                if let Some(state) = truth.runs.get_mut(node) {
+                if let Some(state) = expected_state.runs.get_mut(node) {
                     state.1 = true;
                 }
             }
             _ => {}
         }
-        truth
+        expected_state
     }
 
-    fn preconditions(truth: &Truth, step: &Step) -> bool {
+    fn preconditions(expected_state: &ExpectedState, step: &Step) -> bool {
         match step {
-            Step::Start(node, run) => !truth.past.contains(&(*node, *run)),
+            Step::Start(node, run) => !expected_state.past_runs.contains(&(*node, *run)),
             _ => true,
         }
     }
@@ -84,12 +86,12 @@
 
 struct System {
     fleet: Fleet,
-    /// Seer's run, subject's run: seen leaving.
+    /// Observations of a leaving node: observer, its run, subject, the subject's run.
     leaving: BTreeSet<(usize, u64, usize, u64)>,
 }
 
 impl System {
-    fn chaos(&mut self, mut seed: u64, ticks: u8) {
+    fn disturb_messages(&mut self, mut seed: u64, ticks: u8) {
         for _ in 0..ticks {
             self.fleet.now += STEP;
             for (name, _) in NODES {
@@ -113,34 +115,35 @@
         }
     }
 
-    fn check_converged(&mut self, truth: &Truth) {
+    fn check_converged(&mut self, expected_state: &ExpectedState) {
         self.fleet.cut.clear();
         self.fleet.settle();
         self.fleet.run(Duration::from_secs(40));
-        for seer in truth.runs.keys() {
+        for observer in expected_state.runs.keys() {
             for (subject, (name, _)) in NODES.iter().enumerate() {
-                let expected = match truth.runs.get(&subject) {
+                let expected = match expected_state.runs.get(&subject) {
                     None => "dead",
                     Some((_, true)) => "leaving",
                     Some((_, false)) => "live",
                 };
-                let seen = self.fleet.sees(NODES[*seer].0, name);
-                assert_eq!(seen, expected, "{} sees {name}", NODES[*seer].0);
+                let seen = self.fleet.sees(NODES[*observer].0, name);
+                assert_eq!(seen, expected, "{} sees {name}", NODES[*observer].0);
             }
         }
     }
 }
 
 impl System {
-    /// How each running node sees each node: seer, its run, subject, the run seen, state.
-    fn views(&self, truth: &Truth) -> Vec<((usize, u64, usize, u64), String)> {
+    /// View of each running node on each node: observer, its run, subject, the subject's run,
+    /// state.
+    fn views(&self, expected_state: &ExpectedState) -> Vec<((usize, u64, usize, u64), String)> {
         let mut views = Vec::new();
-        for (seer, (run, _)) in &truth.runs {
-            let dump = self.fleet.dump(NODES[*seer].0, "membership");
+        for (observer, (run, _)) in &expected_state.runs {
+            let dump = self.fleet.dump(NODES[*observer].0, "membership");
             for row in dump["members"].as_array().into_iter().flatten() {
                 let subject = NODES.iter().position(|(name, _)| row["name"] == *name);
                 let key = (
-                    *seer,
+                    *observer,
                     *run,
                     subject.unwrap(),
                     row["incarnation"].as_u64().unwrap(),
@@ -151,8 +154,8 @@
         views
     }
 
-    fn note_leaving(&mut self, truth: &Truth) {
-        let views = self.views(truth).into_iter();
+    fn record_leaving(&mut self, expected_state: &ExpectedState) {
+        let views = self.views(expected_state).into_iter();
         let leaving = views.filter(|(_, state)| state == "leaving");
         self.leaving.extend(leaving.map(|(key, _)| key));
     }
@@ -162,17 +165,17 @@
     type SystemUnderTest = Self;
     type Reference = Model;
 
-    fn init_test(_: &Truth) -> Self {
+    fn init_test(_: &ExpectedState) -> Self {
         Self {
             fleet: Fleet::new(&NODES),
             leaving: BTreeSet::new(),
         }
     }
 
-    fn apply(mut system: Self, truth: &Truth, step: Step) -> Self {
+    fn apply(mut system: Self, expected_state: &ExpectedState, step: Step) -> Self {
         let fleet = &mut system.fleet;
         match step {
-            Step::Kill(node, seen) => fleet.kill(NODES[node].0, seen),
+            Step::Kill(node, detected) => fleet.kill(NODES[node].0, detected),
             Step::Start(node, run) => fleet.start(NODES[node].0, NODES[node].1, run),
             Step::Drain(node) => fleet.give(id(NODES[node].0), Event::DrainNode),
             Step::Cut(a, b) => drop(fleet.cut.insert((id(NODES[a].0), id(NODES[b].0)))),
@@ -180,15 +183,15 @@
                 let hosts = fleet.hosts.clone();
                 fleet.give(id(NODES[node].0), Event::HostList(hosts));
             }
-            Step::Chaos(seed, ticks) => system.chaos(seed, ticks),
-            Step::Settle => system.check_converged(truth),
+            Step::DisturbMessages(seed, ticks) => system.disturb_messages(seed, ticks),
+            Step::Settle => system.check_converged(expected_state),
         }
-        system.note_leaving(truth);
+        system.record_leaving(expected_state);
         system
     }
 
-    fn check_invariants(system: &Self, truth: &Truth) {
-        for (key, state) in system.views(truth) {
+    fn check_invariants(system: &Self, expected_state: &ExpectedState) {
+        for (key, state) in system.views(expected_state) {
             if key.0 == key.2 {
                 assert!(
                     state == "live" || state == "leaving",
@@ -205,5 +208,5 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn views_converge_on_what_is_true(sequential 1..40 => System);
+    fn views_converge_on_the_expected_state(sequential 1..40 => System);
 }
--- a/kernel/tests/membership.rs
+++ b/kernel/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership under the failures that it is meant for.
+//! Membership under node, link, zone and host list failures.
 
 mod common;
 
@@ -37,7 +37,7 @@
 }
 
 cases! {
-    a_quiet_fleet_is_live => {
+    all_nodes_are_live_without_faults => {
         let fleet = fleet();
         for (name, _) in NODES {
             assert!(all_see(&fleet, name, "live"), "{name}");
@@ -49,13 +49,13 @@
         fleet.run(Duration::from_secs(3));
         assert!(all_see(&fleet, "b1", "dead"));
     };
-    a_broken_link_makes_it_quicker => {
+    a_broken_link_speeds_up_detection => {
         let mut fleet = fleet();
         fleet.kill("b1", true);
         fleet.run(Duration::from_millis(1_200));
         assert!(all_see(&fleet, "b1", "dead"));
     };
-    one_broken_link_kills_nobody => {
+    one_broken_link_marks_no_node_dead => {
         let mut fleet = fleet();
         fleet.part(&["a1"], &["b1"]);
         fleet.give(id("a1"), Event::LinkDown(id("b1")));
@@ -67,7 +67,7 @@
             assert_ne!(fleet.sees("a1", "b1"), "dead");
         }
     };
-    a_one_way_link_kills_nobody => {
+    a_one_way_link_marks_no_node_dead => {
         let mut fleet = fleet();
         fleet.cut.insert((id("a1"), id("b1")));
         for _ in 0..300 {
@@ -78,7 +78,7 @@
             }
         }
     };
-    a_node_that_hears_nobody_does_not_talk_the_others_dead => {
+    an_isolated_node_does_not_report_the_others_dead => {
         let mut fleet = fleet();
         for name in ["a2", "b1", "b2", "c1"] {
             fleet.cut.insert((id(name), id("a1")));
@@ -95,7 +95,7 @@
             assert!(all_see(&fleet, name, "live"), "{name}");
         }
     };
-    a_paused_node_comes_back => {
+    a_paused_node_is_live_again_once_it_resumes => {
         let mut fleet = fleet();
         let paused = fleet.kernels.remove(&id("b2")).unwrap();
         fleet.run(Duration::from_mins(1));
@@ -104,7 +104,7 @@
         fleet.run(Duration::from_secs(15));
         assert!(all_see(&fleet, "b2", "live"));
     };
-    a_crashed_host_that_the_list_still_shows_is_dead => {
+    a_crashed_host_that_is_still_listed_is_dead => {
         let mut fleet = fleet();
         fleet.kill("c1", true);
         for _ in 0..20 {
@@ -113,7 +113,7 @@
         }
         assert!(all_see(&fleet, "c1", "dead"));
     };
-    a_run_whose_clock_stepped_back_gets_past_its_predecessor => {
+    a_run_with_a_clock_set_back_supersedes_its_predecessor => {
         let mut fleet = fleet();
         fleet.kill("c1", true);
         fleet.run(Duration::from_secs(10));
@@ -121,7 +121,7 @@
         fleet.run(Duration::from_secs(10));
         assert!(all_see(&fleet, "c1", "live"));
     };
-    a_quick_restart_with_a_clock_stepped_back_is_noticed => {
+    a_quick_restart_with_a_clock_set_back_is_detected => {
         let mut fleet = fleet();
         fleet.kill("c1", true);
         fleet.start("c1", "c", 3);
@@ -131,7 +131,7 @@
         let row = members.as_array().unwrap().iter().find(|row| row["name"] == "c1").unwrap();
         assert_eq!(row["incarnation"], 3);
     };
-    leaving_is_sticky_for_a_run_and_ends_with_it => {
+    leaving_lasts_for_a_run_and_ends_with_it => {
         let mut fleet = fleet();
         fleet.give(id("b1"), Event::DrainNode);
         fleet.run(Duration::from_millis(200));
@@ -147,7 +147,7 @@
         fleet.run(Duration::from_secs(3));
         assert!(all_see(&fleet, "b1", "live"));
     };
-    a_leaving_flag_of_the_list_is_for_the_run_that_it_rose_for => {
+    a_leaving_flag_in_the_list_applies_to_the_current_run_only => {
         let mut fleet = fleet();
         fleet.hosts[2].leaving = true;
         fleet.list();
@@ -162,7 +162,7 @@
         fleet.run(Duration::from_mins(1));
         assert!(all_see(&fleet, "b1", "live"));
     };
-    an_empty_host_list_takes_nobody_down => {
+    an_empty_host_list_marks_no_node_dead => {
         let mut fleet = fleet();
         fleet.hosts.clear();
         fleet.list();
@@ -171,7 +171,7 @@
             assert!(all_see(&fleet, name, "live"), "{name}");
         }
     };
-    a_zone_cut_off_and_healed_ends_in_one_view => {
+    views_converge_after_a_zone_partition_heals => {
         let mut fleet = fleet();
         fleet.part(&["a1", "a2"], &["b1", "b2", "c1"]);
         fleet.run(Duration::from_mins(10));
@@ -186,7 +186,7 @@
         }
         assert!(fleet.delivered < 2_000, "{} messages", fleet.delivered);
     };
-    all_replaced_at_once => {
+    all_nodes_replaced_at_once_are_live => {
         let mut fleet = fleet();
         for (name, _) in NODES {
             fleet.kill(name, true);
@@ -199,7 +199,7 @@
             assert!(all_see(&fleet, name, "live"), "{name}");
         }
     };
-    half_replaced_at_once => {
+    half_of_the_nodes_replaced_at_once_are_live => {
         let mut fleet = fleet();
         for (name, zone) in &NODES[..3] {
             fleet.kill(name, true);
@@ -210,7 +210,7 @@
             assert!(all_see(&fleet, name, "live"), "{name}");
         }
     };
-    an_upstream_that_leaves_is_known_everywhere_until_registered_anew => {
+    a_leaving_upstream_is_marked_on_all_nodes_until_registered_again => {
         let mut fleet = fleet();
         fleet.hosts.push(host("e1", "a", HostRole::Upstream));
         fleet.hosts.push(host("e2", "a", HostRole::Upstream));
--- a/kernel/tests/ownership.rs
+++ b/kernel/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Ownership: zones, moves, and that working out only what changed gives the same owners.
+//! Ownership: zones, moves, and equality of incremental and full computation.
 
 mod common;
 
@@ -42,7 +42,7 @@
     NodeId::named(&format!("node-{index}"))
 }
 
-/// Nodes in the first three zones in turn, in these states.
+/// Nodes with these states, placed in the first three zones in rotation.
 fn view(states: &[NodeState]) -> MemberView {
     let members = states.iter().enumerate().map(|(n, state)| {
         let zone = ZONES[n % 3];
@@ -69,7 +69,7 @@
         .count()
 }
 
-fn with(state: NodeState) -> (OwnerMap, OwnerMap) {
+fn owners_with(state: NodeState) -> (OwnerMap, OwnerMap) {
     let mut states = [NodeState::Live; 9];
     let before = assign(&config(36), &view(&states));
     states[0] = state;
@@ -81,8 +81,8 @@
 }
 
 #[test]
-fn a_nodes_zone_comes_first_and_a_zone_without_nodes_is_served_by_others() {
-    let (owners, _) = with(NodeState::Live);
+fn owners_are_in_the_own_zone_or_in_any_if_that_has_no_nodes() {
+    let (owners, _) = owners_with(NodeState::Live);
     assert_eq!(owners.owners.len(), 36);
     for index in 0..36 {
         let owner = owners.owners[&UpstreamId::named(&format!("engine-{index}"))];
@@ -92,14 +92,14 @@
 }
 
 #[test]
-fn a_suspect_keeps_what_it_owns() {
-    let (before, after) = with(NodeState::Suspect);
+fn a_suspect_node_keeps_its_upstreams() {
+    let (before, after) = owners_with(NodeState::Suspect);
     assert_eq!(before, after);
 }
 
 #[test]
-fn a_leaving_node_loses_what_it_owns_and_little_else_moves() {
-    let (before, after) = with(NodeState::Leaving);
+fn a_leaving_node_loses_its_upstreams_and_few_others_move() {
+    let (before, after) = owners_with(NodeState::Leaving);
     let lost = owned(&before, node(0));
     assert_eq!(owned(&after, node(0)), 0);
     assert!(lost > 0);
@@ -107,8 +107,8 @@
 }
 
 #[test]
-fn a_zones_load_is_bounded() {
-    let (owners, _) = with(NodeState::Live);
+fn load_of_nodes_in_a_zone_is_bounded() {
+    let (owners, _) = owners_with(NodeState::Live);
     let mut loads: BTreeMap<NodeId, usize> = BTreeMap::new();
     let in_zone = (0..36).filter(|index| index % 4 == 0);
     for index in in_zone {
@@ -132,7 +132,7 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn owners_do_not_depend_on_what_came_before(
+    fn owners_do_not_depend_on_earlier_states(
         steps in proptest::collection::vec((states(), 0_usize..40), 1..8),
     ) {
         let mut kernel = Kernel::new(profile("node-0", "a", 1));
--- a/kernel/tests/replacement.rs
+++ b/kernel/tests/replacement.rs
@@ -1,4 +1,5 @@
-//! A rolling replacement as a golden session, and a planned stop that waits for a stream.
+//! A rolling replacement as a golden session, planned shutdown during a stream, and caller
+//! addresses.
 
 mod common;
 
@@ -26,7 +27,7 @@
 rules: [{ name: all, then: { class: urgent } }]
 ";
 
-/// What every node sees, written down when it changes.
+/// Records the membership view of every node whenever it changes.
 struct Session {
     fleet: Fleet,
     seen: BTreeMap<(&'static str, &'static str), String>,
@@ -34,21 +35,21 @@
 }
 
 impl Session {
-    fn note(&mut self, line: &str) {
+    fn add_line(&mut self, line: &str) {
         let time = self.fleet.now.as_secs_f64();
         self.lines.push(format!("{time:7.2} {line}"));
     }
 
-    fn look(&mut self) {
-        for (seer, _) in NODES {
-            if !self.fleet.kernels.contains_key(&id(seer)) {
+    fn record_views(&mut self) {
+        for (observer, _) in NODES {
+            if !self.fleet.kernels.contains_key(&id(observer)) {
                 continue;
             }
             for (node, _) in NODES {
-                let state = self.fleet.sees(seer, node);
-                let before = self.seen.insert((seer, node), state.clone());
+                let state = self.fleet.sees(observer, node);
+                let before = self.seen.insert((observer, node), state.clone());
                 if before.as_deref() != Some(&state) {
-                    self.note(&format!("  {seer} sees {node} {state}"));
+                    self.add_line(&format!("  {observer} sees {node} {state}"));
                 }
             }
         }
@@ -58,11 +59,11 @@
         let end = self.fleet.now + time;
         while self.fleet.now < end {
             self.fleet.run(STEP);
-            self.look();
+            self.record_views();
             for (node, action) in std::mem::take(&mut self.fleet.actions) {
                 let name = NODES.iter().find(|(name, _)| id(name) == node);
                 if let (Action::Exit, Some((name, _))) = (action, name) {
-                    self.note(&format!("  {name} exits"));
+                    self.add_line(&format!("  {name} exits"));
                 }
             }
         }
@@ -70,11 +71,11 @@
 
     fn replace(&mut self, index: usize) {
         let (name, zone) = NODES[index];
-        self.note(&format!("{name} is told to leave"));
+        self.add_line(&format!("{name} is told to leave"));
         self.fleet.give(id(name), Event::DrainNode);
         self.run(Duration::from_secs(7));
         self.fleet.kill(name, true);
-        self.note(&format!("{name} is gone, its replacement starts"));
+        self.add_line(&format!("{name} is gone, its replacement starts"));
         self.run(Duration::from_secs(2));
         self.fleet.start(name, zone, 200);
         self.run(Duration::from_secs(3));
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn a_planned_stop_waits_for_a_stream_in_flight() {
+fn a_planned_shutdown_waits_for_an_open_stream() {
     let mut fleet = Fleet::new(&NODES[..1]);
     let file = serde_yaml_ng::from_str(CONFIG).unwrap();
     let config = Arc::new(Config::from_file(1, &file));
@@ -154,7 +155,7 @@
 }
 
 #[test]
-fn addresses_name_live_nodes_only_the_callers_zone_first() {
+fn addresses_are_of_live_nodes_with_the_callers_zone_first() {
     let mut fleet = Fleet::new(&[("a1", "a"), ("a2", "a"), ("b1", "b"), ("c1", "c")]);
     fleet.run(Duration::from_secs(2));
     fleet.give(id("a2"), Event::DrainNode);
@@ -166,7 +167,7 @@
     assert_eq!(addresses, ["call-a1", "call-b1"]);
 }
 
-/// The view that the node works with: what a fresh list makes it tell again.
+/// The current view of a node, which it publishes again when the host list changes.
 fn view_of(fleet: &mut Fleet, name: &str) -> MemberView {
     let kernel: &mut Kernel = fleet.kernels.get_mut(&id(name)).unwrap();
     let mut hosts = fleet.hosts.clone();
--- a/kernel/tests/zones.rs
+++ b/kernel/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Membership of a fleet of several zones, each a group of its own.
+//! Membership of a fleet of several zones, each of them a group.
 
 mod common;
 
@@ -33,7 +33,7 @@
     fleet
 }
 
-fn seers(fleet: &Fleet, other: &str, state: &str) -> usize {
+fn observers(fleet: &Fleet, other: &str, state: &str) -> usize {
     names_of(&ZONES)
         .iter()
         .filter(|name| fleet.kernels.contains_key(&id(name)))
@@ -50,7 +50,7 @@
 
 fn assert_all_live(fleet: &Fleet) {
     for name in names_of(&ZONES) {
-        assert_eq!(seers(fleet, &name, "live"), 45, "{name}");
+        assert_eq!(observers(fleet, &name, "live"), 45, "{name}");
     }
 }
 
@@ -61,28 +61,28 @@
 }
 
 cases! {
-    a_quiet_fleet_is_live => assert_all_live(&fleet());
-    a_killed_node_is_known_in_all_zones_within_three_seconds => {
+    all_nodes_are_live_without_faults => assert_all_live(&fleet());
+    a_killed_node_is_dead_in_all_zones_within_three_seconds => {
         let mut fleet = fleet();
         fleet.kill("b3", false);
         fleet.run(Duration::from_secs(3));
-        assert_eq!(seers(&fleet, "b3", "dead"), 44);
+        assert_eq!(observers(&fleet, "b3", "dead"), 44);
     };
-    a_killed_bridge_is_known_in_all_zones => {
+    a_killed_bridge_is_dead_in_all_zones => {
         let mut fleet = fleet();
         let bridge = first_bridge(&fleet, "b");
         fleet.kill(&bridge, false);
         fleet.run(Duration::from_secs(5));
-        assert_eq!(seers(&fleet, &bridge, "dead"), 44);
+        assert_eq!(observers(&fleet, &bridge, "dead"), 44);
         fleet.start(&bridge, "b", 200);
         fleet.run(Duration::from_secs(5));
-        assert_eq!(seers(&fleet, &bridge, "live"), 45);
+        assert_eq!(observers(&fleet, &bridge, "live"), 45);
     };
-    a_leaving_node_is_known_in_all_zones_within_a_second => {
+    a_leaving_node_is_leaving_in_all_zones_within_a_second => {
         let mut fleet = fleet();
         fleet.give(id("c4"), Event::DrainNode);
         fleet.run(Duration::from_secs(1));
-        assert_eq!(seers(&fleet, "c4", "leaving"), 45);
+        assert_eq!(observers(&fleet, "c4", "leaving"), 45);
     };
     a_leaving_upstream_is_known_in_all_zones_within_a_second => {
         let mut fleet = fleet();
@@ -93,13 +93,13 @@
             assert_eq!(leaving.as_array().map(Vec::len), Some(1), "{name}");
         }
     };
-    a_zone_cut_off_for_an_hour_returns_without_a_storm => {
+    a_zone_partitioned_for_an_hour_returns_without_a_message_storm => {
         let mut fleet = fleet();
         fleet.part(&names_of(&["a"]), &names_of(&["b", "c"]));
         fleet.run(Duration::from_secs(30));
-        assert_eq!(seers(&fleet, "a0", "dead"), 30);
-        assert_eq!(seers(&fleet, "b0", "dead"), 15);
-        assert_eq!(seers(&fleet, "c0", "live"), 30);
+        assert_eq!(observers(&fleet, "a0", "dead"), 30);
+        assert_eq!(observers(&fleet, "b0", "dead"), 15);
+        assert_eq!(observers(&fleet, "c0", "live"), 30);
         fleet.run(Duration::from_hours(1));
         fleet.kill("a7", false);
         fleet.run(Duration::from_secs(10));
@@ -109,19 +109,19 @@
         fleet.cut.clear();
         fleet.delivered = 0;
         fleet.run(Duration::from_secs(30));
-        assert_eq!(seers(&fleet, "b7", "dead"), 44);
-        assert_eq!(seers(&fleet, "a7", "live"), 44);
-        assert_eq!(seers(&fleet, "a0", "live"), 44);
-        // About ten messages a node-second are usual.
+        assert_eq!(observers(&fleet, "b7", "dead"), 44);
+        assert_eq!(observers(&fleet, "a7", "live"), 44);
+        assert_eq!(observers(&fleet, "a0", "live"), 44);
+        // A healthy fleet sends about ten messages per node and second.
         assert!(fleet.delivered < 44 * 30 * 8, "{} messages", fleet.delivered);
     };
-    a_lost_zone_is_given_up_and_its_replacement_taken_in => {
+    a_lost_zone_is_dead_and_its_replacement_is_accepted => {
         let mut fleet = fleet();
         for name in names_of(&["c"]) {
             fleet.kill(&name, false);
         }
         fleet.run(Duration::from_secs(20));
-        assert_eq!(seers(&fleet, "c5", "dead"), 30);
+        assert_eq!(observers(&fleet, "c5", "dead"), 30);
         for name in names_of(&["c"]) {
             fleet.start(&name, "c", 200);
         }
