--- a/kernel/src/config/locate.rs
+++ b/kernel/src/config/locate.rs
@@ -94,7 +94,7 @@
         })
 }
 
-const TARGET_FOUND: &str = "the field that is looked for";
+const TARGET_FOUND: &str = "target field reached";
 
 struct PathWalk<'a> {
     steps: &'a [PathStep],
--- a/kernel/src/configuration.rs
+++ b/kernel/src/configuration.rs
@@ -150,7 +150,11 @@
         if let Some(head) = self.fold.lease() {
             context.raise(Event::LeaseSeen(head.clone()));
         }
-        let seen: Vec<Box<str>> = self.fold.seen().map(|change| change.id.clone()).collect();
+        let seen: Vec<Box<str>> = self
+            .fold
+            .retained()
+            .map(|change| change.id.clone())
+            .collect();
         for id in seen {
             self.answer(&id, context);
         }
--- a/kernel/src/configuration/checkpoint.rs
+++ b/kernel/src/configuration/checkpoint.rs
@@ -42,7 +42,7 @@
 /// Encodes the state as checkpoint parts. The same state yields the same parts.
 pub fn parts(fold: &ConfigFold) -> Vec<CheckpointRecord> {
     let list = fold.documents();
-    let seen: Vec<FoldedChange> = fold.seen().cloned().collect();
+    let seen: Vec<FoldedChange> = fold.retained().cloned().collect();
     let whole = serde_json::to_vec(&(&list, &seen, fold.lease())).unwrap_or_default();
     let template = CheckpointRecord {
         through: fold.next(),
--- a/kernel/src/configuration/fold.rs
+++ b/kernel/src/configuration/fold.rs
@@ -100,7 +100,7 @@
     }
 
     /// The retained results of changes, oldest first.
-    pub fn seen(&self) -> impl Iterator<Item = &FoldedChange> {
+    pub fn retained(&self) -> impl Iterator<Item = &FoldedChange> {
         self.retained.iter().filter_map(|id| self.results.get(id))
     }
 
--- a/kernel/src/membership.rs
+++ b/kernel/src/membership.rs
@@ -191,9 +191,9 @@
         }
     }
 
-    /// Records that a message of this node arrived. It proves that the path from the sender works,
-    /// so any local suspicion of the sender is cleared; contact with a node of the group also shows
-    /// that this node is not isolated.
+    /// Records that a message from another node arrived. It proves that the path from the sender
+    /// works, so any local suspicion of the sender is cleared. Contact with a node of the group also
+    /// shows that this node is not isolated.
     fn record_contact(&mut self, from: NodeId, now: Duration) {
         if self.group.ring.binary_search(&from).is_ok() || self.group.dead.contains(&from) {
             self.prober.record_contact(now);
