--- a/daemon/src/gateway/limits.rs
+++ b/daemon/src/gateway/limits.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use monsoonbank_kernel::gateway::fleet::SharedLimit;
+use monsoonbank_kernel::gateway::gossip::GossipUrgency;
 use monsoonbank_kernel::gateway::registry::{Upstream, UpstreamKey, UpstreamRegistry};
-use monsoonbank_kernel::gateway::spread::SpreadNews;
-use monsoonbank_kernel::gateway::throttle::{LimitReport, NamedLimit};
+use monsoonbank_kernel::gateway::throttle::{AdvertisedLimit, LimitReport};
 
 use crate::gateway::Gateway;
 use crate::gateway::decisions::Decision;
@@ -17,8 +17,8 @@
 const OWN_SOURCE: &str = "own";
 
 /// Takes in what an answer of an upstream says of its limit.
-pub fn answered(gateway: &Gateway, key: UpstreamKey, per_second: Option<f64>) {
-    let said = NamedLimit {
+pub fn record_limit(gateway: &Gateway, key: UpstreamKey, per_second: Option<f64>) {
+    let said = AdvertisedLimit {
         per_second,
         at: gateway.now(),
     };
@@ -26,17 +26,17 @@
 }
 
 /// Takes in what another node says of limits.
-pub fn take_reports(gateway: &Gateway, reports: &[LimitReport], source: &str) {
+pub fn merge_reports(gateway: &Gateway, reports: &[LimitReport], source: &str) {
     for report in reports {
         let key = gateway.registry.borrow().by_hash(report.run);
         if let Some(key) = key {
-            observe(gateway, key, report.named(gateway.now()), source);
+            observe(gateway, key, report.advertised(gateway.now()), source);
         }
     }
 }
 
 /// Reports for the next heartbeat: what upstreams said last.
-pub fn news(registry: &UpstreamRegistry, now: Duration) -> Vec<LimitReport> {
+pub fn recent_reports(registry: &UpstreamRegistry, now: Duration) -> Vec<LimitReport> {
     let report = |upstream: &Upstream| upstream.throttle.report(upstream.entry.run_hash(), now);
     let mut reports: Vec<LimitReport> = registry.newest().filter_map(report).collect();
     reports.sort_by_key(|report| Reverse(report.age_ms));
@@ -44,7 +44,7 @@
 }
 
 /// Sets this node's share of each limit by the nodes that it knows.
-pub fn share_out(gateway: &Gateway) {
+pub fn update_shares(gateway: &Gateway) {
     let now = gateway.now();
     let limited: Vec<UpstreamKey> = gateway
         .registry
@@ -76,7 +76,7 @@
     upstream.throttle.set_share(share, now);
 }
 
-fn observe(gateway: &Gateway, key: UpstreamKey, said: NamedLimit, source: &str) {
+fn observe(gateway: &Gateway, key: UpstreamKey, said: AdvertisedLimit, source: &str) {
     let now = gateway.now();
     let mut registry = gateway.registry.borrow_mut();
     let Some(upstream) = registry.get_mut(key) else {
@@ -85,12 +85,12 @@
     if !upstream.throttle.observe(said, now) {
         return;
     }
-    gateway.decisions.line(&Decision::LimitChanged {
+    gateway.decisions.record(&Decision::LimitChanged {
         upstream: &upstream.entry.id,
         per_second: said.per_second,
         source,
     });
     drop(registry);
-    gateway.tell(SpreadNews::All);
+    gateway.propagate(GossipUrgency::All);
     set_share(gateway, key, now);
 }
--- a/daemon/src/gateway/scaling.rs
+++ b/daemon/src/gateway/scaling.rs
@@ -13,7 +13,7 @@
 use crate::gateway::Gateway;
 use crate::gateway::decisions::Decision;
 use crate::gateway::duties::DutyState;
-use crate::gateway::reports::{CALL_PATIENCE, begin_call};
+use crate::gateway::reports::{CALL_TIMEOUT, begin_call};
 use crate::gateway::settings::DutyName;
 
 /// Time between two looks at what is due.
@@ -55,7 +55,7 @@
             if &*upstream.entry.pool == pool {
                 load.calls += upstream.load.total(now).calls;
                 load.slots = load.slots.max(upstream.entry.slots);
-                taken += upstream.load.cache.taken();
+                taken += upstream.load.cache.total_tokens();
             }
         }
         load.tokens_per_s = taken.saturating_sub(self.taken) as f64 / passed.as_secs_f64();
@@ -89,13 +89,13 @@
                 (scaling, LoadMeter::default())
             });
             if let Some(load) = meter.measure(&gateway, &pool.name) {
-                scaling.measured(load, gateway.now());
+                scaling.record_load(load, gateway.now());
                 let total = scaling.needed(gateway.now());
                 duties.lease.borrow_mut().decide_engines(&pool.name, total);
                 let engines = zone_engines(&gateway, &pool.name);
-                gateway.decisions.line(&Decision::PoolBusy {
+                gateway.decisions.record(&Decision::PoolBusy {
                     pool: &pool.name,
-                    engines: engines.values().map(|engines| engines.all()).sum(),
+                    engines: engines.values().map(|engines| engines.total()).sum(),
                     calls: load.calls,
                     tokens_per_s: load.tokens_per_s as u64,
                 });
@@ -131,7 +131,7 @@
         spot: order.kind == EngineKind::Spot,
     };
     let given = match connected {
-        Ok(()) => client.order(stamp, &call, CALL_PATIENCE).await,
+        Ok(()) => client.order(stamp, &call, CALL_TIMEOUT).await,
         Err(error) => Err(error),
     };
     let outcome = match &given {
@@ -142,10 +142,10 @@
     let present = zones.get(&order.zone).copied().unwrap_or_default();
     if outcome == OrderOutcome::Unavailable {
         // The same status says that another holder has a newer token.
-        duties.lease.borrow_mut().read_again();
+        duties.lease.borrow_mut().require_read();
     }
     write_down(gateway, pool, &order, present, stamp.token, given.err());
-    scaling.ordered(order, outcome, gateway.now());
+    scaling.record_order(order, outcome, gateway.now());
 }
 
 fn write_down(
@@ -157,12 +157,12 @@
     error: Option<DutyError>,
 ) {
     let reason = error.map(|error| error.to_string());
-    gateway.decisions.line(&Decision::EnginesOrdered {
+    gateway.decisions.record(&Decision::EnginesOrdered {
         pool: &pool.name,
         zone: &order.zone,
         kind: &order.kind.to_string(),
         desired: order.desired,
-        present: present.all(),
+        present: present.total(),
         token,
         outcome: if reason.is_some() {
             "failed"
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,9 +1,10 @@
-//! A monsoonbank node: the edges between the kernel and callers, upstreams, the platform, other
-//! nodes and operators.
+//! A monsoonbank node: the network interfaces that connect the kernel to callers, upstreams, the
+//! platform, other nodes and operators.
 
 pub mod answers;
+pub mod assembler;
 pub mod body;
-pub mod boot;
+pub mod boot_clock;
 pub mod callers;
 pub mod calls;
 pub mod changes;
@@ -14,9 +15,7 @@
 pub mod exit_codes;
 pub mod frame;
 pub mod gateway;
-pub mod intake;
 pub mod links;
-pub mod message;
 pub mod node;
 pub mod operators;
 pub mod orders;
@@ -24,6 +23,7 @@
 pub mod proof;
 pub mod refusal;
 pub mod reports;
+pub mod requests;
 pub mod services;
 pub mod settings;
 pub mod shared;
--- a/daemon/src/intake.rs
+++ b/daemon/src/requests.rs
@@ -1,4 +1,5 @@
-//! Takes a caller's request in: who it is from, what the rules say, and the open call.
+//! Processes a caller's request: authenticates the workspace, classifies the request by the
+//! configured rules, and opens the call.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -18,44 +19,45 @@
 use crate::shared::NodeShared;
 use crate::sink::{CallReceiver, CallerEvent};
 
-/// Bytes of a prompt that count as one token when the prompt's size is estimated.
+/// Bytes per token for estimating the size of a prompt.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// The workspace that sent a request.
+/// An authenticated caller: the workspace that sent a request.
 #[derive(Clone, Debug)]
-pub struct KnownCaller {
-    /// The configuration that the request is judged by.
+pub struct AuthenticatedCaller {
+    /// Configuration that was in force when the request was authenticated; it applies to the whole
+    /// request.
     pub config: Arc<Config>,
-    /// The workspace.
+    /// Identifier of the workspace.
     pub workspace: WorkspaceId,
-    /// Its settings.
+    /// Configuration of the workspace.
     pub spec: Arc<WorkspaceSpec>,
 }
 
-/// What a request is, beyond its head.
+/// Properties of a request that are read from its body or path.
 #[derive(Clone, Debug, Default)]
 pub struct RequestShape<'a> {
-    /// The model or service named.
+    /// Name of the requested model or plain service.
     pub model: &'a str,
-    /// Whether the answer is streamed.
+    /// Whether the caller asked for a streamed answer.
     pub streamed: bool,
-    /// Most tokens that the caller takes; 0 for no bound.
+    /// Maximum number of tokens in the answer; 0 for no limit.
     pub max_tokens: u32,
-    /// Hash of the beginning of the prompt.
+    /// Hash of the beginning of the prompt, for cache affinity; 0 for plain services.
     pub prefix: u64,
 }
 
-/// A call on its way; cancels itself when it is dropped before its end.
-pub struct OpenAnswer {
+/// Handle of an open call. Dropping it before the call has ended cancels the call.
+pub struct CallHandle {
     shared: Arc<NodeShared>,
-    /// The call.
+    /// Identifier of the call.
     pub call: CallId,
     receiver: CallReceiver,
     finished: bool,
 }
 
-impl OpenAnswer {
-    /// The next piece or the end.
+impl CallHandle {
+    /// Waits for the next chunk or the end. `None` if the call was dropped without an outcome.
     pub async fn next(&mut self) -> Option<CallerEvent> {
         let event = self.receiver.next().await?;
         self.finished |= matches!(event, CallerEvent::Finished(_));
@@ -63,16 +65,20 @@
     }
 }
 
-impl Drop for OpenAnswer {
+impl Drop for CallHandle {
     fn drop(&mut self) {
         if !self.finished {
-            self.shared.event(Event::CallCancelled(self.call));
+            self.shared.send_event(Event::CallCancelled(self.call));
         }
     }
 }
 
-/// Finds the workspace by the request's bearer token.
-pub fn identify(shared: &NodeShared, request: &Request) -> Result<KnownCaller, CallerError> {
+/// Authenticates a request by its bearer token. An error means that no configuration is in force yet,
+/// or that the token is missing or unknown.
+pub fn authenticate(
+    shared: &NodeShared,
+    request: &Request,
+) -> Result<AuthenticatedCaller, CallerError> {
     let config = shared.config();
     if config.classes.is_empty() {
         return Err(CallerError::not_run(
@@ -91,14 +97,14 @@
         .get(&workspace)
         .map(Arc::clone)
         .ok_or_else(unauthorized)?;
-    Ok(KnownCaller {
+    Ok(AuthenticatedCaller {
         config,
         workspace,
         spec,
     })
 }
 
-/// SHA-256 of a workspace's token, in hexadecimal, as the configuration keeps it.
+/// SHA-256 hash of a workspace's token in hexadecimal, as stored in the configuration.
 pub fn token_hash(token: &[u8]) -> String {
     let mut text = String::with_capacity(64);
     for byte in Sha256::digest(token) {
@@ -116,7 +122,7 @@
     )
 }
 
-/// The bearer token of a request (RFC 6750).
+/// The bearer token of a request (RFC 6750); `None` if it has none.
 pub fn bearer(request: &Request) -> Option<&[u8]> {
     let value = request.headers().get("authorization")?.as_bytes();
     let (scheme, token) = value.split_at_checked("bearer ".len())?;
@@ -125,9 +131,10 @@
         .then(|| token.trim_ascii())
 }
 
-/// What the rules say of a request.
+/// Classifies a request by the configured rules. An error means that no rule matches, or that the
+/// model or service is unknown. `bytes` is the size of the body.
 pub fn classify(
-    caller: &KnownCaller,
+    caller: &AuthenticatedCaller,
     request: &Request,
     shape: &RequestShape<'_>,
     bytes: usize,
@@ -158,15 +165,16 @@
     })
 }
 
-/// Opens the call.
-pub fn open(
+/// Opens a call for a classified request. An error means that the class is unknown or the node has
+/// reached its limit of open calls.
+pub fn open_call(
     shared: &Arc<NodeShared>,
-    caller: &KnownCaller,
-    found: Classification,
+    caller: &AuthenticatedCaller,
+    classification: Classification,
     shape: &RequestShape<'_>,
     parts: RequestParts,
-) -> Result<OpenAnswer, CallerError> {
-    let class = caller.config.classes.get(&found.class);
+) -> Result<CallHandle, CallerError> {
+    let class = caller.config.classes.get(&classification.class);
     let Some(class) = class else {
         return Err(CallerError::not_run(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -185,9 +193,9 @@
     let spec = CallSpec {
         call,
         workspace: caller.workspace,
-        class: found.class,
-        tier: found.tier,
-        pool: found.pool,
+        class: classification.class,
+        tier: classification.tier,
+        pool: classification.pool,
         time_left: class.target,
         repeatable: class.repeatable,
         prompt_tokens: (parts.body.len() / BYTES_PER_TOKEN) as u32,
@@ -202,10 +210,10 @@
     log::debug!(
         "call={call} event=arrived class={} tier={}",
         class.name,
-        found.tier
+        classification.tier
     );
-    shared.event(Event::CallArrived { spec, key });
-    Ok(OpenAnswer {
+    shared.send_event(Event::CallArrived { spec, key });
+    Ok(CallHandle {
         shared: Arc::clone(shared),
         call,
         receiver,
@@ -213,7 +221,7 @@
     })
 }
 
-/// Hash of what a key answers for: another request under the same key is a caller's mistake.
+/// Hash of method, path and body. It detects a different request under the same idempotency key.
 fn fingerprint(parts: &RequestParts) -> u64 {
     let mut hasher = Xxh3Default::new();
     for field in [parts.method.as_bytes(), parts.path.as_bytes(), &parts.body] {
@@ -223,8 +231,8 @@
     hasher.digest()
 }
 
-/// Counts a call's end.
-pub fn count(shared: &NodeShared, class: &str, error: Option<&CallerError>) {
+/// Counts an ended call by class and outcome; no error means a whole answer.
+pub fn count_outcome(shared: &NodeShared, class: &str, error: Option<&CallerError>) {
     let outcome = error.map_or("whole", |error| error.outcome);
     shared
         .counters
--- a/kernel/src/dispatch/preemption.rs
+++ b/kernel/src/dispatch/preemption.rs
@@ -1,31 +1,32 @@
-//! Stopping runs: lower tiers make room for urgent work, and work leaves stalled upstreams.
+//! Stopping runs: preemption of lower tiers for urgent work, and moving work off stalled upstreams.
 
 use std::time::Duration;
 
 use crate::call::Tier;
-use crate::dispatch::health::HealthSign;
-use crate::dispatch::held::{StopCause, WorkArena, WorkKey};
+use crate::dispatch::health::FailureSeverity;
 use crate::dispatch::pool::{Decision, PoolState};
+use crate::dispatch::work::{StopCause, WorkArena, WorkKey};
 use crate::ids::UpstreamId;
 
-/// Waiting calls of a tier that are looked at for the danger of being late.
+/// Most queued calls of a tier that are checked for missing their latest start.
 const MOST_AT_RISK: usize = 16;
 
-/// Margin on the expected time until a slot is free.
+/// Safety factor on the expected time until a slot becomes free.
 const MARGIN: f64 = 1.5;
 
-/// Time from asking a run to stop until its slot is free, while none was seen.
+/// Seconds from the request to stop a run until its slot is free, while there are no samples.
 const STOP_GUESS: f64 = 0.02;
 
-/// Times the expected time to the first token after which a run counts as stalled.
+/// Multiple of the expected time to first token after which a run counts as stalled.
 const STALL_FACTOR: u32 = 4;
 
-/// Least time without a token after which a run counts as stalled.
+/// Shortest time without a token after which a run counts as stalled.
 const STALL_LEAST: Duration = Duration::from_millis(200);
 
 impl PoolState {
-    /// Stops runs of lower tiers, never below their floors and the cheapest loss first, for waiting
-    /// work that would be late if it waited for slots to become free by themselves.
+    /// Stops runs of lower tiers for queued work that would miss its latest start if it waited for
+    /// slots to become free. Tiers are not stopped below their floors, and the runs that are
+    /// cheapest to restart are stopped first.
     pub(super) fn preempt(
         &mut self,
         now: Duration,
@@ -49,7 +50,8 @@
         }
     }
 
-    /// Waiting calls of the tier that are late unless a slot is made free for them.
+    /// Number of queued calls of the tier that miss their latest start unless a slot is freed for
+    /// them.
     fn at_risk(&self, now: Duration, tier: Tier) -> u32 {
         let Some(state) = self
             .tiers
@@ -58,9 +60,9 @@
         else {
             return 0;
         };
-        let hold = self.pace.hold.get().unwrap_or(1.0);
+        let hold = self.timing.run_time.get().unwrap_or(1.0);
         let gap = hold / f64::from(self.running().max(1));
-        let stop = self.pace.stop.get().unwrap_or(STOP_GUESS);
+        let stop = self.timing.stop_time.get().unwrap_or(STOP_GUESS);
         let wait = |rank: usize| {
             let seconds = rank as f64 * gap * MARGIN + stop;
             now + Duration::from_secs_f64(seconds.min(3_600.0))
@@ -88,54 +90,65 @@
             .find_map(|(_, state)| state.victims.first().map(|(_, key)| *key))
     }
 
-    /// How long a run may go without its first token before it counts as stalled; none while the
-    /// usual time is not known.
-    pub(super) fn patience(&self, prompt: u32) -> Option<Duration> {
-        let expected = self.pace.first_token.expect(prompt);
+    /// Time without a first token after which a run counts as stalled; `None` while the usual time
+    /// is unknown, and for plain services.
+    pub(super) fn stall_timeout(&self, prompt: u32) -> Option<Duration> {
+        let expected = self.timing.first_token.estimate(prompt);
         (expected > Duration::ZERO && !self.plain)
             .then(|| (expected * STALL_FACTOR).max(STALL_LEAST))
     }
 
-    /// Strikes upstreams that let first tokens wait, and moves the runs that wait on them.
+    /// Records a failure of each upstream with an overdue first token, and moves the affected runs
+    /// to other upstreams.
     pub(super) fn check_stalls(
         &mut self,
         now: Duration,
         arena: &mut WorkArena,
         out: &mut Vec<Decision>,
     ) {
-        while let Some((due, key)) = self.quiet.first().copied() {
+        while let Some((due, key)) = self.stall_deadlines.first().copied() {
             if due > now {
                 break;
             }
-            self.quiet.pop_first();
+            self.stall_deadlines.pop_first();
             let Some(run) = arena.get(key).and_then(|held| held.run) else {
                 continue;
             };
-            self.strike(now, run.upstream, HealthSign::Slight);
+            self.record_failure(now, run.upstream, FailureSeverity::Minor);
             self.move_run(key, arena, out);
         }
         while let Some(upstream) = self.ejected.pop() {
-            self.evacuate(upstream, arena, out);
+            self.move_runs_off(upstream, arena, out);
         }
     }
 
-    /// Something went wrong on an upstream.
-    pub(super) fn strike(&mut self, now: Duration, upstream: UpstreamId, sign: HealthSign) {
+    /// Records a failure of an upstream, which may eject it.
+    pub(super) fn record_failure(
+        &mut self,
+        now: Duration,
+        upstream: UpstreamId,
+        sign: FailureSeverity,
+    ) {
         let Some(engine) = self.engines.get_mut(&upstream) else {
             return;
         };
         if !self.settings.ejection {
             return;
         }
-        if engine.health.strike(now, sign) {
+        if engine.health.record_failure(now, sign) {
             self.ejected.push(upstream);
         }
     }
 
-    /// Moves runs that have no token yet away from an upstream that was taken out of service.
-    fn evacuate(&mut self, upstream: UpstreamId, arena: &mut WorkArena, out: &mut Vec<Decision>) {
+    /// Moves runs without a token off an upstream that was ejected.
+    fn move_runs_off(
+        &mut self,
+        upstream: UpstreamId,
+        arena: &mut WorkArena,
+        out: &mut Vec<Decision>,
+    ) {
         let waiting: Vec<WorkKey> = self
-            .quiet
+            .stall_deadlines
             .iter()
             .map(|(_, key)| *key)
             .filter(|key| {
--- a/kernel/src/dispatch/replies.rs
+++ b/kernel/src/dispatch/replies.rs
@@ -1,9 +1,9 @@
-//! What the owner tells entry nodes of their work: given back, over, or still held.
+//! Replies to entry nodes about their work: returned, ended, or still queued or running here.
 
 use crate::call::{AttemptEnd, LoadSummary, ReturnReason, WorkSpec};
 use crate::dispatch::WorkDispatcher;
-use crate::dispatch::held::{HeldWork, WorkKey};
 use crate::dispatch::pool::PoolState;
+use crate::dispatch::work::{WorkItem, WorkKey};
 use crate::ids::{AttemptId, NodeId, PoolId};
 use crate::plugin::Context;
 use crate::wire::WorkMessage;
@@ -25,7 +25,7 @@
     ) {
         let pool = work.spec.pool;
         let load = self.load(pool);
-        self.news.told(context.now, pool, entry, load);
+        self.notifier.record_sent(context.now, pool, entry, load);
         let attempt = work.attempt;
         context.send(
             entry,
@@ -37,7 +37,7 @@
         );
     }
 
-    /// Answers an offer that was never taken in.
+    /// Returns an offer that was not accepted.
     pub(super) fn give_back(
         &mut self,
         entry: NodeId,
@@ -45,24 +45,25 @@
         reason: ReturnReason,
         context: &mut Context<'_>,
     ) {
-        self.past.add(context.now, work.attempt);
+        self.finished.add(context.now, work.attempt);
         self.answer_returned(entry, &work, reason, context);
     }
 
     pub(super) fn answer_ended(
         &mut self,
-        held: &HeldWork,
+        held: &WorkItem,
         end: AttemptEnd,
         context: &mut Context<'_>,
     ) {
         let pool = held.work.spec.pool;
         let load = self.load(pool);
-        self.news.told(context.now, pool, held.entry, load);
+        self.notifier
+            .record_sent(context.now, pool, held.entry, load);
         let attempt = held.work.attempt;
         context.send(held.entry, WorkMessage::Ended { attempt, end, load });
     }
 
-    /// Gives all waiting work of a pool back to the nodes that it came from.
+    /// Returns all queued work of a pool to its entry nodes.
     pub(super) fn hand_back(
         &mut self,
         pool: PoolId,
@@ -84,22 +85,23 @@
         }
     }
 
-    /// Answers for work that waited, as not run only if no earlier run of it can have begun.
+    /// Replies for work that left the queue. It is reported as not run only if no earlier run of it
+    /// can have reached an upstream.
     pub(super) fn answer_waiting(
         &mut self,
-        held: &HeldWork,
+        held: &WorkItem,
         reason: ReturnReason,
         context: &mut Context<'_>,
     ) {
-        if held.ran || held.passed > 0 {
-            let tokens = held.passed;
+        if held.ran || held.forwarded > 0 {
+            let tokens = held.forwarded;
             self.answer_ended(held, AttemptEnd::Cancelled { tokens }, context);
         } else {
             self.answer_returned(held.entry, &held.work, reason, context);
         }
     }
 
-    /// Tells an entry that heard nothing for long which of its attempts are held here.
+    /// Answers an entry node's query which of its attempts are still queued or running here.
     pub(super) fn asked(&self, from: NodeId, attempts: &[AttemptId], context: &mut Context<'_>) {
         let holds = |attempt: &AttemptId| self.attempts.contains_key(attempt);
         let (held, missing) = attempts.iter().copied().partition(holds);
--- a/kernel/src/gateway/choice.rs
+++ b/kernel/src/gateway/choice.rs
@@ -1,7 +1,8 @@
-//! Which upstream takes a call, and from which other one it fetches what that keeps of the prompt.
+//! Selects the upstream that gets a call, and the upstream from which it fetches cached parts of
+//! the prompt.
 //!
-//! Costs are in thousandths of the call's own target: a cost of 1,000 is a wait as long as the
-//! target.
+//! Costs are in thousandths of the call's own latency target: a cost of 1,000 is a wait as long as
+//! the target.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,313 +10,330 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::gateway::cache::CacheMoment;
-use crate::gateway::gate;
+use crate::gateway::capacity;
+use crate::gateway::eligibility;
 use crate::gateway::load::{TOKENS_PER_MS, WorkCount};
-use crate::gateway::partition::{self, UpstreamOption};
+use crate::gateway::partition::{self, UpstreamCandidate};
 use crate::gateway::prompt::PromptShape;
 use crate::gateway::registry::{Upstream, UpstreamKey, UpstreamRegistry};
-use crate::gateway::room;
 
-/// What one more call in a batch costs each other, in ms: it lengthens each of some hundred steps
-/// by a few hundredths of a ms.
-const CALL_MS: f64 = 4.0;
-/// Prompt tokens in a row that stretch a tight stream's pause to its bound: a piece is a handful of
-/// tokens, and each waits for a chunk of 2,048 tokens or so.
+/// Delay in ms that each call in a batch adds to the others: it lengthens each of some hundred
+/// steps by a few hundredths of a ms.
+const CALL_DELAY_MS: f64 = 4.0;
+/// Consecutive prompt tokens that stretch a tight stream's gap to its bound: an event is a handful
+/// of tokens, and each token waits for a prefill chunk of about 2,048 tokens.
 const STALL_TOKENS: f64 = 12_000.0;
-/// What a tight stream loses by such a pause.
+/// Cost to a tight stream of such a gap.
 const STALL_COST: f64 = 100.0;
-/// What a tight stream loses where engines are not kept for such: prompts that come after it.
-const COMING_COST: f64 = 400.0;
-/// Tight streams that a kept engine is taken to have when it has fewer: those that come.
-const COMING_STREAMS: f64 = 8.0;
-/// What bytes between availability zones cost, against the worth of an answer in time.
-const ZONE_COST: f64 = 150.0;
-/// What a call that is sent in vain costs.
+/// Cost to a tight stream on an engine that is not reserved for tight streams: prompts that arrive
+/// later delay it.
+const ARRIVING_PROMPTS_COST: f64 = 400.0;
+/// Minimum number of tight streams that a reserved engine is assumed to have, to account for those
+/// still to arrive.
+const MIN_RESERVED_STREAMS: f64 = 8.0;
+/// Cost of traffic between availability zones, relative to the value of an answer in time.
+const CROSS_ZONE_COST: f64 = 150.0;
+/// Cost of a failed attempt.
 const FAILURE_COST: f64 = 1500.0;
-/// Running share of failures above which a call is more likely lost than answered.
-const LIKELY_LOST: f64 = 0.5;
-/// What a token that is fetched costs, against one that is read.
-const FETCH_PART: f64 = 0.07;
-/// What a thousand tokens cost that some engine has read and another reads again. A prompt's shared
-/// part of 4,900 is worth as much as the call; being late by one target costs half of that.
-const REREAD_COST: f64 = 250.0;
-/// What a thousand tokens cost that are fetched: a tenth of that.
+/// Running share of failures above which a call is more likely to fail than to succeed.
+const LIKELY_FAILURE: f64 = 0.5;
+/// Cost of fetching a cached token, relative to prefilling it.
+const FETCH_RATIO: f64 = 0.07;
+/// Cost of prefilling a thousand tokens that some engine has cached already. A prompt's shared part
+/// of 4,900 tokens is worth as much as the call; being late by one target costs half of that.
+const REPEATED_PREFILL_COST: f64 = 250.0;
+/// Cost of fetching a thousand cached tokens: a tenth of `REPEATED_PREFILL_COST`.
 const FETCH_COST: f64 = 25.0;
-/// What speaks for the upstream on which all nodes agree when none is known to keep the prompt, for
-/// each thousand shared tokens: without it nodes that get calls at once read them several times.
-const HOME_COST: f64 = 50.0;
-/// What speaks against the upstream to which a node leans least. Nodes lean to different ones, so
-/// that they do not all find the same cheapest one between two heartbeats.
-const LEAN_COST: f64 = 100.0;
+/// Bonus, for each thousand shared tokens, of the upstream on which all nodes agree when none is
+/// known to have the prompt cached. Without it, nodes that receive calls at the same time would
+/// have the prompt prefilled several times.
+const HOME_BONUS: f64 = 50.0;
+/// Cost of the upstream that this node ranks last. Nodes rank upstreams differently, so that they
+/// do not all select the same cheapest one between two heartbeats.
+const RANK_COST: f64 = 100.0;
 
-/// Where a call comes from and what it needs.
+/// Origin and requirements of a call, as input to the selection of an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct ChoiceInput<'a> {
-    /// The pool.
+    /// Name of the pool whose upstreams are considered.
     pub pool: &'a str,
-    /// This node's availability zone.
+    /// Availability zone of this node.
     pub zone: &'a str,
-    /// Tells this node from others.
+    /// Hash that identifies this node.
     pub node: u64,
-    /// The other nodes that send calls.
-    pub rivals: &'a [u64],
-    /// How many of them are silent: each is taken to have as much work everywhere as this node.
-    pub silent: u32,
-    /// The call's prompt.
+    /// Hashes of the other nodes that send calls.
+    pub senders: &'a [u64],
+    /// Number of those nodes whose heartbeats stopped: each is assumed to have as much work at
+    /// every upstream as this node.
+    pub silent_senders: u32,
+    /// Prompt of the call.
     pub prompt: &'a PromptShape,
-    /// Time within which the first piece of its answer is wanted.
+    /// Target latency of the first event of the answer.
     pub target: Duration,
-    /// Its rank; 0 is the most urgent.
+    /// Tier of the call; 0 is the most urgent.
     pub tier: u8,
-    /// Number of ranks.
+    /// Number of tiers.
     pub tiers: u8,
-    /// Whether its pauses have to be the shortest of its pool.
+    /// Whether the call's stream needs the shortest gaps between events in its pool.
     pub tight: bool,
-    /// Whether it may be sent again if its answer is lost.
+    /// Whether the call may be sent again if its answer is lost.
     pub repeatable: bool,
-    /// Tokens that an engine of the pool keeps; 0 if the pool runs no engines.
+    /// Size of an engine's KV cache in tokens; 0 if the pool runs no engines.
     pub cache_tokens: u64,
-    /// Upstreams that it was sent to already.
+    /// Upstreams that the call was already sent to.
     pub tried: &'a [UpstreamKey],
-    /// Now.
+    /// Current time.
     pub now: Duration,
 }
 
-/// An upstream and what spoke for it.
+/// A selected upstream and the figures behind the selection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UpstreamChoice {
-    /// The upstream.
+    /// Key of the upstream.
     pub key: UpstreamKey,
-    /// Its cost.
+    /// Cost of the call there, in thousandths of its latency target.
     pub cost: f64,
-    /// Prompt tokens that it has to read.
+    /// Prompt tokens that the upstream has to prefill.
     pub unread_tokens: u32,
-    /// Tokens of the prompt's shared parts that it keeps or is about to read.
-    pub kept_tokens: u32,
-    /// Tokens of them that any upstream does.
+    /// Tokens of the prompt's shared parts that the upstream has cached or is about to prefill.
+    pub cached_tokens: u32,
+    /// Largest number of such tokens at any upstream of the pool.
     pub known_tokens: u32,
-    /// Prompt tokens that its cache has to take in: what it reads and what it fetches.
+    /// Prompt tokens that are added to the upstream's cache: prefilled and fetched ones.
     pub taken_tokens: u32,
-    /// The upstream that keeps more of the prompt.
+    /// Upstream to fetch cached tokens from; `None` if no other one has more of the prompt cached.
     pub fetch_from: Option<UpstreamKey>,
 }
 
-/// The upstream that has read most of a call's prompt.
+/// Upstream that has the most of a call's prompt cached.
 #[derive(Clone, Copy, Debug)]
-struct PromptKeeper {
+struct FetchSource {
     key: UpstreamKey,
     tokens: u32,
 }
 
-/// The cheapest upstream that takes new work, if there is any.
+/// Selects the cheapest upstream that accepts new calls and has capacity for this one; `None` if
+/// there is none. Upstreams that are backed off are used only if no healthy one has capacity.
 pub fn choose(registry: &UpstreamRegistry, input: &ChoiceInput) -> Option<UpstreamChoice> {
-    let all: Vec<UpstreamOption> = gate::open_upstreams(registry, input.pool, input.now)
-        .map(|(key, upstream)| UpstreamOption {
-            key,
-            upstream,
-            total: upstream.load.total(input.now) + upstream.load.own() * input.silent,
-            resting: upstream.health.resting(input.now),
-        })
-        .collect();
-    let kept = if input.cache_tokens > 0 {
-        partition::kept_for_tight(&all)
+    let all: Vec<UpstreamCandidate> =
+        eligibility::eligible_upstreams(registry, input.pool, input.now)
+            .map(|(key, upstream)| UpstreamCandidate {
+                key,
+                upstream,
+                total: upstream.load.total(input.now) + upstream.load.own() * input.silent_senders,
+                backed_off: upstream.health.is_backed_off(input.now),
+            })
+            .collect();
+    let reserved = if input.cache_tokens > 0 {
+        partition::reserved_for_tight(&all)
     } else {
         BTreeSet::new()
     };
-    let keeper = prompt_keeper(&all, input);
+    let source = fetch_source(&all, input);
     let known_tokens = known_tokens(&all, input);
     let home = if known_tokens == 0 {
-        anchor_home(&all, &kept, input)
+        home_upstream(&all, &reserved, input)
     } else {
         None
     };
-    let fresh = all
+    let untried = all
         .iter()
-        .filter(|option| !input.tried.contains(&option.key));
-    let (resting, sound): (Vec<_>, Vec<_>) = fresh.partition(|option| option.resting);
-    let cheapest = |options: &[&UpstreamOption]| {
-        options
+        .filter(|candidate| !input.tried.contains(&candidate.key));
+    let (backed_off, healthy): (Vec<_>, Vec<_>) =
+        untried.partition(|candidate| candidate.backed_off);
+    let cheapest = |candidates: &[&UpstreamCandidate]| {
+        candidates
             .iter()
-            .map(|option| {
-                let place = UpstreamPlace {
-                    option,
-                    kept: kept.contains(&option.key),
-                    home: home == Some(option.key),
-                    rank: own_rank(option.upstream, input),
+            .map(|candidate| {
+                let place = CandidatePlace {
+                    candidate,
+                    reserved: reserved.contains(&candidate.key),
+                    is_home: home == Some(candidate.key),
+                    rank: own_rank(candidate.upstream, input),
                 };
-                (place, weigh(place, input, keeper, known_tokens))
+                (place, evaluate(place, input, source, known_tokens))
             })
-            .filter(|(place, choice)| room::has_room(*place, choice.unread_tokens, input))
+            .filter(|(place, choice)| capacity::has_capacity(*place, choice.unread_tokens, input))
             .map(|(_, choice)| choice)
             .min_by(|one, other| one.cost.total_cmp(&other.cost))
     };
-    if sound.is_empty() {
-        return cheapest(&resting);
+    if healthy.is_empty() {
+        return cheapest(&backed_off);
     }
-    cheapest(&sound).or_else(|| cheapest(&overflow(&resting, input)))
+    cheapest(&healthy).or_else(|| cheapest(&overflow(&backed_off, input)))
 }
 
-/// Resting upstreams that take what finds no room at sound ones: they lose some answers and give
-/// others. With most of a pool resting, the few others cannot carry its calls. A call that may run
-/// only once goes there if it is more likely answered than not.
+/// Backed-off upstreams that get the calls for which healthy ones have no capacity: they still
+/// answer some calls, and with most of a pool backed off, the few others cannot serve its load. A
+/// call that may run only once goes there if it is more likely to succeed than to fail.
 fn overflow<'a>(
-    resting: &[&'a UpstreamOption<'a>],
+    backed_off: &[&'a UpstreamCandidate<'a>],
     input: &ChoiceInput,
-) -> Vec<&'a UpstreamOption<'a>> {
-    let fits = |option: &&&UpstreamOption| {
-        let health = &option.upstream.health;
-        health.answers_some(input.now) && (input.repeatable || health.failures() < LIKELY_LOST)
+) -> Vec<&'a UpstreamCandidate<'a>> {
+    let fits = |candidate: &&&UpstreamCandidate| {
+        let health = &candidate.upstream.health;
+        health.answered_recently(input.now)
+            && (input.repeatable || health.failure_share() < LIKELY_FAILURE)
     };
-    resting.iter().filter(fits).copied().collect()
+    backed_off.iter().filter(fits).copied().collect()
 }
 
-/// An upstream and what it is to its pool.
+/// An upstream and its role in its pool for one call.
 #[derive(Clone, Copy, Debug)]
-pub struct UpstreamPlace<'a> {
-    /// The upstream.
-    pub option: &'a UpstreamOption<'a>,
-    /// Whether it is kept for tight streams.
-    pub kept: bool,
-    /// Whether all nodes agree on it for the call's prompt.
-    pub home: bool,
-    /// How many busy nodes go before this one there.
+pub struct CandidatePlace<'a> {
+    /// Upstream and its total work.
+    pub candidate: &'a UpstreamCandidate<'a>,
+    /// Whether it is reserved for tight streams.
+    pub reserved: bool,
+    /// Whether all nodes agree on it for the call's prompt while none is known to have it cached.
+    pub is_home: bool,
+    /// Number of sending nodes that rank before this one at this upstream.
     pub rank: usize,
 }
 
-/// Tokens of the prompt's shared parts that some upstream keeps or is about to read.
-fn known_tokens(all: &[UpstreamOption], input: &ChoiceInput) -> u32 {
-    let tokens = all.iter().map(|option| kept_tokens(option, input));
+/// Largest number of tokens of the prompt's shared parts that any upstream has cached or is about
+/// to prefill.
+fn known_tokens(all: &[UpstreamCandidate], input: &ChoiceInput) -> u32 {
+    let tokens = all.iter().map(|candidate| cached_tokens(candidate, input));
     tokens.max().unwrap_or(0)
 }
 
-fn kept_tokens(option: &UpstreamOption, input: &ChoiceInput) -> u32 {
-    let moment = cache_moment(option, input);
-    option.upstream.load.cache.kept_tokens(input.prompt, moment)
+fn cached_tokens(candidate: &UpstreamCandidate, input: &ChoiceInput) -> u32 {
+    let moment = cache_moment(candidate, input);
+    candidate
+        .upstream
+        .load
+        .cache
+        .cached_tokens(input.prompt, moment)
 }
 
-fn cache_moment(option: &UpstreamOption, input: &ChoiceInput) -> CacheMoment {
+fn cache_moment(candidate: &UpstreamCandidate, input: &ChoiceInput) -> CacheMoment {
     CacheMoment {
         now: input.now,
-        held_tokens: option.total.held_tokens,
+        held_tokens: candidate.total.held_tokens,
     }
 }
 
-fn prompt_keeper(all: &[UpstreamOption], input: &ChoiceInput) -> Option<PromptKeeper> {
-    let (option, tokens) = all
+fn fetch_source(all: &[UpstreamCandidate], input: &ChoiceInput) -> Option<FetchSource> {
+    let (candidate, tokens) = all
         .iter()
-        .filter(|option| !option.resting)
-        .map(|option| {
-            let cache = &option.upstream.load.cache;
-            let moment = cache_moment(option, input);
-            (option, cache.read_tokens(input.prompt, moment))
+        .filter(|candidate| !candidate.backed_off)
+        .map(|candidate| {
+            let cache = &candidate.upstream.load.cache;
+            let moment = cache_moment(candidate, input);
+            (candidate, cache.read_tokens(input.prompt, moment))
         })
-        .max_by_key(|(option, tokens)| (*tokens, is_near(option, input)))?;
-    let key = option.key;
-    (tokens > 0).then_some(PromptKeeper { key, tokens })
+        .max_by_key(|(candidate, tokens)| (*tokens, is_own_zone(candidate, input)))?;
+    let key = candidate.key;
+    (tokens > 0).then_some(FetchSource { key, tokens })
 }
 
-fn is_near(option: &UpstreamOption, input: &ChoiceInput) -> bool {
-    &*option.upstream.entry.zone == input.zone
+fn is_own_zone(candidate: &UpstreamCandidate, input: &ChoiceInput) -> bool {
+    &*candidate.upstream.entry.zone == input.zone
 }
 
-/// The upstream that all nodes of a zone agree on for the call's last shared part, of those that are
-/// for calls of its kind: the highest hash wins.
-fn anchor_home(
-    all: &[UpstreamOption],
-    kept: &BTreeSet<UpstreamKey>,
+/// Upstream on which all nodes of a zone agree for the call's last shared part, among those for
+/// calls of its kind: the one with the highest hash.
+fn home_upstream(
+    all: &[UpstreamCandidate],
+    reserved: &BTreeSet<UpstreamKey>,
     input: &ChoiceInput,
 ) -> Option<UpstreamKey> {
     let anchor = input.prompt.shared_parts().last()?;
-    let fits = |option: &&UpstreamOption| kept.contains(&option.key) == input.tight;
-    let any_near = all.iter().filter(fits).any(|option| is_near(option, input));
+    let fits = |candidate: &&UpstreamCandidate| reserved.contains(&candidate.key) == input.tight;
+    let any_in_zone = all
+        .iter()
+        .filter(fits)
+        .any(|candidate| is_own_zone(candidate, input));
     all.iter()
         .filter(fits)
-        .filter(|option| !any_near || is_near(option, input))
-        .max_by_key(|option| {
-            let id = option.upstream.entry.id.as_bytes();
+        .filter(|candidate| !any_in_zone || is_own_zone(candidate, input))
+        .max_by_key(|candidate| {
+            let id = candidate.upstream.entry.id.as_bytes();
             xxh3_64_with_seed(id, anchor.id)
         })
-        .map(|option| option.key)
+        .map(|candidate| candidate.key)
 }
 
-fn weigh(
-    place: UpstreamPlace,
+fn evaluate(
+    place: CandidatePlace,
     input: &ChoiceInput,
-    keeper: Option<PromptKeeper>,
+    source: Option<FetchSource>,
     known_tokens: u32,
 ) -> UpstreamChoice {
-    let UpstreamOption {
+    let UpstreamCandidate {
         key,
         upstream,
         total,
         ..
-    } = *place.option;
-    let kept = kept_tokens(place.option, input);
-    let keeper = keeper.filter(|keeper| keeper.key != key && keeper.tokens > kept);
-    let fetched = keeper.map_or(0, |keeper| keeper.tokens - kept);
-    let unread = input.prompt.prompt_tokens.saturating_sub(kept + fetched);
+    } = *place.candidate;
+    let cached = cached_tokens(place.candidate, input);
+    let source = source.filter(|source| source.key != key && source.tokens > cached);
+    let fetched = source.map_or(0, |source| source.tokens - cached);
+    let unread = input.prompt.prompt_tokens.saturating_sub(cached + fetched);
     let mut cost = wait_cost(
         input,
         total,
-        f64::from(unread) + FETCH_PART * f64::from(fetched),
+        f64::from(unread) + FETCH_RATIO * f64::from(fetched),
     );
-    let read_again = known_tokens.saturating_sub(kept + fetched);
-    cost += (REREAD_COST * f64::from(read_again) + FETCH_COST * f64::from(fetched)) / 1000.0;
+    let prefilled_again = known_tokens.saturating_sub(cached + fetched);
+    cost += (REPEATED_PREFILL_COST * f64::from(prefilled_again) + FETCH_COST * f64::from(fetched))
+        / 1000.0;
     cost += stall_cost(place, input, f64::from(unread));
-    cost += FAILURE_COST * upstream.health.failures();
+    cost += FAILURE_COST * upstream.health.failure_share();
     if upstream.health.unproven() && !input.repeatable {
         cost += FAILURE_COST;
     }
-    if !is_near(place.option, input) {
-        cost += ZONE_COST;
+    if !is_own_zone(place.candidate, input) {
+        cost += CROSS_ZONE_COST;
     }
-    if place.home {
+    if place.is_home {
         let shared = input.prompt.shared_tokens();
-        cost -= HOME_COST * f64::from(shared) / 1000.0;
+        cost -= HOME_BONUS * f64::from(shared) / 1000.0;
     }
-    cost += LEAN_COST * place.rank as f64 / (input.rivals.len() + 1) as f64;
+    cost += RANK_COST * place.rank as f64 / (input.senders.len() + 1) as f64;
     UpstreamChoice {
         key,
         cost,
         unread_tokens: unread,
-        kept_tokens: kept,
+        cached_tokens: cached,
         known_tokens,
         taken_tokens: unread + fetched,
-        fetch_from: keeper.map(|keeper| keeper.key),
+        fetch_from: source.map(|source| source.key),
     }
 }
 
-/// How many busy nodes go before this one at an upstream: in an order that all nodes find and that
-/// differs from upstream to upstream.
+/// Number of sending nodes that rank before this one at an upstream. All nodes compute the same
+/// order, and it differs from upstream to upstream.
 fn own_rank(upstream: &Upstream, input: &ChoiceInput) -> usize {
     let id = upstream.entry.id.as_bytes();
     let own = xxh3_64_with_seed(id, input.node);
-    let before = |rival: &&u64| xxh3_64_with_seed(id, **rival) < own;
-    input.rivals.iter().filter(before).count()
+    let before = |sender: &&u64| xxh3_64_with_seed(id, **sender) < own;
+    input.senders.iter().filter(before).count()
 }
 
-/// What the call itself waits.
+/// Cost of the call's own wait.
 fn wait_cost(input: &ChoiceInput, total: WorkCount, unread: f64) -> f64 {
     let wait_ms = (f64::from(total.prompt_tokens) + unread) / TOKENS_PER_MS
-        + CALL_MS * f64::from(total.calls);
+        + CALL_DELAY_MS * f64::from(total.calls);
     wait_ms / input.target.as_secs_f64().max(0.001)
 }
 
-/// What tight streams lose by prompts that are read beside them, now and in the time to come.
-fn stall_cost(place: UpstreamPlace, input: &ChoiceInput, unread: f64) -> f64 {
-    let total = place.option.total;
+/// Cost to tight streams of prompts that are prefilled beside them, now and later.
+fn stall_cost(place: CandidatePlace, input: &ChoiceInput, unread: f64) -> f64 {
+    let total = place.candidate.total;
     let pending = (f64::from(total.prompt_tokens) + unread) / STALL_TOKENS;
-    let to_come = if input.tight && !place.kept {
-        COMING_COST
+    let arriving = if input.tight && !place.reserved {
+        ARRIVING_PROMPTS_COST
     } else {
         0.0
     };
     let streams = if input.tight {
         3.0
-    } else if place.kept {
-        f64::from(total.tight_streams).max(COMING_STREAMS)
+    } else if place.reserved {
+        f64::from(total.tight_streams).max(MIN_RESERVED_STREAMS)
     } else {
         f64::from(total.tight_streams)
     };
-    streams * STALL_COST * pending * pending + to_come
+    streams * STALL_COST * pending * pending + arriving
 }
--- a/kernel/src/gateway/fleet.rs
+++ b/kernel/src/gateway/fleet.rs
@@ -1,7 +1,8 @@
-//! The nodes of the fleet, as their own heartbeats and those of others tell them.
+//! Nodes of the fleet, as learned from their own heartbeats and from those of others.
 //!
-//! In each availability zone the few strongest nodes are its *hubs*: every node of the zone sends its
-//! heartbeats to them, they tell all nodes of the zone, and hubs of different zones tell each other.
+//! In each availability zone the few nodes with the largest capacity are its *hubs*: every node of
+//! the zone sends its heartbeats to them, they send theirs to all nodes of the zone, and hubs of
+//! different zones exchange them.
 
 mod callers;
 mod hubs;
@@ -15,52 +16,54 @@
 pub use crate::gateway::fleet::shares::SharedLimit;
 use crate::gateway::heartbeat::{NodeCard, NodeHeartbeat, NodeState, node_hash};
 
-/// Time after which a silent node is no longer named to callers: one heartbeat of a node that has no
-/// calls may be lost.
+/// Time without a heartbeat after which a node is no longer listed for callers: one heartbeat of a
+/// node without calls may be lost.
 pub const SILENT_AFTER: Duration = Duration::from_secs(2);
-/// The same for hubs of other zones, which tell each other in turn if there are many. A node counts as
-/// part of the fleet for as long.
+/// The same for hubs of other zones, which send to each other in turn if there are many. A node
+/// counts as part of the fleet for as long.
 pub const FAR_SILENT_AFTER: Duration = Duration::from_secs(15);
-/// Time after which a node of which nothing is heard, also not of others, is forgotten. Hubs name all
-/// nodes of a zone of some hundred to each other node in less.
-const FORGOTTEN_AFTER: Duration = Duration::from_mins(1);
-/// Time for which each next hub waits longer before it claims duties.
+/// Time after which a node that no heartbeat mentions is removed. Hubs advertise all nodes of a
+/// zone of some hundred to each other node in less.
+const EXPIRED_AFTER: Duration = Duration::from_mins(1);
+/// Delay between the claims of two consecutive hubs for the duties.
 const RANK_STEP: Duration = Duration::from_millis(600);
-/// Time for which hubs have the first turn.
-const HUBS_TURN: Duration = Duration::from_secs(8);
-/// Time between two other nodes, which may be cut off from all hubs or find these cut off from the store.
+/// Time for which only hubs claim the duties.
+const HUBS_PERIOD: Duration = Duration::from_secs(8);
+/// Mean delay between the claims of two other nodes, which may be cut off from all hubs or find the
+/// hubs cut off from the store.
 const MEMBER_STEP: Duration = Duration::from_millis(250);
-/// Time for which a node that has gone silent is taken to send calls still.
-const RIVAL_AGE: Duration = Duration::from_secs(30);
+/// Time for which a node is assumed to send calls after its heartbeats stopped.
+const SENDER_AGE: Duration = Duration::from_secs(30);
 
-/// Another node.
+/// State of another node.
 #[derive(Clone, Debug)]
 pub struct FleetPeer {
-    /// Its newest heartbeat; only who it is if none came yet.
+    /// Its newest heartbeat; contains only its card if none was received yet.
     pub heartbeat: NodeHeartbeat,
-    /// When that came.
-    pub heard_at: Option<Duration>,
-    /// When its own or another node's heartbeat named it last.
-    named_at: Duration,
-    /// Since when this node has told it and expects to hear it.
+    /// Time at which its newest heartbeat was received; `None` if none was.
+    pub last_heartbeat_at: Option<Duration>,
+    /// Time at which any heartbeat, its own or another node's, contained its card.
+    mentioned_at: Duration,
+    /// Time since when this node has sent it heartbeats and expects some in return.
     expected_since: Option<Duration>,
 }
 
 impl FleetPeer {
-    fn heard_within(&self, age: Duration, now: Duration) -> bool {
-        self.heard_at.is_some_and(|at| at + age > now)
+    fn received_within(&self, age: Duration, now: Duration) -> bool {
+        self.last_heartbeat_at.is_some_and(|at| at + age > now)
     }
 
-    /// Whether it was expected to speak and did not.
+    /// Whether heartbeats were expected from it and did not arrive for `age`.
     fn is_silent(&self, age: Duration, now: Duration) -> bool {
-        let last = self.expected_since.max(self.heard_at);
+        let last = self.expected_since.max(self.last_heartbeat_at);
         self.expected_since.is_some() && last.is_some_and(|last| last + age <= now)
     }
 
-    /// Whether a card is that of an earlier run. One that speaks while the later run is silent is not:
-    /// its host's time of day was set back.
+    /// Whether a card is from an earlier run and outdated. If the later run is silent it is not:
+    /// then the host's wall clock was set back.
     fn outlasts(&self, card: &NodeCard, now: Duration) -> bool {
-        self.heartbeat.card.incarnation > card.incarnation && self.heard_within(SILENT_AFTER, now)
+        self.heartbeat.card.incarnation > card.incarnation
+            && self.received_within(SILENT_AFTER, now)
     }
 
     fn sends_calls(&self) -> bool {
@@ -68,12 +71,12 @@
     }
 }
 
-/// What a heartbeat changed.
+/// Change of a node's state by a heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PeerNews {
-    /// The node is new or started again.
+pub struct PeerChange {
+    /// The node is new or restarted.
     pub fresh: bool,
-    /// It began to leave.
+    /// The node began to leave.
     pub left: bool,
 }
 
@@ -86,13 +89,13 @@
     store_answered_at: Option<Duration>,
 }
 
-/// The order in which nodes claim duties.
+/// Sort key of the order in which nodes claim the duties.
 fn claim_order(card: &NodeCard) -> (Reverse<u32>, &str) {
     (Reverse(card.capacity), &card.name)
 }
 
 impl FleetView {
-    /// The view of a node that starts now and knows no other.
+    /// Creates the view of a node that starts at `now` and knows no other.
     pub fn new(own: NodeCard, now: Duration) -> Self {
         Self {
             own,
@@ -102,33 +105,34 @@
         }
     }
 
-    /// Who this node is.
+    /// Card of this node.
     pub fn own(&self) -> &NodeCard {
         &self.own
     }
 
-    /// Notes how far this node's process is.
+    /// Sets the state of this node's process.
     pub fn set_state(&mut self, state: NodeState) {
         self.own.state = state;
     }
 
-    /// Notes that the store answered this node.
+    /// Records that the store answered this node.
     pub fn store_answered(&mut self, now: Duration) {
         self.store_answered_at = self.store_answered_at.max(Some(now));
     }
 
-    /// When the store answered any node that this one heard of.
+    /// Time at which the store last answered any node, as far as this one knows; `None` if it knows
+    /// of no answer.
     pub fn store_answered_at(&self) -> Option<Duration> {
         self.store_answered_at
     }
 
-    /// Takes a heartbeat in, with all that it says of other nodes.
-    pub fn heard(&mut self, mut heartbeat: NodeHeartbeat, now: Duration) -> PeerNews {
+    /// Processes a received heartbeat, including the cards of other nodes in it.
+    pub fn receive_heartbeat(&mut self, mut heartbeat: NodeHeartbeat, now: Duration) -> PeerChange {
         if heartbeat.card.name == self.own.name {
-            return PeerNews::default();
+            return PeerChange::default();
         }
         for card in std::mem::take(&mut heartbeat.cards) {
-            self.named(card, now);
+            self.receive_card(card, now);
         }
         heartbeat.parts = Vec::new();
         heartbeat.usage = Vec::new();
@@ -141,13 +145,13 @@
         let known = self.peers.get(&heartbeat.card.name);
         let incarnation = known.map(|peer| peer.heartbeat.card.incarnation);
         if known.is_some_and(|peer| peer.outlasts(&heartbeat.card, now)) {
-            return PeerNews::default();
+            return PeerChange::default();
         }
         let same_run = known.filter(|_| incarnation == Some(heartbeat.card.incarnation));
         let state = same_run.map_or(NodeState::Starting, |peer| peer.heartbeat.card.state);
         heartbeat.card.state = heartbeat.card.state.max(state);
-        let news = PeerNews {
-            fresh: same_run.is_none_or(|peer| peer.heard_at.is_none()),
+        let change = PeerChange {
+            fresh: same_run.is_none_or(|peer| peer.last_heartbeat_at.is_none()),
             left: heartbeat.card.state == NodeState::Leaving && state != NodeState::Leaving,
         };
         if heartbeat.work.is_none() {
@@ -155,31 +159,31 @@
         }
         let expected_since = known.and_then(|peer| peer.expected_since);
         let peer = FleetPeer {
-            heard_at: Some(now),
-            named_at: now,
+            last_heartbeat_at: Some(now),
+            mentioned_at: now,
             expected_since,
             heartbeat,
         };
         self.peers.insert(peer.heartbeat.card.name.clone(), peer);
-        news
+        change
     }
 
-    /// Takes in what another node says of one.
-    fn named(&mut self, card: NodeCard, now: Duration) {
+    /// Processes the card of a node in another node's heartbeat.
+    fn receive_card(&mut self, card: NodeCard, now: Duration) {
         if card.name == self.own.name {
             return;
         }
         match self.peers.get_mut(&card.name) {
             Some(peer) if peer.outlasts(&card, now) => {}
             Some(peer) if peer.heartbeat.card.incarnation == card.incarnation => {
-                peer.named_at = now;
+                peer.mentioned_at = now;
                 let state = &mut peer.heartbeat.card.state;
                 *state = card.state.max(*state);
             }
             _ => {
                 let peer = FleetPeer {
-                    heard_at: None,
-                    named_at: now,
+                    last_heartbeat_at: None,
+                    mentioned_at: now,
                     expected_since: None,
                     heartbeat: NodeHeartbeat::new(card),
                 };
@@ -188,31 +192,31 @@
         }
     }
 
-    /// Notes that the nodes at these addresses are told and should be heard.
-    pub fn expect(&mut self, told: &[SocketAddr], now: Duration) {
-        let told: BTreeSet<&SocketAddr> = told.iter().collect();
+    /// Records that heartbeats were sent to these addresses and are expected in return.
+    pub fn expect_heartbeats(&mut self, recipients: &[SocketAddr], now: Duration) {
+        let recipients: BTreeSet<&SocketAddr> = recipients.iter().collect();
         for peer in self.peers.values_mut() {
-            if told.contains(&peer.heartbeat.card.peers) {
+            if recipients.contains(&peer.heartbeat.card.peers) {
                 peer.expected_since.get_or_insert(now);
             }
         }
     }
 
-    /// Forgets nodes of which nothing was heard for long.
-    pub fn forget(&mut self, now: Duration) {
+    /// Removes nodes that no heartbeat has mentioned for a minute.
+    pub fn expire(&mut self, now: Duration) {
         self.peers
-            .retain(|_, peer| peer.named_at + FORGOTTEN_AFTER > now);
+            .retain(|_, peer| peer.mentioned_at + EXPIRED_AFTER > now);
         for peer in self.peers.values_mut() {
-            if !peer.heard_within(RIVAL_AGE, now) {
+            if !peer.received_within(SENDER_AGE, now) {
                 peer.heartbeat.work = None;
             }
         }
     }
 
-    /// Nodes that were heard a moment ago.
+    /// Nodes whose newest heartbeat was received within `SILENT_AFTER`.
     pub fn live(&self, now: Duration) -> impl Iterator<Item = &FleetPeer> {
         let peers = self.peers.values();
-        peers.filter(move |peer| peer.heard_within(SILENT_AFTER, now))
+        peers.filter(move |peer| peer.received_within(SILENT_AFTER, now))
     }
 
     /// All other nodes of this node's zone.
@@ -221,36 +225,41 @@
         peers.filter(|peer| peer.heartbeat.card.zone == self.own.zone)
     }
 
-    /// Nodes that this one heard itself and may name to others: a node that is gone is not passed
-    /// round for ever.
-    pub fn namable(&self, now: Duration) -> Vec<&NodeCard> {
-        let heard = |peer: &&FleetPeer| {
-            let near = peer.heartbeat.card.zone == self.own.zone;
-            let age = if near { SILENT_AFTER } else { FAR_SILENT_AFTER };
-            peer.heard_within(age, now) && peer.heartbeat.card.state != NodeState::Leaving
+    /// Cards that this node may send to others: those of nodes that it received heartbeats from
+    /// itself, so that the card of a stopped node does not circulate for ever.
+    pub fn advertisable(&self, now: Duration) -> Vec<&NodeCard> {
+        let is_live = |peer: &&FleetPeer| {
+            let is_own_zone = peer.heartbeat.card.zone == self.own.zone;
+            let age = if is_own_zone {
+                SILENT_AFTER
+            } else {
+                FAR_SILENT_AFTER
+            };
+            peer.received_within(age, now) && peer.heartbeat.card.state != NodeState::Leaving
         };
-        let peers = self.peers.values().filter(heard);
+        let peers = self.peers.values().filter(is_live);
         peers.map(|peer| &peer.heartbeat.card).collect()
     }
 
-    /// Nodes of this node's zone that it hears, and itself.
+    /// Number of nodes of this node's zone whose heartbeats arrive, including itself.
     pub fn zone_size(&self, now: Duration) -> u32 {
         let live = self.zone_peers();
-        let live = live.filter(|peer| peer.heard_within(FAR_SILENT_AFTER, now));
+        let live = live.filter(|peer| peer.received_within(FAR_SILENT_AFTER, now));
         1 + live.count() as u32
     }
 
-    /// Nodes of the fleet, as the hubs count them; no fewer than this node knows.
+    /// Number of nodes of the fleet as counted by the hubs, but at least the number that this node
+    /// knows.
     pub fn size(&self, now: Duration) -> u32 {
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-        let mut told = 0;
-        let heard = |peer: &&FleetPeer| peer.heard_within(FAR_SILENT_AFTER, now);
-        for peer in self.peers.values().filter(heard) {
+        let mut reported = 0;
+        let is_live = |peer: &&FleetPeer| peer.received_within(FAR_SILENT_AFTER, now);
+        for peer in self.peers.values().filter(is_live) {
             let heartbeat = &peer.heartbeat;
             let zone = zones.entry(&heartbeat.card.zone).or_default();
             *zone = heartbeat.zone_size.max(*zone);
             if heartbeat.card.zone == self.own.zone {
-                told = heartbeat.fleet_size.max(told);
+                reported = heartbeat.fleet_size.max(reported);
             }
         }
         let own_zone = zones.entry(&self.own.zone).or_default();
@@ -260,43 +269,43 @@
         if self.is_hub(now) {
             counted.max(known)
         } else {
-            told.max(known)
+            reported.max(known)
         }
     }
 
-    /// The nodes that send calls, as numbers that tell them apart. One that has gone silent is among
-    /// them for a while: it may be cut off from here and send all the same.
-    pub fn rivals(&self) -> Vec<u64> {
+    /// Hashes of the other nodes that send calls. A node whose heartbeats stopped is included for a
+    /// while: it may be cut off from this one and still send calls.
+    pub fn sender_hashes(&self) -> Vec<u64> {
         let peers = self.peers.values().filter(|peer| peer.sends_calls());
         peers
             .map(|peer| node_hash(&peer.heartbeat.card.name))
             .collect()
     }
 
-    /// How many of them are silent.
-    pub fn silent_rivals(&self, now: Duration) -> u32 {
+    /// Number of nodes that send calls and whose heartbeats stopped.
+    pub fn silent_senders(&self, now: Duration) -> u32 {
         let peers = self.peers.values().filter(|peer| peer.sends_calls());
-        let silent = peers.filter(|peer| !peer.heard_within(SILENT_AFTER, now));
+        let silent = peers.filter(|peer| !peer.received_within(SILENT_AFTER, now));
         silent.count() as u32
     }
 
-    /// Time since 1970 at the start of this node's steady clock: the median of what the live nodes and
-    /// this one say, so that a step of some hosts' time of day moves nothing. `own` is this node's.
+    /// Unix time at which this node's monotonic clock was zero: the median of the values from live
+    /// nodes and `own`, that of this node, so that a step of some hosts' wall clocks has no effect.
     pub fn unix_start(&self, own: Duration, now: Duration) -> Duration {
-        let told = self.live(now).filter_map(|peer| {
+        let reported = self.live(now).filter_map(|peer| {
             let unix = Duration::from_millis(peer.heartbeat.unix_ms);
-            unix.checked_sub(peer.heard_at?)
+            unix.checked_sub(peer.last_heartbeat_at?)
         });
-        let told = told.filter(|start| !start.is_zero());
-        let mut starts: Vec<Duration> = told.chain(std::iter::once(own)).collect();
+        let reported = reported.filter(|start| !start.is_zero());
+        let mut starts: Vec<Duration> = reported.chain(std::iter::once(own)).collect();
         starts.sort_unstable();
         starts[starts.len() / 2]
     }
 
-    /// Time without word of a holder after which this node claims duties, beyond `silence`: hubs in their
-    /// order, the strongest first, then the other nodes spread over a time that grows with the fleet, so
-    /// that an outage of the store costs it few calls.
-    pub fn claim_patience(&self, silence: Duration, now: Duration) -> Duration {
+    /// Time without a notice from a holder after which this node claims the duties, at least
+    /// `silence`: hubs in order of capacity, then the other nodes spread over a time that increases
+    /// with the size of the fleet, so that an outage of the store causes few requests to it.
+    pub fn claim_delay(&self, silence: Duration, now: Duration) -> Duration {
         let own = claim_order(&self.own);
         let claimants = self.claimants(now);
         let rank = claimants.filter(|card| claim_order(card) < own).count();
@@ -304,11 +313,12 @@
             return silence + RANK_STEP * u32::try_from(rank).unwrap_or(u32::MAX);
         }
         let draw = node_hash(&self.own.name) as f64 / u64::MAX as f64;
-        silence + HUBS_TURN + MEMBER_STEP.mul_f64(draw * f64::from(self.size(now)))
+        silence + HUBS_PERIOD + MEMBER_STEP.mul_f64(draw * f64::from(self.size(now)))
     }
 
-    /// The other node that is the first to claim duties if this one is gone.
-    pub fn duty_deputy(&self, now: Duration) -> Option<SocketAddr> {
+    /// Address of the other node that is first to claim the duties when this one stops; `None` if
+    /// there is none.
+    pub fn duty_successor(&self, now: Duration) -> Option<SocketAddr> {
         let first = self.claimants(now).min_by_key(|card| claim_order(card))?;
         Some(first.peers)
     }
@@ -318,7 +328,7 @@
         live.filter(|card| card.state != NodeState::Leaving)
     }
 
-    /// Every other node that is known, live or not.
+    /// Every other known node, live or not.
     pub fn iter(&self) -> impl Iterator<Item = &FleetPeer> {
         self.peers.values()
     }
--- a/kernel/src/gateway/fleet/callers.rs
+++ b/kernel/src/gateway/fleet/callers.rs
@@ -1,4 +1,5 @@
-//! Which nodes callers are sent to, as hubs say, and which nodes hear of each other's calls.
+//! Determines the nodes that callers are directed to, as hubs advertise them, and the nodes that
+//! receive reports of each other's work.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,8 +10,9 @@
 use crate::gateway::heartbeat::{NodeCard, NodeHeartbeat, NodeState, short_hash};
 
 impl FleetView {
-    /// Nodes of this node's zone, or of all others, that have many calls or are sent them, with the hubs.
-    pub fn call_nodes(&self, near: bool, entries: &[u64], now: Duration) -> Vec<SocketAddr> {
+    /// Addresses of the nodes that receive this node's work: of its zone if `near`, else of all
+    /// others, those that have many calls or are listed for callers, and the hubs.
+    pub fn work_recipients(&self, near: bool, entries: &[u64], now: Duration) -> Vec<SocketAddr> {
         let in_reach = |zone: &str| (zone == &*self.own.zone) == near;
         let zones: BTreeSet<&str> = self
             .peers
@@ -18,7 +20,7 @@
             .map(|peer| &*peer.heartbeat.card.zone)
             .filter(|zone| in_reach(zone))
             .collect();
-        let mut told: BTreeSet<SocketAddr> = zones
+        let mut recipients: BTreeSet<SocketAddr> = zones
             .iter()
             .flat_map(|zone| self.hubs(zone, now))
             .map(|card| card.peers)
@@ -31,22 +33,22 @@
         }
         let calls = |peer: &&FleetPeer| {
             let card = &peer.heartbeat.card;
-            let busy = peer.heartbeat.sends_many() && peer.heard_within(SILENT_AFTER, now);
+            let busy = peer.heartbeat.sends_many() && peer.received_within(SILENT_AFTER, now);
             busy || entries.contains(&short_hash(&card.name))
         };
         let peers = self.peers.values().filter(calls);
         let cards = peers.map(|peer| &peer.heartbeat.card);
-        told.extend(
+        recipients.extend(
             cards
                 .filter(|card| in_reach(&card.zone))
                 .map(|card| card.peers),
         );
-        told.remove(&self.own.peers);
-        told.into_iter().collect()
+        recipients.remove(&self.own.peers);
+        recipients.into_iter().collect()
     }
 
-    /// Short hashes of the nodes that callers of this zone are sent to, if this node is a hub, which
-    /// hears all of them.
+    /// Short hashes of the nodes that callers of this zone are directed to. Empty unless this node
+    /// is a hub, which receives the heartbeats of all of them.
     pub fn entry_hashes(&self, own: &NodeHeartbeat, now: Duration) -> Vec<u64> {
         if !self.is_hub(now) {
             return Vec::new();
@@ -66,12 +68,18 @@
         entries::entries(live.chain(std::iter::once(own)), zone)
     }
 
-    /// The nodes that callers of a zone are sent to: as the zone's first hub says, or as this node
-    /// knows if it is a hub itself or hears none. If there are none, all that take calls.
-    pub fn callers_nodes(&self, own: &NodeHeartbeat, zone: &str, now: Duration) -> Vec<SocketAddr> {
+    /// Addresses of the nodes that callers of a zone are directed to: as advertised by the zone's
+    /// first hub, or as this node determines them if it is a hub itself or receives no hub's list.
+    /// If there are none, all nodes that accept calls.
+    pub fn entry_addresses(
+        &self,
+        own: &NodeHeartbeat,
+        zone: &str,
+        now: Duration,
+    ) -> Vec<SocketAddr> {
         let is_own_hub = zone == &*self.own.zone && self.is_hub(now);
-        let told = (!is_own_hub).then(|| self.told_entries(zone, now));
-        let mut cards = told.unwrap_or_default();
+        let advertised = (!is_own_hub).then(|| self.advertised_entries(zone, now));
+        let mut cards = advertised.unwrap_or_default();
         if cards.is_empty() {
             let known = self.known_entries(own, zone, now);
             cards = known.iter().map(|entry| &entry.card).collect();
@@ -86,12 +94,12 @@
         cards.iter().map(|card| card.callers).collect()
     }
 
-    fn told_entries(&self, zone: &str, now: Duration) -> Vec<&NodeCard> {
+    fn advertised_entries(&self, zone: &str, now: Duration) -> Vec<&NodeCard> {
         let hubs = self.hubs(zone, now);
         let mut lists = hubs
             .iter()
             .filter_map(|card| self.peers.get(&card.name))
-            .filter(|peer| peer.heard_within(SILENT_AFTER, now))
+            .filter(|peer| peer.received_within(SILENT_AFTER, now))
             .map(|peer| &peer.heartbeat.entries);
         let Some(entries) = lists.find(|entries| !entries.is_empty()) else {
             return Vec::new();
--- a/kernel/src/routing/keyed.rs
+++ b/kernel/src/routing/keyed.rs
@@ -1,11 +1,12 @@
-//! Calls with an idempotency key: run here if this run of this node minted the key, else relayed.
+//! Calls with an idempotency key: run here if this run of this node minted the key, relayed to the
+//! minter otherwise.
 
 use std::time::Duration;
 
 use crate::call::{CallOutcome, CallSpec, RefusalReason};
 use crate::event::Action;
 use crate::ids::{CallId, NodeId};
-use crate::keys::memory::{CallOrigin, KeyVerdict};
+use crate::keys::outcomes::{CallOrigin, KeyDecision};
 use crate::keys::{KeyError, KeyParts, RequestKey};
 use crate::membership::NodeState;
 use crate::plugin::Context;
@@ -15,15 +16,15 @@
 use crate::routing::watch::MAX_UNANSWERED;
 use crate::wire::RelayMessage;
 
-/// Time without news after which a minter is asked for a relayed call.
+/// Time without a message after which the minter is first queried about a relayed call.
 const RELAY_PATIENCE: Duration = Duration::from_secs(5);
-/// Longest time between two questions.
+/// Longest time between two queries.
 const MAX_RELAY_PATIENCE: Duration = Duration::from_mins(1);
-/// Time between two questions when the first found no answer.
+/// Time between queries while the minter does not reply.
 const ASK_AGAIN: Duration = Duration::from_secs(2);
 
 impl CallRouter {
-    /// Takes in a call that may not be repeated and has a key.
+    /// Admits a call that is not repeatable and has an idempotency key.
     pub(super) fn admit_keyed(
         &mut self,
         spec: CallSpec,
@@ -42,7 +43,7 @@
         }
         match self.checker.check(&parts, spec.workspace) {
             Ok(()) => self.admit_own(spec, key.fingerprint, &parts, origin, context),
-            // The run that minted it is gone, and with it what it knew.
+            // The run that minted it has ended, and its records of the key are lost.
             Err(KeyError::OtherMinter) => {
                 self.settle(spec.call, origin, CallOutcome::Unknown, context);
             }
@@ -69,24 +70,25 @@
             .memory
             .admit(parts, workspace, fingerprint, call, origin, now);
         match verdict {
-            KeyVerdict::Run => self.open(spec, origin, Some(parts.sequence), context),
-            KeyVerdict::Join { original } => {
+            KeyDecision::Run => self.open(spec, origin, Some(parts.sequence), context),
+            KeyDecision::Join { original } => {
                 self.joined.insert(call);
                 context.act(Action::AttachCall { call, original });
             }
-            KeyVerdict::Repeat { original, outcome } => {
+            KeyDecision::Repeat { original, outcome } => {
                 if matches!(outcome, CallOutcome::Whole { .. }) {
                     context.act(Action::AttachCall { call, original });
                 }
                 self.settle(call, origin, outcome, context);
             }
-            KeyVerdict::Doubled => {}
-            KeyVerdict::Conflict => self.refuse_key(call, origin, context),
-            KeyVerdict::Expired => self.settle(call, origin, CallOutcome::Unknown, context),
+            KeyDecision::Duplicate => {}
+            KeyDecision::Conflict => self.refuse_key(call, origin, context),
+            KeyDecision::Expired => self.settle(call, origin, CallOutcome::Unknown, context),
         }
     }
 
-    /// Hands a call to the node that minted its key, if that run can still be there.
+    /// Relays a call to the node that minted its key, or ends it as `unknown` if that run has
+    /// ended.
     fn relay(
         &mut self,
         spec: CallSpec,
@@ -107,14 +109,14 @@
         let relayed = RelayedCall {
             minter: parts.node,
             unanswered: 0,
-            patience: RELAY_PATIENCE,
-            wake: context.now + RELAY_PATIENCE,
+            query_interval: RELAY_PATIENCE,
+            next_check: context.now + RELAY_PATIENCE,
         };
-        self.wakes.insert((relayed.wake, call));
+        self.wakes.insert((relayed.next_check, call));
         self.relayed.insert(call, relayed);
     }
 
-    /// Takes in a message about a relayed call.
+    /// Handles a message about a relayed call.
     pub(super) fn relay_message(
         &mut self,
         from: NodeId,
@@ -127,7 +129,7 @@
                     self.admit_keyed(*spec, key, CallOrigin::Relay(from), context);
                 }
             }
-            // The call goes on: its caller may collect the answer with the same key.
+            // The call continues: its caller may fetch the response with the same key.
             RelayMessage::Cancel(_) => {}
             RelayMessage::Finished { call, outcome } => {
                 self.finish_relayed(*call, from, *outcome, context);
@@ -153,12 +155,12 @@
             return;
         }
         if let Some(relayed) = self.relayed.remove(&call) {
-            self.wakes.remove(&(relayed.wake, call));
+            self.wakes.remove(&(relayed.next_check, call));
             self.settle(call, CallOrigin::Caller, outcome, context);
         }
     }
 
-    /// The caller of a relayed call left.
+    /// Ends a relayed call whose caller left.
     pub(super) fn cancel_relayed(&mut self, call: CallId, context: &mut Context<'_>) {
         let Some(relayed) = self.relayed.get(&call) else {
             return;
@@ -168,7 +170,8 @@
         self.finish_relayed(call, minter, CallOutcome::Unknown, context);
     }
 
-    /// The minter of relayed calls is cut off or gone; it may have run them.
+    /// Ends the calls relayed to a node that is unreachable or gone as `unknown`, since it may have
+    /// run them.
     pub(super) fn minter_gone(&mut self, node: NodeId, context: &mut Context<'_>) {
         let lost: Vec<CallId> = self
             .relayed
@@ -181,7 +184,7 @@
         }
     }
 
-    /// Asks the minter for a relayed call, or gives up one whose minter answers nothing.
+    /// Queries the minter about a relayed call, or ends the call if the minter does not reply.
     pub(super) fn look_at_relayed(&mut self, call: CallId, context: &mut Context<'_>) {
         let Some(relayed) = self.relayed.get_mut(&call) else {
             return;
@@ -193,18 +196,18 @@
         }
         relayed.unanswered += 1;
         context.send(relayed.minter, RelayMessage::Ask(call));
-        relayed.wake = context.now + ASK_AGAIN;
-        self.wakes.insert((relayed.wake, call));
+        relayed.next_check = context.now + ASK_AGAIN;
+        self.wakes.insert((relayed.next_check, call));
     }
 
     fn relayed_held(&mut self, call: CallId, now: Duration) {
         let Some(relayed) = self.relayed.get_mut(&call) else {
             return;
         };
-        self.wakes.remove(&(relayed.wake, call));
+        self.wakes.remove(&(relayed.next_check, call));
         relayed.unanswered = 0;
-        relayed.patience = (relayed.patience * 2).min(MAX_RELAY_PATIENCE);
-        relayed.wake = now + relayed.patience;
-        self.wakes.insert((relayed.wake, call));
+        relayed.query_interval = (relayed.query_interval * 2).min(MAX_RELAY_PATIENCE);
+        relayed.next_check = now + relayed.query_interval;
+        self.wakes.insert((relayed.next_check, call));
     }
 }
--- a/kernel/tests/configuration/orders.rs
+++ b/kernel/tests/configuration/orders.rs
@@ -4,13 +4,13 @@
 
 use monsoonbank_kernel::event::Event;
 use monsoonbank_kernel::ids::UpstreamId;
-use monsoonbank_kernel::leases::lease::{LEASE_LENGTH, ORDER_FLIGHT};
+use monsoonbank_kernel::leases::lease::{LEASE_LENGTH, ORDER_TIMEOUT};
 use monsoonbank_kernel::leases::{EngineOrder, OrderRequest};
 use monsoonbank_kernel::record::Record;
 
 use crate::support::{Fleet, SentOrder, base_change};
 
-const QUIET: Duration = LEASE_LENGTH.saturating_add(ORDER_FLIGHT);
+const QUIET: Duration = LEASE_LENGTH.saturating_add(ORDER_TIMEOUT);
 
 fn order(adapter: &str) -> OrderRequest {
     OrderRequest {
@@ -123,7 +123,7 @@
     let next = fleet.orders.iter().find(|next| next.node != sent.node);
     let next = next.expect("another node holds the lease");
     assert!(next.fencing > sent.fencing);
-    assert!(next.at >= sent.not_after + ORDER_FLIGHT);
+    assert!(next.at >= sent.not_after + ORDER_TIMEOUT);
 }
 
 #[test]
@@ -137,7 +137,7 @@
         .iter()
         .find(|next| next.incarnation != sent.incarnation);
     let next = next.expect("the new run holds the lease");
-    assert!(next.at >= sent.not_after + ORDER_FLIGHT);
+    assert!(next.at >= sent.not_after + ORDER_TIMEOUT);
 }
 
 #[test]
