--- a/daemon/tests/process.rs
+++ b/daemon/tests/process.rs
@@ -89,7 +89,7 @@
             status.is_some()
         })
         .await;
-        status.expect("wait_for_exit")
+        status.expect("an exit status")
     }
 
     async fn stream_answer(&self, fleet: &TestFleet, prompt: &str, tokens: u32) -> String {
@@ -105,7 +105,7 @@
 
 impl Drop for NodeProcess {
     fn drop(&mut self) {
-        // Fails if the process has already wait_for_exit, which is no error.
+        // Fails if the process has already ended, which is no error.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
