--- a/daemon/src/gateway.rs
+++ b/daemon/src/gateway.rs
@@ -1,9 +1,10 @@
-//! A node that passes calls on unchanged: everything it holds, and how it starts and stops.
+//! The state, start and shutdown of a node that forwards calls unchanged.
 //!
-//! A call is read by `listener`, matched by `admission`, sent by `relay` through `connections`, and its
-//! stream is passed on by `stream`; `notices` takes in what answers say of upstreams. `sync` reads the
-//! platform's store, `peers` talks with the other nodes, `endpoints` answers lookups and checks, `caches` asks
-//! engines what they keep.
+//! `listener` reads a call, `admission` matches it to a rule, `relay` sends it through
+//! `connections` and `stream` forwards a streamed answer; `notices` applies what the heads of
+//! answers report about upstreams. `sync` reads the platform's store, `peers` exchanges heartbeats
+//! with other nodes, `fetch` copies larger state from them, `endpoints` serves lookups, checks and
+//! other nodes, and `caches` lists what engines cache.
 
 pub mod admission;
 pub mod caches;
@@ -64,96 +65,99 @@
 use crate::gateway::patch::ConfigurationHistory;
 use crate::gateway::settings::GatewaySettings;
 
-/// How well this node hears the store.
+/// Recent reachability of the platform's store.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreHealth {
-    /// When the last call failed.
+    /// Time of the last failed call; `None` if none has failed.
     pub failed_at: Option<Duration>,
-    /// When the store was back after that.
+    /// Time of the first successful call after the last failure.
     pub recovered_at: Duration,
-    /// Whether the registry has been read at all.
+    /// Whether the registry has been loaded, from the store or from another node.
     pub registry_loaded: bool,
 }
 
-/// Everything that a node holds; one thread, so cells suffice.
+/// The state of a node. It belongs to one thread, so `Cell` and `RefCell` suffice.
 pub struct Gateway {
-    /// What its operator told it.
+    /// Settings from the operator's file.
     pub settings: GatewaySettings,
-    /// The steady clock.
+    /// Monotonic clock that all times without a date refer to.
     pub clock: MonotonicClock,
-    /// The configuration in force, ready for lookups.
+    /// Rules of the configuration in force; `None` until the first configuration is applied.
     pub table: RefCell<Option<Rc<RuleTable>>>,
-    /// The same as the operator wrote it, and what came before it, for other nodes.
+    /// Text of the configuration in force and its recent predecessors, from which patches for other
+    /// nodes are made.
     pub texts: RefCell<ConfigurationHistory>,
-    /// Upstreams.
+    /// All known upstreams.
     pub registry: RefCell<UpstreamRegistry>,
-    /// Other nodes.
+    /// The other nodes, as their heartbeats report them.
     pub fleet: RefCell<FleetView>,
-    /// Contents of calls that upstreams crashed under.
+    /// Digests of the contents of calls under which upstreams crashed.
     pub crashes: RefCell<CrashLedger>,
-    /// Budgets for repeats, by pool.
+    /// Retry budgets, by pool.
     pub budgets: RefCell<BTreeMap<Box<str>, RetryBudget>>,
-    /// Parts of prompts that were sent since the last heartbeat to other nodes: tokens, part, and hash of
-    /// the upstream's run.
+    /// Prompt parts sent to upstreams since the last heartbeat: tokens, part id, hash of the
+    /// upstream's run.
     pub sent_parts: RefCell<BTreeSet<(u32, u64, u64)>>,
-    /// How fast streams go.
+    /// Observed pace of streams.
     pub paces: RefCell<BTreeMap<StreamKind, StreamPace>>,
-    /// Calls that wait for room.
+    /// Calls that wait for capacity at an upstream.
     pub waiting: RefCell<WaitList>,
-    /// Tells waiting calls that there may be room.
+    /// Wakes waiting calls when capacity may have become free.
     pub capacity_notify: tokio::sync::Notify,
-    /// Connections to upstreams.
+    /// Idle connections to upstreams.
     pub connections: ConnectionPool,
-    /// How well the store is heard.
+    /// Recent reachability of the store.
     pub store_health: Cell<StoreHealth>,
-    /// Since when the node has been leaving.
+    /// Time at which the shutdown began; `None` while the node runs normally.
     pub leaving_since: Cell<Option<Duration>>,
-    /// Calls that have not ended.
+    /// Number of calls that have not ended.
     pub open_calls: Cell<usize>,
-    /// Connections of callers.
+    /// Number of open connections from callers.
     pub open_connections: Cell<usize>,
-    /// Decision lines.
+    /// Writer of decision lines.
     pub decisions: DecisionLog,
     /// Counters and histograms.
     pub metrics: GatewayMetrics,
-    /// Tells idle connections of callers that the node leaves.
+    /// Wakes the tasks of callers' connections when the node begins to shut down.
     pub shutdown_notify: tokio::sync::Notify,
-    /// Wakes the reader of the registry before its next turn.
+    /// Wakes the registry reader before its next poll.
     pub registry_notify: tokio::sync::Notify,
-    /// Makes the reader of the configuration ask anew.
+    /// Makes the configuration reader drop its pending read and send a new one.
     pub configuration_notify: tokio::sync::Notify,
-    /// What other nodes have not been told and should know at once.
+    /// Most urgent update that the next heartbeats have to carry.
     pub news: Cell<SpreadNews>,
-    /// Wakes what tells other nodes.
+    /// Starts a round of heartbeats at once.
     pub heartbeat_notify: tokio::sync::Notify,
-    /// Whether something is being fetched from another node.
+    /// Whether a fetch from another node is running.
     pub fetching: Cell<bool>,
     /// Large answers that are being sent to other nodes.
     pub transfers: RefCell<TransferList>,
-    /// The newest version that any node told, and how fetching it goes.
+    /// Newest configuration version that any node has advertised, and the progress of fetching it.
     pub lag: Cell<VersionLag>,
-    /// The store's newest era that any answer showed; none before the first answer.
+    /// Newest era in any of the store's answers; `None` before the first answer.
     pub store_era: Cell<Option<u64>>,
-    /// Time since 1970 at the start of the steady clock, as most nodes say.
+    /// Unix time at the start of the monotonic clock, as agreed by most nodes.
     pub unix_start: Cell<Duration>,
-    /// Calls to the platform that one node at a time makes; none if it has no such duties.
+    /// State of the duties, which are calls to the platform that one node at a time makes; `None`
+    /// if the settings list no duties.
     pub duties: Option<DutyState>,
 }
 
 impl Gateway {
-    /// Time on the steady clock.
+    /// Returns the time on the monotonic clock.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Whether callers should be sent here.
+    /// Returns whether callers should be directed to this node: it has a configuration and a
+    /// registry and is not shutting down.
     pub fn is_ready(&self) -> bool {
         self.leaving_since.get().is_none()
             && self.table.borrow().is_some()
             && self.store_health.get().registry_loaded
     }
 
-    /// How far the process is.
+    /// Returns the lifecycle state that this node advertises.
     pub fn state(&self) -> NodeState {
         if self.leaving_since.get().is_some() {
             NodeState::Leaving
@@ -164,41 +168,42 @@
         }
     }
 
-    /// Has news told to other nodes at once.
+    /// Starts a round of heartbeats at once that propagates updates of this urgency or higher.
     pub fn propagate(&self, news: SpreadNews) {
         self.news.set(self.news.get().max(news));
         self.heartbeat_notify.notify_one();
     }
 
-    /// Whether this node is a hub of its availability zone.
+    /// Returns whether this node is a hub of its availability zone.
     pub fn is_hub(&self) -> bool {
         self.fleet.borrow().is_hub(self.now())
     }
 
-    /// Whether this node reads the store for its availability zone.
+    /// Returns whether this node reads the store on behalf of its availability zone.
     pub fn is_reader(&self) -> bool {
         self.fleet.borrow().reads_store(self.now())
     }
 
-    /// Version of the configuration in force; 0 is none.
+    /// Returns the version of the configuration in force; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.rules().map_or(0, |rules| rules.version)
     }
 
-    /// Whether a newer version has been told for so long that this node has to read the store for it.
+    /// Returns whether a newer version has been advertised for so long that this node has to read
+    /// it from the store itself.
     pub fn lags_behind(&self) -> bool {
         self.lag.get().is_behind(self.version(), self.now())
     }
 
-    /// Takes in that a piece of something fetched from another node came.
+    /// Records that data of a running fetch has arrived.
     pub fn record_fetch_progress(&self) {
         let mut lag = self.lag.get();
         lag.piece_came(self.now());
         self.lag.set(lag);
     }
 
-    /// Whether a call to the store failed lately, so that a read that is kept waiting may have
-    /// been lost without a sign.
+    /// Returns whether a call to the store failed within the trust period of the settings. A
+    /// pending long-poll read may then have been lost without an error.
     pub fn store_suspect(&self) -> bool {
         let trust = self.settings.times.trust;
         self.store_health
@@ -207,17 +212,17 @@
             .is_some_and(|at| self.now() < at + trust)
     }
 
-    /// The configuration in force.
+    /// Returns the rules of the configuration in force; `None` before the first configuration.
     pub fn rules(&self) -> Option<Rc<RuleTable>> {
         self.table.borrow().clone()
     }
 
-    /// Time since 1970, as most nodes of the fleet say.
+    /// Returns the Unix time as agreed by most nodes of the fleet.
     pub fn unix_now(&self) -> Duration {
         self.unix_start.get() + self.now()
     }
 
-    /// Compares the clocks of other nodes with this host's.
+    /// Recomputes the agreed Unix time from the clocks of this host and of the other nodes.
     pub fn compare_clocks(&self) {
         let now = self.now();
         let own = duties::host_time().saturating_sub(now);
@@ -225,8 +230,10 @@
         self.unix_start.set(start);
     }
 
-    /// Takes in the store's era that an answer showed. When a new one begins, the store runs from a copy
-    /// some seconds old: what it lacks proves nothing until it has been written again.
+    /// Records the era of an answer from the store. After a new era begins, the store runs from a
+    /// copy that is some seconds old: an entry that this copy lacks is not proof of removal until
+    /// writers have had time to write it again. So the store counts as having just failed and
+    /// recovered.
     pub fn observe_store_era(&self, era: u64) {
         let known = self.store_era.get();
         if known.is_some_and(|known| known >= era) {
@@ -240,44 +247,46 @@
             return;
         }
         let now = self.now();
-        let mut view = self.store_health.get();
-        view.failed_at = Some(now);
-        view.recovered_at = now;
-        self.store_health.set(view);
+        let mut health = self.store_health.get();
+        health.failed_at = Some(now);
+        health.recovered_at = now;
+        self.store_health.set(health);
         self.decisions.record(&Decision::StoreEraBegan { era });
         self.registry_notify.notify_waiters();
         self.configuration_notify.notify_waiters();
     }
 
-    /// Whether the node takes new calls: also for a while after it was told to stop.
+    /// Returns whether the node accepts new calls, which it also does for a short time after the
+    /// shutdown has begun.
     pub fn accepts_calls(&self) -> bool {
         self.leaving_since
             .get()
             .is_none_or(|since| self.now() < since + LINGER)
     }
 
-    /// How fast streams like a call's go.
+    /// Returns the observed pace of streams of the same kind as the call's.
     pub fn pace(&self, call: &Call) -> StreamPace {
         let paces = self.paces.borrow();
         paces.get(&call.stream_kind()).copied().unwrap_or_default()
     }
 
-    /// Nodes that share budgets, this one included.
+    /// Returns the number of nodes that share budgets, this one included.
     pub fn node_count(&self) -> usize {
         self.fleet.borrow().size(self.now()) as usize
     }
 }
 
-/// Time for which a node that leaves goes on taking calls. Callers that keep its address for longer
-/// find its port closed; a call that is taken later may not end within the grace period.
+/// Time for which a node accepts calls after its shutdown has begun. Callers that keep its address
+/// for longer find the port closed; a call accepted later might not end within the grace period.
 const LINGER: Duration = Duration::from_millis(2500);
-/// Turns the process's random seed into another one, for the lease on duties.
-const DUTY_STREAM: u32 = 17;
-/// Part of the grace period after which the node ends whatever it still has. The rest is kept for
-/// the process's own end.
-const GRACE_PART: f64 = 0.93;
+/// Rotation in bits that derives the lease's random seed from that of the process.
+const DUTY_SEED_ROTATION: u32 = 17;
+/// Fraction of the grace period after which calls that are still open are cut off. The rest is left
+/// for the process to exit.
+const GRACE_FRACTION: f64 = 0.93;
 
-/// Runs a node until it is told to stop and has finished its calls.
+/// Runs a node until it receives SIGTERM or SIGINT and its open calls have ended or the grace
+/// period is over. Errors mean that the node could not start.
 pub async fn run(settings: GatewaySettings) -> Result<(), NodeError> {
     let mut terminate = signal(SignalKind::terminate()).map_err(NodeError::Runtime)?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(NodeError::Runtime)?;
@@ -287,7 +296,7 @@
     let clock = MonotonicClock::new();
     let incarnation = sync::start_time();
     let own = peers::own_card(&settings, incarnation);
-    let duty_seed = u64::from_le_bytes(random).rotate_left(DUTY_STREAM);
+    let duty_seed = u64::from_le_bytes(random).rotate_left(DUTY_SEED_ROTATION);
     let duty_random = Pcg64Mcg::seed_from_u64(duty_seed);
     let gateway = Rc::new(Gateway {
         decisions: DecisionLog::start(clock, settings.name.clone()),
@@ -339,16 +348,16 @@
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
-            _ = reload.recv() => reread(&gateway),
+            _ = reload.recv() => validate_settings(&gateway),
         }
     }
-    leave(&gateway).await;
+    shut_down(&gateway).await;
     Ok(())
 }
 
-/// Checks the settings file again. What it may change at run time is nothing that this node
-/// listens on, so calls go on untouched; a wrong file is reported and the older stays in force.
-fn reread(gateway: &Gateway) {
+/// Validates the settings file on SIGHUP. The settings are not applied, so calls continue
+/// untouched; an invalid file is reported and the loaded settings stay in force.
+fn validate_settings(gateway: &Gateway) {
     let outcome = GatewaySettings::load(&gateway.settings.file);
     let error = outcome.err().map(|error| error.to_string());
     gateway.decisions.record(&Decision::Reloaded {
@@ -356,7 +365,7 @@
     });
 }
 
-async fn leave(gateway: &Gateway) {
+async fn shut_down(gateway: &Gateway) {
     let since = gateway.now();
     gateway.leaving_since.set(Some(since));
     gateway.shutdown_notify.notify_waiters();
@@ -364,7 +373,7 @@
     gateway.decisions.record(&Decision::Leaving {
         open_calls: gateway.open_calls.get(),
     });
-    let last = since + gateway.settings.times.grace.mul_f64(GRACE_PART);
+    let last = since + gateway.settings.times.grace.mul_f64(GRACE_FRACTION);
     let pause = Duration::from_millis(50);
     while gateway.now() < last {
         let quiet = gateway.open_calls.get() == 0 && gateway.now() > since + LINGER;
@@ -373,7 +382,7 @@
         }
         tokio::time::sleep(pause).await;
     }
-    // What was counted since the last heartbeat is told before the process ends.
+    // Sends what was counted since the last heartbeat before the process exits.
     gateway.heartbeat_notify.notify_one();
     tokio::time::sleep(pause).await;
     gateway.decisions.record(&Decision::Left {
--- a/daemon/src/gateway/admission.rs
+++ b/daemon/src/gateway/admission.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request and decides by the rules what it is.
+//! Reads a caller's request and matches it to a rule.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -21,51 +21,51 @@
 use crate::gateway::decisions::{Decision, millis};
 use crate::gateway::reply::{self, Reply};
 
-/// What a caller that asks before the node is ready is told to wait: a configuration is usually
-/// read within that time.
-const START_PAUSE: Duration = Duration::from_millis(300);
-/// Time that a call without a deadline of its own gets.
-const DEFAULT_TIME: Duration = Duration::from_mins(1);
+/// `Retry-After` for callers of a node without a configuration, which is usually loaded within that
+/// time.
+const START_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Time for a call that states no deadline.
+const DEFAULT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// A call that the rules let in.
+/// A call that was admitted by the rules.
 #[derive(Debug)]
 pub struct Call {
-    /// What its head says.
+    /// Decoded head of the request.
     pub head: CallHead,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query, as they came.
+    /// Path and query, unchanged.
     pub target: Uri,
-    /// Its headers that an upstream gets.
+    /// End-to-end headers, which are forwarded to the upstream.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
-    /// What it asks for, whichever attempt brings it.
+    /// Digest of the call's content, the same for each attempt at the same call.
     pub content: ContentDigest,
-    /// The class that the first matching rule gave it.
+    /// Class of the first matching rule.
     pub class: CallClass,
-    /// The pool that the rule sent it to.
+    /// Pool that the rule selected.
     pub pool: Box<str>,
-    /// The pool's engines, if it runs any.
+    /// Properties of the pool's engines; `None` for a pool of plain services.
     pub engine: Option<EngineSpec>,
-    /// Whether its pauses have to be the shortest of its pool.
+    /// Whether no other class of the pool requires shorter pauses between events.
     pub tight: bool,
-    /// Its rank; 0 is the most urgent.
+    /// Tier of the call; 0 is the most urgent.
     pub tier: u8,
-    /// Number of ranks.
+    /// Number of tiers.
     pub tiers: u8,
-    /// Who calls.
+    /// Workspace of the caller; `None` if the rule needs no key.
     pub workspace: Option<Box<str>>,
-    /// When its head was read.
+    /// Time at which the head was read.
     pub started: Duration,
-    /// When it must have ended.
+    /// Time by which the call must have ended.
     pub deadline: Duration,
-    /// Whether it has been counted for its workspace.
+    /// Whether the call has been counted in its workspace's usage.
     pub counted: Cell<bool>,
 }
 
 impl Call {
-    /// The streams whose pace tells how this call's goes.
+    /// Returns the kind of streams whose pace predicts this call's.
     pub fn stream_kind(&self) -> StreamKind {
         StreamKind {
             pool: self.pool.clone(),
@@ -74,7 +74,7 @@
     }
 }
 
-/// Why a request is not let in.
+/// Status and reason for a request that is rejected.
 #[derive(Debug)]
 struct Rejection {
     status: StatusCode,
@@ -90,7 +90,8 @@
     }
 }
 
-/// Reads a request whole and lets it in, or answers it.
+/// Reads a request to its end and matches it to a rule. The error is the answer to a rejected
+/// request.
 pub async fn admit(gateway: &Gateway, request: Request<Incoming>) -> Result<Rc<Call>, Reply> {
     let started = gateway.now();
     let (parts, body) = request.into_parts();
@@ -115,10 +116,10 @@
     let rule = find_rule(&rules, &head, parts.uri.path()).map_err(rejected)?;
     let workspace = find_workspace(&rules, rule, &head).map_err(rejected)?;
     let tier = rules.tier(rule, workspace);
-    let pool: Box<str> = rule.pool(draw(&head.id)).into();
-    let patience = head
+    let pool: Box<str> = rule.pool(id_hash(&head.id)).into();
+    let timeout = head
         .time_left
-        .unwrap_or(DEFAULT_TIME)
+        .unwrap_or(DEFAULT_TIMEOUT)
         .min(rule.class.timeout);
     let target = parts.uri.path_and_query();
     let content = ContentDigest::of(ContentParts {
@@ -142,7 +143,7 @@
         body,
         started,
         counted: Cell::new(false),
-        deadline: started + patience,
+        deadline: started + timeout,
         pool,
         head,
     };
@@ -152,7 +153,7 @@
         rule: &rule.name,
         pool: &call.pool,
         tier,
-        left_ms: millis(patience),
+        left_ms: millis(timeout),
         version: rules.version,
     });
     Ok(Rc::new(call))
@@ -160,7 +161,7 @@
 
 fn answer(rejection: &Rejection) -> Reply {
     match rejection.status {
-        StatusCode::SERVICE_UNAVAILABLE => reply::not_run(&rejection.reason, START_PAUSE),
+        StatusCode::SERVICE_UNAVAILABLE => reply::not_run(&rejection.reason, START_RETRY_AFTER),
         status => reply::failure(status, &rejection.reason),
     }
 }
@@ -231,7 +232,7 @@
     Ok(found)
 }
 
-/// A number that is uniform over calls, from the call's own name.
-fn draw(id: &str) -> u64 {
+/// Hashes the call's id to a uniform number, which selects the pool by weight.
+fn id_hash(id: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(id.as_bytes())
 }
--- a/daemon/src/gateway/caches.rs
+++ b/daemon/src/gateway/caches.rs
@@ -1,5 +1,6 @@
-//! Asks engines that ran before this node what they keep of prompts. Without it, all that engines had
-//! read is read again after the nodes lost power.
+//! Lists which prompt parts engines cache that ran before this node started. Without the lists,
+//! calls would be routed past those caches after all nodes had lost power, and engines would
+//! process every prompt again.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,23 +21,24 @@
 use crate::gateway::decisions::Decision;
 use crate::gateway::{Gateway, notices};
 
-/// Time after the node's start in which engines are asked; those that come later keep nothing yet.
-const ASKING_TIME: Duration = Duration::from_secs(5);
-/// Time until a starting node knows whether it is a hub: at first each takes itself for one, and a whole
-/// fleet would ask every engine.
-const SETTLING_TIME: Duration = Duration::from_millis(500);
-/// Time between two looks for engines that were not asked.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
-/// Engines that are asked at once.
-const MOST_AT_ONCE: usize = 16;
-/// Time for an engine to begin its answer, and longest pause in it.
-const ANSWER_TIME: Duration = Duration::from_millis(500);
+/// Time after the node's start during which engines are queried; engines that register later have
+/// nothing cached yet.
+const QUERY_PERIOD: Duration = Duration::from_secs(5);
+/// Time until a starting node can tell whether it is a hub. Before that each node considers itself
+/// one, and a whole fleet would query every engine.
+const HUB_SETTLE_TIME: Duration = Duration::from_millis(500);
+/// Time between two scans for engines that have not been queried.
+const SCAN_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of engines that are queried concurrently.
+const MAX_CONCURRENT: usize = 16;
+/// Time for an engine to begin its answer, and the longest pause within it.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why an engine's list was not taken.
+/// Reason why an engine's list could not be obtained.
 #[derive(Debug, Error)]
 enum ListError {
     #[error("{0}")]
-    Channel(#[from] ConnectionError),
+    Connect(#[from] ConnectionError),
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
     #[error("{0}")]
@@ -53,36 +55,37 @@
     Withheld(#[from] GateError),
 }
 
-/// An engine to ask.
+/// Key and address of an engine to query.
 #[derive(Clone, Copy, Debug)]
 struct EngineAddress {
     key: UpstreamKey,
     address: SocketAddr,
 }
 
-/// Starts asking, if this node is a hub: callers are sent to hubs first.
+/// Starts to query engines if this node is a hub, since callers are directed to hubs first.
 pub fn start(gateway: &Rc<Gateway>) {
-    tokio::task::spawn_local(ask_all(gateway.clone()));
+    tokio::task::spawn_local(query_all(gateway.clone()));
 }
 
-async fn ask_all(gateway: Rc<Gateway>) {
-    let until = gateway.now() + ASKING_TIME;
-    let mut asked = BTreeSet::new();
-    tokio::time::sleep(SETTLING_TIME).await;
+async fn query_all(gateway: Rc<Gateway>) {
+    let until = gateway.now() + QUERY_PERIOD;
+    let mut queried = BTreeSet::new();
+    tokio::time::sleep(HUB_SETTLE_TIME).await;
     while gateway.now() < until {
         if gateway.is_ready() && gateway.is_hub() {
-            let engines = engines_to_ask(&gateway, &asked);
-            asked.extend(engines.iter().map(|engine| engine.key));
-            for some in engines.chunks(MOST_AT_ONCE) {
-                join_all(some.iter().map(|engine| ask(&gateway, *engine))).await;
+            let engines = engines_to_query(&gateway, &queried);
+            queried.extend(engines.iter().map(|engine| engine.key));
+            for some in engines.chunks(MAX_CONCURRENT) {
+                join_all(some.iter().map(|engine| query(&gateway, *engine))).await;
             }
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(SCAN_INTERVAL).await;
     }
 }
 
-/// Engines of the own availability zone. What others keep is fetched once they are used.
-fn engines_to_ask(gateway: &Gateway, asked: &BTreeSet<UpstreamKey>) -> Vec<EngineAddress> {
+/// Returns engines of this node's availability zone that have not been queried. What others cache
+/// is fetched once they are used.
+fn engines_to_query(gateway: &Gateway, queried: &BTreeSet<UpstreamKey>) -> Vec<EngineAddress> {
     let Some(rules) = gateway.rules() else {
         return Vec::new();
     };
@@ -91,7 +94,7 @@
     let is_engine = |pool: &str| rules.pool(pool).is_some_and(|pool| pool.engine.is_some());
     registry
         .iter()
-        .filter(|(key, _)| gate::check(&registry, *key, now).is_ok() && !asked.contains(key))
+        .filter(|(key, _)| gate::check(&registry, *key, now).is_ok() && !queried.contains(key))
         .filter(|(_, upstream)| upstream.entry.zone == gateway.settings.zone)
         .filter(|(_, upstream)| is_engine(&upstream.entry.pool))
         .map(|(key, upstream)| EngineAddress {
@@ -101,7 +104,7 @@
         .collect()
 }
 
-async fn ask(gateway: &Gateway, engine: EngineAddress) {
+async fn query(gateway: &Gateway, engine: EngineAddress) {
     let listed = list(gateway, engine).await;
     let mut registry = gateway.registry.borrow_mut();
     let Some(upstream) = registry.get_mut(engine.key) else {
@@ -126,13 +129,14 @@
     let mut connection = connections::open(engine.key, engine.address).await?;
     gate::check(&gateway.registry.borrow(), engine.key, gateway.now())?;
     let request = cache::list_request(&engine.address.to_string())?;
-    let answer = tokio::time::timeout(ANSWER_TIME, connection.sender.send_request(request)).await;
+    let answer =
+        tokio::time::timeout(ANSWER_TIMEOUT, connection.sender.send_request(request)).await;
     let answer = answer.map_err(|_| ListError::TimedOut)??;
-    let said = answer::notices(answer.status(), answer.headers());
-    notices::apply(gateway, engine.key, said);
+    let reported = answer::notices(answer.status(), answer.headers());
+    notices::apply(gateway, engine.key, reported);
     if !answer.status().is_success() {
         return Err(ListError::Refused(answer.status()));
     }
-    let body = body::read_to_end(answer.into_body(), ANSWER_TIME, |_| ()).await?;
+    let body = body::read_to_end(answer.into_body(), ANSWER_TIMEOUT, |_| ()).await?;
     Ok(cache::decode_list(&body)?)
 }
--- a/daemon/src/gateway/connections.rs
+++ b/daemon/src/gateway/connections.rs
@@ -1,4 +1,5 @@
-//! Connections to upstreams: each carries one call at a time and is kept only while it is clean.
+//! Connections to upstreams. Each carries one call at a time and is reused only if its last answer
+//! was read to the end.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,39 +17,43 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Time for a connection to come about. Zones are 1 ms apart and an engine takes 1 ms for a new
-/// connection, so a host that has not answered by then is dark or cut off.
+/// Time to establish a connection. Availability zones are 1 ms apart and an engine takes 1 ms to
+/// accept, so a host that has not answered by then is down or cut off from the network.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time for which sent bytes may stay unacknowledged before the connection counts as broken.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Idle time after which the system asks the other end whether it is there, and between two asks.
-const KEEPALIVE_PAUSE: Duration = Duration::from_secs(1);
-/// Longest idle time of a connection that takes a call which may not be repeated, if the upstream
-/// announces none: a connection that the upstream closes just then loses the call.
+/// Idle time after which the operating system sends a keepalive probe, and the time between two
+/// probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest idle time of a connection for a call that must not be repeated, if the upstream
+/// announces no idle timeout. A connection that the upstream closes at the moment of sending loses
+/// the call.
 const IDLE_AT_MOST_ONCE: Duration = Duration::from_millis(1500);
-/// The same for a call that may be repeated.
+/// Longest idle time of a connection for a call that may be repeated, if the upstream announces no
+/// idle timeout.
 const IDLE_IDEMPOTENT: Duration = Duration::from_secs(4);
-/// Part of an announced idle time that is used.
-const ANNOUNCED_PART: f64 = 0.5;
+/// Fraction of an announced idle timeout that is used.
+const ANNOUNCED_FRACTION: f64 = 0.5;
 
-/// Why there is no connection.
+/// Reason why a connection could not be established.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
-    /// The upstream's host does not answer.
+    /// The upstream's host did not answer within the time limit.
     #[error("no connection in time")]
     TimedOut,
-    /// The connection was refused or broke.
+    /// The connection was refused, or its socket could not be set up.
     #[error("{0}")]
     Refused(#[from] std::io::Error),
-    /// The connection broke before it could be used.
+    /// The HTTP handshake failed.
     #[error("{0}")]
     Broken(#[from] hyper::Error),
 }
 
-/// A connection in use. Dropped, it is closed, which makes the upstream drop its call.
+/// A connection in use by one call. Dropping it closes the connection, which makes the upstream
+/// abandon the call.
 #[derive(Debug)]
 pub struct UpstreamConnection {
-    /// Sends requests.
+    /// Sends requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
     key: UpstreamKey,
@@ -68,13 +73,13 @@
 }
 
 impl IdleConnection {
-    fn usable(&self, safety: CallSafety, now: Duration) -> bool {
+    fn is_usable(&self, safety: CallSafety, now: Duration) -> bool {
         let most = match safety {
             CallSafety::AtMostOnce => IDLE_AT_MOST_ONCE,
             CallSafety::Idempotent => IDLE_IDEMPOTENT,
         };
         let most = self.announced.map_or(most, |announced| {
-            most.min(announced.mul_f64(ANNOUNCED_PART))
+            most.min(announced.mul_f64(ANNOUNCED_FRACTION))
         });
         now.saturating_sub(self.since) < most && self.connection.sender.is_ready()
     }
@@ -87,7 +92,8 @@
 }
 
 impl ConnectionPool {
-    /// An idle connection, the one that was used last.
+    /// Removes and returns the most recently used idle connection that is safe for a call of this
+    /// kind; `None` if there is none.
     pub fn acquire(
         &self,
         key: UpstreamKey,
@@ -96,14 +102,15 @@
     ) -> Option<UpstreamConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&key)?;
-        connections.retain(|idle| idle.usable(CallSafety::Idempotent, now));
+        connections.retain(|idle| idle.is_usable(CallSafety::Idempotent, now));
         let position = connections
             .iter()
-            .rposition(|idle| idle.usable(safety, now))?;
+            .rposition(|idle| idle.is_usable(safety, now))?;
         Some(connections.remove(position).connection)
     }
 
-    /// Keeps a connection whose answer was read whole.
+    /// Returns a connection whose answer was read to the end to the pool. `announced` is the idle
+    /// timeout that the upstream announced, if any.
     pub fn release(
         &self,
         connection: UpstreamConnection,
@@ -119,13 +126,13 @@
         });
     }
 
-    /// Closes all idle connections of an upstream.
+    /// Closes all idle connections to an upstream.
     pub fn close(&self, key: UpstreamKey) {
         self.idle.borrow_mut().remove(&key);
     }
 }
 
-/// Opens a connection.
+/// Opens a connection to an upstream's address.
 pub async fn open(
     key: UpstreamKey,
     address: SocketAddr,
@@ -135,7 +142,7 @@
     set_options(&stream)?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let task = tokio::task::spawn_local(async move {
-        // What ends a connection is told to the call that waits on it.
+        // The error that ends a connection is returned to the call that waits on it.
         let _ = connection.await;
     });
     Ok(UpstreamConnection {
@@ -145,13 +152,14 @@
     })
 }
 
-/// Makes silence of the other end show as an error.
+/// Disables Nagle's algorithm and sets the timeouts after which an unresponsive peer breaks the
+/// connection.
 pub fn set_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(SILENCE_TIMEOUT))?;
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE_PAUSE)
-        .with_interval(KEEPALIVE_PAUSE);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&keepalive.with_retries(2))
 }
--- a/daemon/src/gateway/decisions.rs
+++ b/daemon/src/gateway/decisions.rs
@@ -1,7 +1,8 @@
-//! Structured lines on standard output: one for each decision and each change of belief.
+//! Structured lines on standard output: one for each decision and each change in the view of other
+//! nodes, upstreams and the store.
 //!
-//! Lines are JSON. They are put into a bounded buffer and written by a thread of their own, so that
-//! a reader that stops never holds a call up; lines that find no room are counted and dropped.
+//! Lines are JSON. They are buffered up to a bound and written by a separate thread, so that a
+//! stalled reader never blocks a call; lines that exceed the bound are counted and dropped.
 
 use std::cell::{Cell, RefCell};
 use std::io::Write;
@@ -11,353 +12,357 @@
 use monsoonbank_kernel::clock::{Clock, MonotonicClock};
 use serde::Serialize;
 
-/// What is said in a line.
+/// Event of a line, with its fields.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Decision<'a> {
     /// The process started.
     Started {
-        /// Its availability zone.
+        /// Availability zone of the node.
         zone: &'a str,
     },
-    /// The settings file was read again.
+    /// The settings file was validated again.
     Reloaded {
-        /// What is wrong with it.
+        /// Error in the file; `None` if it is valid.
         error: Option<&'a str>,
     },
-    /// The node stops taking new work.
+    /// The node began to shut down.
     Leaving {
-        /// Calls that have not ended.
+        /// Number of calls that have not ended.
         open_calls: usize,
     },
-    /// The process ends.
+    /// The process exits.
     Left {
-        /// Calls that it cuts off.
+        /// Number of calls that are cut off.
         open_calls: usize,
     },
-    /// A configuration came into force.
+    /// A configuration was applied.
     ConfigurationApplied {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
-        /// Its rules.
+        /// Number of rules.
         rules: usize,
-        /// `store` or the node that it came from.
+        /// `store`, or the name of the node that it was fetched from.
         source: &'a str,
-        /// Its size, in bytes.
+        /// Size of the text, in bytes.
         bytes: usize,
-        /// Time that reading its text took, in us: no call goes on meanwhile.
+        /// Time for decoding the text, in us. No call progresses meanwhile.
         decode_us: u64,
-        /// Time since another node first told of it or a newer one, in ms; none if none did.
+        /// Time since another node first advertised this version or a newer one, in ms; `None` if
+        /// none did.
         lag_ms: Option<u64>,
     },
-    /// A configuration was not taken; the older stays in force.
+    /// A configuration was rejected; the previous one stays in force.
     ConfigurationRejected {
-        /// `store` or the node that it came from.
+        /// `store`, or the name of the node that it was fetched from.
         source: &'a str,
-        /// Why.
+        /// Reason for the event.
         reason: &'a str,
     },
-    /// What is believed of an upstream changed.
+    /// The state of an upstream changed.
     UpstreamChanged {
-        /// The upstream's id.
+        /// Id of the upstream.
         upstream: &'a str,
-        /// Its pool.
+        /// Pool of the upstream or call.
         pool: &'a str,
-        /// Why it takes nothing new, if so.
+        /// Reason why it accepts no new calls; `None` if it accepts them.
         left: Option<&'a str>,
-        /// Whether its entry lapsed while the registry was away.
+        /// Whether its entry disappeared while the store was unreachable.
         lapsed: bool,
     },
-    /// An engine that ran before this node was asked what it keeps of prompts.
+    /// An engine that ran before this node started was queried for the prompt parts that it caches.
     CacheListed {
-        /// The engine's id.
+        /// Id of the engine.
         upstream: &'a str,
-        /// Parts that it keeps.
+        /// Number of cached parts.
         parts: usize,
-        /// Why it did not tell, if so.
+        /// Reason why the query failed; `None` if it succeeded.
         reason: Option<&'a str>,
     },
-    /// An upstream is passed over for a while.
+    /// An upstream is backed off after failures.
     UpstreamRests {
-        /// The upstream's id.
+        /// Id of the upstream.
         upstream: &'a str,
-        /// Running share of calls that failed.
+        /// Moving average of the share of failed calls, from 0 to 1.
         failures: f64,
-        /// Whether other nodes are told.
+        /// Whether heartbeats report the upstream as failing.
         told: bool,
-        /// For how long, in ms.
+        /// Duration of the backoff, in ms.
         rest_ms: u64,
     },
-    /// The store or its answers are lost.
+    /// Calls to the store fail.
     StoreLost {
-        /// What for.
+        /// Reader whose calls are affected, such as `configuration` or `registry`.
         reader: &'a str,
-        /// Why.
+        /// Reason for the event.
         reason: &'a str,
     },
     /// The store answers again.
     StoreBack {
-        /// What for.
+        /// Reader whose calls are affected, such as `configuration` or `registry`.
         reader: &'a str,
-        /// How long it was lost, in ms.
+        /// Time since the first failure, in ms.
         lost_ms: u64,
     },
-    /// The store came back from an older copy.
+    /// The store resumed from an older copy.
     StoreEraBegan {
-        /// Its era, which grows each time.
+        /// New era of the store, which grows each time.
         era: u64,
     },
-    /// This node holds the platform's duties.
+    /// This node acquired the lease on the platform's duties.
     DutiesHeld {
-        /// Its fencing token.
+        /// Fencing token of the lease.
         token: u64,
     },
-    /// This node no longer holds them.
+    /// This node lost the lease on the duties.
     DutiesLost,
-    /// The usage of a window was written to the log; it is not counted anew.
+    /// The usage of a window was stored in the log; its counts are final.
     UsageWritten {
-        /// The window.
+        /// Number of the window.
         window: u64,
-        /// Workspaces with calls.
+        /// Number of workspaces with calls.
         workspaces: usize,
-        /// Their calls.
+        /// Number of calls of these workspaces.
         calls: u64,
-        /// Age of what the node that is silent longest told, in ms.
+        /// Age of the oldest input: the last counts of the node that has been silent longest, in
+        /// ms.
         oldest_input_ms: u64,
     },
-    /// A window's usage was sent to the platform.
+    /// The usage of a window was sent to the platform.
     UsageReported {
-        /// The window.
+        /// Number of the window.
         window: u64,
-        /// Workspaces with calls.
+        /// Number of workspaces with calls.
         workspaces: usize,
-        /// Their calls.
+        /// Number of calls of these workspaces.
         calls: u64,
-        /// The fencing token.
+        /// Fencing token of the call.
         token: u64,
-        /// Why it is not known to be accepted, if so.
+        /// Error of the call, after which the report may not have been accepted; `None` if it was.
         error: Option<&'a str>,
     },
-    /// A window's report was not accepted in time.
+    /// The report of a window was not accepted in time.
     UsageMissed {
-        /// The window.
+        /// Number of the window.
         window: u64,
     },
-    /// How busy a pool is whose engines this node orders.
+    /// Load of a pool whose engines this node orders.
     PoolBusy {
-        /// The pool.
+        /// Name of the pool.
         pool: &'a str,
-        /// Engines that take calls.
+        /// Number of engines that accept calls.
         engines: u32,
-        /// Calls that are at them.
+        /// Number of calls in progress at these engines.
         calls: u32,
-        /// Prompt tokens that they take in each second.
+        /// Prompt tokens sent to these engines per second.
         tokens_per_s: u64,
     },
-    /// Engines were ordered of the platform.
+    /// Engines were ordered from the platform.
     EnginesOrdered {
-        /// The pool.
+        /// Name of the pool.
         pool: &'a str,
-        /// The availability zone.
+        /// Availability zone of the engines.
         zone: &'a str,
-        /// Which engines: `firm` or `spot`.
+        /// Kind of the engines: `firm` or `spot`.
         kind: &'a str,
-        /// How many of them it shall have.
+        /// Number of engines of this kind that the zone should have.
         desired: u32,
-        /// How many of both kinds take calls there.
+        /// Number of engines of both kinds that accept calls in the zone.
         present: u32,
-        /// The fencing token.
+        /// Fencing token of the call.
         token: u64,
-        /// How it ended.
+        /// Outcome of the order: `accepted` or `failed`.
         outcome: &'a str,
-        /// More on it, if it was not accepted.
+        /// Error of the order; `None` if it was accepted.
         reason: Option<&'a str>,
     },
-    /// Another node was heard for the first time, or started again.
+    /// The first heartbeat of a node, or of its new process, was received.
     PeerHeard {
-        /// Its name.
+        /// Name of the node.
         peer: &'a str,
-        /// Its availability zone.
+        /// Availability zone of the node.
         zone: &'a str,
     },
-    /// Something was not fetched from another node.
+    /// A fetch from another node failed.
     FetchFailed {
-        /// The node.
+        /// Name of the node.
         peer: &'a str,
-        /// What: `configuration` or `registry`.
+        /// Part of the state: `configuration`, `registry` or `crashes`.
         part: &'a str,
-        /// Bytes of it that came.
+        /// Bytes that were received.
         received: usize,
-        /// How long it was tried, in ms.
+        /// Duration of the fetch, in ms.
         took_ms: u64,
-        /// Why.
+        /// Reason for the event.
         reason: &'a str,
     },
-    /// A call was refused before any upstream was chosen.
+    /// A call was rejected before an upstream was chosen.
     Refused {
-        /// The call.
+        /// Id of the call.
         call: &'a str,
-        /// The answer's status.
+        /// Status of the answer.
         status: u16,
-        /// Why.
+        /// Reason for the event.
         reason: &'a str,
-        /// Version of the configuration that decided it.
+        /// Version of the configuration that was applied to the call.
         version: u64,
     },
-    /// A call was matched.
+    /// A call was matched to a rule.
     Matched {
-        /// The call.
+        /// Id of the call.
         call: &'a str,
-        /// Digest of what it asks for: the same for each attempt at the same thing.
+        /// Digest of the call's content, the same for each attempt at the same call.
         content: &'a str,
-        /// The rule that matched first.
+        /// Name of the first matching rule.
         rule: &'a str,
-        /// Its pool.
+        /// Pool of the upstream or call.
         pool: &'a str,
-        /// Its rank.
+        /// Tier of the call; 0 is the most urgent.
         tier: u8,
-        /// Time that is left, in ms.
+        /// Time left until the call's deadline, in ms.
         left_ms: u64,
-        /// Version of the configuration that decided it.
+        /// Version of the configuration that was applied to the call.
         version: u64,
     },
-    /// A call waited for room.
+    /// A call waited for capacity.
     Waited {
-        /// The call.
+        /// Id of the call.
         call: &'a str,
-        /// For how long, in ms.
+        /// Duration of the wait, in ms.
         waited_ms: u64,
-        /// Whether an upstream had room in the end.
+        /// Whether an upstream with capacity was found.
         found: bool,
     },
-    /// All upstreams of a pool asked for a pause, so a call to it is refused at once.
+    /// All upstreams of a pool asked for a pause, so a call to it is rejected at once.
     PoolPaused {
-        /// The call.
+        /// Id of the call.
         call: &'a str,
-        /// The pool.
+        /// Name of the pool.
         pool: &'a str,
-        /// Time until the first that the call was not sent to wants calls again, in ms; none if it was
-        /// sent to all.
+        /// Time until the first pause ends of an upstream that the call has not been sent to, in
+        /// ms; `None` if it was sent to all.
         opens_ms: Option<u64>,
     },
-    /// A call that is late is not sent, since its stream would not end in its time.
+    /// A late call is not sent, since its stream is not expected to end before the deadline.
     TooLate {
-        /// The call.
+        /// Id of the call.
         call: &'a str,
-        /// Events that its stream is expected to have.
+        /// Expected number of events in the call's stream.
         expected_events: u64,
-        /// How long they take at the pace of streams now, in ms.
+        /// Time for these events at the current pace of streams, in ms.
         needs_ms: u64,
-        /// What is left of its time, in ms.
+        /// Time left until the call's deadline, in ms.
         left_ms: u64,
     },
-    /// An attempt begins.
+    /// A call is sent to an upstream.
     Sent {
-        /// The call.
+        /// Id of the call.
         call: &'a str,
-        /// Its upstream.
+        /// Id of the upstream.
         upstream: &'a str,
-        /// Which attempt, from 1.
+        /// Number of the attempt, from 1.
         attempt: u32,
-        /// The upstream's cost, in thousandths of the call's target.
+        /// Cost of the upstream, in thousandths of the call's latency target.
         cost: i64,
-        /// Prompt tokens that it has to read.
+        /// Prompt tokens that the upstream has to process.
         unread: u32,
         /// Tokens of the prompt's shared parts.
         shared: u32,
-        /// Tokens of them that some upstream keeps, as far as this node knows.
+        /// Tokens of the shared parts that any upstream caches, as far as this node knows.
         known: u32,
-        /// Tokens of them that this one keeps.
+        /// Tokens of the shared parts that the chosen upstream caches.
         kept: u32,
-        /// Whether it fetches parts of the prompt from another upstream.
+        /// Whether the upstream fetches cached parts from another one.
         fetches: bool,
-        /// Time that is left, in ms.
+        /// Time left until the call's deadline, in ms.
         left_ms: u64,
     },
-    /// An attempt ended without an answer that can be passed on.
+    /// An attempt ended without an answer that can be forwarded.
     AttemptEnded {
-        /// The call.
+        /// Id of the call.
         call: &'a str,
-        /// Its upstream.
+        /// Id of the upstream.
         upstream: &'a str,
-        /// How.
+        /// Kind of the failure.
         end: &'a str,
-        /// What is done next.
+        /// Next step for the call.
         next: &'a str,
-        /// More on it.
+        /// Details of the failure.
         reason: &'a str,
     },
-    /// The limit that an upstream names is another one.
+    /// The rate limit that an upstream announces changed.
     LimitChanged {
-        /// The upstream's id.
+        /// Id of the upstream.
         upstream: &'a str,
-        /// Requests a second that it takes from all nodes together; none if it names no limit any more.
+        /// Requests per second from all nodes together; `None` if the upstream no longer announces
+        /// a limit.
         per_second: Option<f64>,
-        /// `own` or the node that told.
+        /// `own`, or the name of the node that reported it.
         source: &'a str,
     },
-    /// An upstream that refused a call wants nothing from this node for a while.
+    /// An upstream that refused a call asked this node to pause.
     PauseAsked {
-        /// The upstream's id.
+        /// Id of the upstream.
         upstream: &'a str,
-        /// For how long, in ms.
+        /// Duration of the pause, in ms.
         pause_ms: u64,
     },
-    /// An upstream's connection broke under a call, which it is remembered for.
+    /// The connection to an upstream broke during a call, which is recorded as a crash.
     UpstreamBroke {
-        /// The call.
+        /// Id of the call.
         call: &'a str,
-        /// Digest of what it asks for.
+        /// Digest of the call's content.
         content: &'a str,
-        /// The upstream.
+        /// Id of the upstream.
         upstream: &'a str,
-        /// Runs of upstreams that broke off under such calls so far, as far as this node knows.
+        /// Number of upstream runs that have crashed under this content so far, as far as this node
+        /// knows.
         crashes: usize,
     },
-    /// Calls for something are kept from upstreams from now on, or no longer.
+    /// The quarantine of a content began or ended.
     QuarantineChanged {
-        /// Digest of what they ask for.
+        /// Digest of the content.
         content: &'a str,
-        /// Whether they are kept from them.
+        /// Whether the content is quarantined now.
         quarantined: bool,
-        /// Runs of upstreams that broke off under them.
+        /// Number of upstream runs that have crashed under this content.
         crashes: usize,
-        /// `own`, `store` or the node that told.
+        /// `own`, `store`, or the name of the node that reported it.
         source: &'a str,
     },
-    /// A call was not sent, as upstreams crashed under such calls.
+    /// A call was not sent because its content is quarantined.
     CallQuarantined {
-        /// The call.
+        /// Id of the call.
         call: &'a str,
-        /// Digest of what it asks for.
+        /// Digest of the call's content.
         content: &'a str,
-        /// Runs of upstreams that broke off under such calls.
+        /// Number of upstream runs that have crashed under this content.
         crashes: usize,
-        /// What its caller is told to wait, in ms.
+        /// `Retry-After` for the caller, in ms.
         pause_ms: u64,
     },
-    /// A stream goes on at another upstream.
+    /// A stream was resumed at another upstream.
     Resumed {
-        /// The call.
+        /// Id of the call.
         call: &'a str,
-        /// Its upstream.
+        /// Id of the upstream.
         upstream: &'a str,
-        /// The last event that the caller has.
+        /// Id of the last event that the caller has received; 0 if none.
         after: u64,
     },
     /// A call ended.
     Ended {
-        /// The call.
+        /// Id of the call.
         call: &'a str,
-        /// Its outcome.
+        /// Outcome of the call.
         outcome: &'a str,
-        /// The answer's status; 0 if the caller left before it.
+        /// Status of the answer; 0 if the caller left before it.
         status: u16,
-        /// Time since its head was read, in ms.
+        /// Time since the call's head was read, in ms.
         took_ms: u64,
-        /// Time to the first piece of its answer, in ms.
+        /// Time to the first part of the answer, in ms; `None` if there was none.
         first_ms: Option<u64>,
-        /// Events that were passed on.
+        /// Number of events that were forwarded.
         events: u64,
     },
 }
@@ -370,14 +375,14 @@
     decision: &'a Decision<'a>,
 }
 
-/// Bytes that wait to be written before lines are dropped.
-const MOST_BYTES: usize = 256 << 10;
-/// Chunks that wait for the writing thread.
-const MOST_CHUNKS: usize = 8;
-/// Time between two writes: what a line waits at most, against one wake-up for each.
-const WRITE_PAUSE: Duration = Duration::from_millis(200);
+/// Bytes that are buffered before lines are dropped.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
+/// Number of chunks that wait for the writing thread.
+const MAX_CHUNKS: usize = 8;
+/// Interval between writes. It bounds the delay of a line, at the cost of one wake-up each.
+const WRITE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Takes lines in and has them written.
+/// Buffers lines and passes them to a writing thread.
 #[derive(Debug)]
 pub struct DecisionLog {
     clock: MonotonicClock,
@@ -391,11 +396,11 @@
 impl DecisionLog {
     /// Starts the writing thread.
     pub fn start(clock: MonotonicClock, node: Box<str>) -> Self {
-        let (chunks, waiting) = sync_channel::<Vec<u8>>(MOST_CHUNKS);
+        let (chunks, waiting) = sync_channel::<Vec<u8>>(MAX_CHUNKS);
         std::thread::spawn(move || {
             while let Ok(chunk) = waiting.recv() {
                 let mut output = std::io::stdout().lock();
-                // Without a reader there is no one left to tell.
+                // Without a reader of standard output, further lines would be lost.
                 if output
                     .write_all(&chunk)
                     .and_then(|()| output.flush())
@@ -415,11 +420,11 @@
         }
     }
 
-    /// Takes a line in.
+    /// Appends a line to the buffer, or counts it as dropped if the buffer is full.
     pub fn record(&self, decision: &Decision) {
         let now = self.clock.now();
         let mut buffer = self.buffer.borrow_mut();
-        if buffer.len() > MOST_BYTES {
+        if buffer.len() > MAX_BUFFERED_BYTES {
             self.dropped.set(self.dropped.get() + 1);
         } else {
             let text = LineText {
@@ -432,14 +437,14 @@
             }
         }
         drop(buffer);
-        let due = self.flush_due.get().unwrap_or(now + WRITE_PAUSE);
+        let due = self.flush_due.get().unwrap_or(now + WRITE_INTERVAL);
         self.flush_due.set(Some(due));
         if now >= due {
             self.flush();
         }
     }
 
-    /// Hands what has gathered to the writing thread.
+    /// Passes the buffered lines to the writing thread.
     pub fn flush(&self) {
         self.flush_due.set(None);
         let mut buffer = self.buffer.borrow_mut();
@@ -456,19 +461,19 @@
         }
         match self.chunks.try_send(std::mem::take(&mut *buffer)) {
             Err(TrySendError::Full(chunk)) => *buffer = chunk,
-            // Without the writing thread no one reads them; nothing is kept for later.
+            // If the writing thread has ended, the lines are discarded.
             Ok(()) | Err(TrySendError::Disconnected(_)) => self.dropped.set(0),
         }
     }
 
-    /// Writes what is left, at the process's end.
+    /// Flushes the buffer at the end of the process, and waits a short time for the writing thread.
     pub fn finish(&self) {
         self.flush();
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Whole milliseconds.
+/// Converts a duration to whole milliseconds.
 pub fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/daemon/src/gateway/duties.rs
+++ b/daemon/src/gateway/duties.rs
@@ -1,6 +1,8 @@
-//! Duties: calls to the platform that one node at a time makes, under a lease on the store's log.
+//! Duties are calls to the platform that one node at a time makes, under a lease in the store's
+//! log.
 //!
-//! One task keeps the lease and writes down what its holder must not lose; `reports` makes the calls.
+//! One task claims and renews the lease and stores what a holder must not lose; `reports` and
+//! `scaling` make the calls.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -21,25 +23,25 @@
 use crate::gateway::decisions::{Decision, millis};
 use crate::gateway::settings::{DutyName, DutySettings};
 
-/// Time between two looks of a holder, or of a node that is to claim, at what is due.
-const BUSY_TICK: Duration = Duration::from_millis(100);
-/// The same of a node that knows of a holder.
-const IDLE_TICK: Duration = Duration::from_millis(500);
-/// Time between two reads of a node that waits for a lease to end.
-const READ_PAUSE: Duration = Duration::from_millis(900);
-/// Time without a notice of a holder after which the first node in order reads the lease. A notice reaches
-/// every node within a second.
-const HOLDER_SILENT_AFTER: Duration = Duration::from_millis(1600);
-/// Time that an answer of the store may take to begin.
-const STORE_PATIENCE: Duration = Duration::from_millis(800);
-/// Pause after a failed call to the store.
-const FAILURE_PAUSE: Duration = Duration::from_millis(400);
-/// Time between two calls if the settings give no usable rate.
-const LONGEST_CALL_PAUSE: Duration = Duration::from_secs(1);
-/// Windows that stay in the log, so that the next holder can send their reports again.
-const KEPT_WINDOWS: u64 = 4;
-
-/// A notice of the holder, and when it came.
+/// Interval at which the holder of the lease, or a node that is to claim it, checks what is due.
+const ACTIVE_INTERVAL: Duration = Duration::from_millis(100);
+/// The same interval at a node that knows of a holder.
+const IDLE_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between reads of a node that waits for a lease to expire.
+const READ_INTERVAL: Duration = Duration::from_millis(900);
+/// Time without a notice of a holder after which the first node in order reads the lease. A notice
+/// reaches every node within a second.
+const HOLDER_TIMEOUT: Duration = Duration::from_millis(1600);
+/// Time within which the store has to begin its answer.
+const STORE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Backoff after a failed call to the store.
+const FAILURE_BACKOFF: Duration = Duration::from_millis(400);
+/// Interval between two calls if the settings give no valid rate.
+const FALLBACK_CALL_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of windows that stay in the log, so that the next holder can send their reports again.
+const RETAINED_WINDOWS: u64 = 4;
+
+/// A notice of the holder, with the time at which it was received.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedNotice {
     notice: HolderNotice,
@@ -52,28 +54,28 @@
     }
 }
 
-/// What a node holds of duties.
+/// State of the duties at a node.
 pub struct DutyState {
-    /// What the settings say of them.
+    /// Settings of the duties.
     pub settings: DutySettings,
-    /// A clock that goes on while the host is suspended.
+    /// Clock that continues while the host is suspended.
     pub clock: BootClock,
-    /// The lease.
+    /// Lease that permits calls of the duties.
     pub lease: RefCell<DutyLease>,
-    /// Calls by workspace and window.
+    /// Usage counts, by workspace and window.
     pub ledger: RefCell<UsageLedger>,
-    /// Windows that are written down.
+    /// Windows of usage that are stored, and the state of their reports.
     pub reports: RefCell<UsageReports>,
-    /// Since when this node has held the lease, in time since 1970.
+    /// Unix time since which this node has held the lease; `None` if it does not hold it.
     held_since: Cell<Option<Duration>>,
     received: Cell<Option<ReceivedNotice>>,
-    /// From when on the platform accepts the next call.
+    /// Time from which the platform's rate permits the next call.
     call_at: Cell<Duration>,
     random: RefCell<Pcg64Mcg>,
 }
 
 impl DutyState {
-    /// The state of a node that starts.
+    /// Creates the state of a node that starts.
     pub fn new(settings: DutySettings, name: &str, incarnation: u64, random: Pcg64Mcg) -> Self {
         let lease = DutyLease::new(
             NodeId::named(name),
@@ -93,19 +95,19 @@
         }
     }
 
-    /// Takes in the store's era.
+    /// Records the store's era in the lease.
     pub fn observe_era(&self, era: u64, unix_now: Duration) {
         let window = self.ledger.borrow().window(unix_now) + 1;
         let now = self.clock.now();
         self.lease.borrow_mut().see_era(era, window, now);
     }
 
-    /// Whether the platform has this duty.
+    /// Returns whether the settings list this duty.
     pub fn has(&self, name: DutyName) -> bool {
         self.settings.has(name)
     }
 
-    /// Takes in what another node says of the holder.
+    /// Merges another node's notice of the holder.
     pub fn observe(&self, notice: HolderNotice, now: Duration, unix_now: Duration) {
         let fresh = ReceivedNotice { notice, at: now };
         let order = |notice: &HolderNotice| (notice.token, notice.renewal, notice.written);
@@ -137,7 +139,8 @@
             .observe(renewal, window, now, &mut random);
     }
 
-    /// What this node says of the holder: its own notice, or one that it received a moment ago.
+    /// Returns the notice of the holder for this node's heartbeats: its own, or one received a
+    /// short time ago; `None` if it knows of no holder.
     pub fn notice(&self, gateway: &Gateway) -> Option<HolderNotice> {
         let now = gateway.now();
         if let Some(token) = self.held_token() {
@@ -152,38 +155,40 @@
         }
         let received = self.received.get()?;
         let age = received.age(now);
-        (age < HOLDER_SILENT_AFTER).then_some(HolderNotice {
+        (age < HOLDER_TIMEOUT).then_some(HolderNotice {
             age_ms: millis(age),
             ..received.notice
         })
     }
 
-    /// The token under which this node holds the lease, also before it may act.
+    /// Returns the token under which this node holds the lease, which it does for a time before it
+    /// may make calls.
     fn held_token(&self) -> Option<u64> {
         self.lease.borrow().claimed(self.clock.now())
     }
 
-    /// Whether this node holds the lease.
+    /// Returns whether this node holds the lease.
     pub fn is_holder(&self) -> bool {
         self.held_token().is_some()
     }
 
-    /// The fencing token for a call that is sent now, if this node may send one.
+    /// Returns the fencing token for a call that is sent now; `None` if this node may not send one.
     pub fn token(&self) -> Option<u64> {
         self.lease.borrow().token(self.clock.now())
     }
 
-    /// Whether a call fits into the platform's rate now; it is counted then.
+    /// Returns whether the platform's rate permits a call now, and counts the call if so.
     pub fn try_admit_call(&self, now: Duration) -> bool {
         if now < self.call_at.get() {
             return false;
         }
         let pause = Duration::try_from_secs_f64(1.0 / self.settings.calls_per_s);
-        self.call_at.set(now + pause.unwrap_or(LONGEST_CALL_PAUSE));
+        self.call_at
+            .set(now + pause.unwrap_or(FALLBACK_CALL_INTERVAL));
         true
     }
 
-    /// Time since the holder's last notice, as far as this node knows.
+    /// Returns the time since the holder's last notice, as far as this node knows.
     fn silence(&self, now: Duration) -> Duration {
         self.received
             .get()
@@ -191,15 +196,15 @@
     }
 }
 
-/// Time since 1970 by this host's clock.
+/// Returns the Unix time of this host's clock.
 pub fn host_time() -> Duration {
-    // A clock before 1970 is as wrong as one at 1970.
+    // A clock that is set before 1970 counts as 1970.
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
 }
 
-/// Starts to keep the lease, if the platform has duties.
+/// Starts to claim and renew the lease, if the settings list duties.
 pub fn start(gateway: &Rc<Gateway>) {
     if gateway.duties.is_none() {
         return;
@@ -209,32 +214,36 @@
         gateway: gateway.clone(),
         read_at: Duration::ZERO,
     };
-    tokio::task::spawn_local(keep(keeper));
+    tokio::task::spawn_local(run_keeper(keeper));
 }
 
-/// Claims and renews the lease.
+/// Claims and renews the lease, and stores final windows of usage.
 struct LeaseKeeper {
     gateway: Rc<Gateway>,
     client: StoreClient,
     read_at: Duration,
 }
 
-async fn keep(mut keeper: LeaseKeeper) {
+async fn run_keeper(mut keeper: LeaseKeeper) {
     let gateway = keeper.gateway.clone();
     let Some(duties) = &gateway.duties else {
         return;
     };
     while gateway.leaving_since.get().is_none() {
         let is_busy = keeper.step(duties).await;
-        keeper.note_holding(duties);
-        let tick = if is_busy { BUSY_TICK } else { IDLE_TICK };
-        tokio::time::sleep(tick).await;
+        keeper.record_holding(duties);
+        let interval = if is_busy {
+            ACTIVE_INTERVAL
+        } else {
+            IDLE_INTERVAL
+        };
+        tokio::time::sleep(interval).await;
     }
-    // The lease lapses; others learn with the node's heartbeat that it leaves.
+    // The lease expires; other nodes see from the heartbeats that this node is leaving.
 }
 
 impl LeaseKeeper {
-    /// Does what is due. Gives whether this node holds the lease or is to claim it.
+    /// Reads and appends what is due. Returns whether this node holds the lease or is to claim it.
     async fn step(&mut self, duties: &DutyState) -> bool {
         let holds = duties.is_holder();
         if !holds && !self.is_claimant(duties) {
@@ -242,7 +251,7 @@
         }
         let now = duties.clock.now();
         if holds && duties.lease.borrow().needs_read(now) || !holds && now >= self.read_at {
-            self.read_at = now + READ_PAUSE;
+            self.read_at = now + READ_INTERVAL;
             self.read(duties).await;
         }
         self.append(duties).await;
@@ -252,11 +261,11 @@
     fn is_claimant(&self, duties: &DutyState) -> bool {
         let now = self.gateway.now();
         let fleet = self.gateway.fleet.borrow();
-        duties.silence(now) >= fleet.claim_patience(HOLDER_SILENT_AFTER, now)
+        duties.silence(now) >= fleet.claim_patience(HOLDER_TIMEOUT, now)
     }
 
-    /// Writes down when this node begins and ceases to hold the lease.
-    fn note_holding(&self, duties: &DutyState) {
+    /// Records when this node begins and ceases to hold the lease.
+    fn record_holding(&self, duties: &DutyState) {
         let token = duties.held_token();
         match (token, duties.held_since.get()) {
             (Some(token), None) => {
@@ -274,7 +283,7 @@
     }
 
     async fn read(&mut self, duties: &DutyState) {
-        let read = self.client.newest(names::DUTY_TOPIC, STORE_PATIENCE).await;
+        let read = self.client.newest(names::DUTY_TOPIC, STORE_TIMEOUT).await;
         self.gateway.observe_store_era(self.client.era());
         let snapshot = match read {
             Ok(snapshot) => snapshot,
@@ -308,7 +317,7 @@
             reader: "duties",
             reason: &reason,
         });
-        tokio::time::sleep(FAILURE_PAUSE).await;
+        tokio::time::sleep(FAILURE_BACKOFF).await;
     }
 
     fn count(&self, outcome: &str) {
@@ -316,7 +325,7 @@
         calls.with_label_values(&["duties", outcome]).inc();
     }
 
-    /// Claims or renews the lease if that is due, and writes down windows of usage that are final.
+    /// Claims or renews the lease if that is due, and stores final windows of usage.
     async fn append(&mut self, duties: &DutyState) {
         let now = duties.clock.now();
         let last = self.final_windows(duties);
@@ -329,7 +338,7 @@
         let records = encode(&claim.record, &last);
         let appended = self
             .client
-            .append(names::DUTY_TOPIC, claim.at, &records, STORE_PATIENCE)
+            .append(names::DUTY_TOPIC, claim.at, &records, STORE_TIMEOUT)
             .await;
         self.gateway.observe_store_era(self.client.era());
         match appended {
@@ -348,7 +357,8 @@
         }
     }
 
-    /// Windows that may be written down now: only under a lease that holds, with all read back.
+    /// Returns the windows that may be stored now. There are none unless this node holds a valid
+    /// lease and has read back all stored windows.
     fn final_windows(&self, duties: &DutyState) -> Vec<FinalWindow> {
         let (Some(held_since), Some(_)) = (duties.held_since.get(), duties.token()) else {
             return Vec::new();
@@ -420,16 +430,16 @@
     }
 }
 
-/// A record's key and value.
+/// Key and value of a record.
 type KeyedBytes = (Vec<u8>, Vec<u8>);
 
-/// The lease's record first, then the windows; windows long past are dropped.
+/// Encodes the lease's record and the windows, and removes old windows.
 fn encode(lease: &DutyRecord, last: &[FinalWindow]) -> Vec<KeyedBytes> {
     let mut records = vec![(names::LEASE_KEY.to_vec(), to_cbor(lease))];
     for FinalWindow { window, counts } in last {
         let key = |window: u64| format!("{}{window}", names::USAGE_KEY).into_bytes();
         records.push((key(*window), to_cbor(counts)));
-        records.push((key(window.saturating_sub(KEPT_WINDOWS)), Vec::new()));
+        records.push((key(window.saturating_sub(RETAINED_WINDOWS)), Vec::new()));
     }
     records
 }
@@ -437,7 +447,7 @@
 fn to_cbor(value: &impl serde::Serialize) -> Vec<u8> {
     let mut bytes = Vec::new();
     if let Err(error) = ciborium::into_writer(value, &mut bytes) {
-        log::error!("a record cannot be written: {error}");
+        log::error!("cannot encode a record of the duties: {error}");
     }
     bytes
 }
--- a/daemon/src/gateway/endpoints.rs
+++ b/daemon/src/gateway/endpoints.rs
@@ -1,4 +1,4 @@
-//! Answers checks, lookups, operators and other nodes: small questions with small answers.
+//! Serves readiness checks, lookups, operators, metrics and other nodes over HTTP.
 
 use std::convert::Infallible;
 use std::fmt::Write;
@@ -27,32 +27,34 @@
 use crate::gateway::reply::{self, Reply};
 use crate::gateway::{Gateway, frame, peers};
 
-/// How long callers may use a lookup's answer.
-pub const LOOKUP_LIFE: Duration = Duration::from_secs(2);
-/// Longest time that a question may take to arrive, and that its connection may stay idle.
-const QUESTION_TIMEOUT: Duration = Duration::from_secs(15);
-/// Path of the configuration in force as the operator wrote it, for operators.
+/// Time for which callers may cache the answer to a lookup.
+pub const LOOKUP_TTL: Duration = Duration::from_secs(2);
+/// Time limit for the head of a request, and for the idle time of its connection.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
+/// Path of the text of the configuration in force, for operators.
 const CONFIGURATION_PATH: &str = "/configuration";
-/// Path of what makes it of the one that another node has.
+/// Path of a patch from another node's configuration text to the one in force.
 const PATCH_PATH: &str = "/configuration/patch";
-/// Name in its query of the digest of the text that the other node has.
+/// Query parameter of the patch path: digest of the text that the other node has.
 const BASE_NAME: &str = "base=";
-/// Path of the registry, for other nodes.
+/// Path of registry entries, for other nodes.
 const REGISTRY_PATH: &str = "/registry";
-/// Name in its query of the digests of what the other node knows, as numbers of eight digits.
+/// Query parameter of the registry path: digests of the other node's entries, as consecutive
+/// hexadecimal numbers.
 const KNOWN_NAME: &str = "known=";
-/// Digits of such a number.
+/// Hexadecimal digits of each digest.
 const KNOWN_DIGITS: usize = 8;
-/// Path of the contents of calls that upstreams crashed under, for other nodes.
+/// Path of the reports of crashes and quarantined contents, for other nodes.
 pub const CRASH_PATH: &str = "/crashes";
-/// Entries whose answer is large; known before it is written, which takes a host's time.
+/// Number of entries above which an answer counts as large. It is checked before encoding, which
+/// costs processor time.
 const MANY_ENTRIES: usize = 512;
-/// Bytes of a large answer that are handed over at a time; what is no larger goes at once.
+/// Largest answer that is sent in one piece, and the size of the pieces of a larger one, in bytes.
 const PIECE_BYTES: usize = 16 << 10;
-/// Said to who asks before there is any.
+/// Reason in the answer while no configuration is in force.
 const NO_CONFIGURATION: &str = "no configuration yet";
 
-/// Accepts connections of those who ask.
+/// Accepts connections and answers their requests, without end.
 pub async fn serve(gateway: Rc<Gateway>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -64,7 +66,7 @@
                     });
                     let connection = http1::Builder::new()
                         .timer(TokioTimer::new())
-                        .header_read_timeout(QUESTION_TIMEOUT)
+                        .header_read_timeout(REQUEST_TIMEOUT)
                         .max_buf_size(8192)
                         .serve_connection(TokioIo::new(stream), service);
                     if let Err(error) = connection.await {
@@ -73,7 +75,7 @@
                 });
             }
             Err(error) => {
-                log::warn!("a connection was not accepted: {error}");
+                log::warn!("cannot accept a connection: {error}");
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         }
@@ -103,7 +105,8 @@
     reply
 }
 
-/// Addresses of nodes that take calls: those of the caller's availability zone, if there are any.
+/// Answers with the addresses of nodes that accept calls: those of the caller's availability zone,
+/// or of all zones if it has none.
 fn addresses(gateway: &Gateway, zone: Option<&str>) -> Reply {
     let own = peers::own_heartbeat(gateway);
     let fleet = gateway.fleet.borrow();
@@ -113,7 +116,7 @@
         return reply::failure(StatusCode::SERVICE_UNAVAILABLE, "no node takes calls");
     }
     addresses.truncate(lookup::MOST_ADDRESSES);
-    json_reply(lookup::encode(&addresses, LOOKUP_LIFE))
+    json_reply(lookup::encode(&addresses, LOOKUP_TTL))
 }
 
 fn configuration(gateway: &Gateway) -> Reply {
@@ -123,7 +126,8 @@
     }
 }
 
-/// Path and query with which a node that has the text with this digest asks for a patch.
+/// Returns the path and query that request a patch for the text with this digest; `None` requests
+/// the complete text.
 pub fn patch_target(base: Option<u64>) -> String {
     let base = base.map_or(String::new(), |digest| format!("?{BASE_NAME}{digest:x}"));
     format!("{PATCH_PATH}{base}")
@@ -138,14 +142,14 @@
         Ok(Some(patch)) => cbor_reply(gateway, patch),
         Ok(None) => reply::failure(StatusCode::NOT_FOUND, NO_CONFIGURATION),
         Err(error) => {
-            log::warn!("a patch cannot be made: {error}");
+            log::warn!("cannot make a configuration patch: {error}");
             reply::failure(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string())
         }
     }
 }
 
-/// An answer to another node. A large one is refused while many are being sent: each of them would come too
-/// slowly to be waited for, and who has one passes it on.
+/// Builds a compressed CBOR answer to another node. A large answer is refused while many are being
+/// sent: each of them would arrive too slowly, and a node that already has it can pass it on.
 fn cbor_reply(gateway: &Rc<Gateway>, value: &impl Serialize) -> Reply {
     let mut body = Vec::new();
     let framed = ciborium::into_writer(value, &mut body)
@@ -154,7 +158,7 @@
     let framed = match framed {
         Ok(framed) => Bytes::from(framed),
         Err(error) => {
-            log::warn!("an answer to a node cannot be written: {error}");
+            log::warn!("cannot encode an answer to another node: {error}");
             return reply::failure(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string());
         }
     };
@@ -174,7 +178,7 @@
     )
 }
 
-/// Leave to send a large answer, until it is dropped.
+/// Permission to send a large answer, released when dropped.
 struct TransferPermit {
     gateway: Rc<Gateway>,
     key: TransferKey,
@@ -194,7 +198,8 @@
     }
 }
 
-/// An answer that is handed over as the connection takes it, so that the permit lasts as long.
+/// Builds an answer that is streamed as the connection accepts it, so that the permit lasts until
+/// the end.
 fn in_pieces(bytes: Bytes, permit: TransferPermit) -> Reply {
     let pieces = futures_util::stream::unfold((bytes, permit), |(mut rest, permit)| async move {
         if rest.is_empty() {
@@ -206,17 +211,17 @@
     Response::new(Either::Right(StreamBody::new(pieces.boxed_local())))
 }
 
-/// Path and query with which a node asks for the entries that it knows differently.
+/// Returns the path and query that request the entries that differ from those with these digests.
 pub fn registry_target(known: &[u32]) -> String {
     let mut target = format!("{REGISTRY_PATH}?{KNOWN_NAME}");
     for digest in known {
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = write!(target, "{digest:0KNOWN_DIGITS$x}");
     }
     target
 }
 
-/// The digests in such a query; none if there are none, or if they are malformed.
+/// Decodes the digests in such a query; empty if there are none or if they are malformed.
 fn known_digests(query: &str) -> Vec<u32> {
     let text = query.strip_prefix(KNOWN_NAME).unwrap_or_default();
     let numbers = text.as_bytes().chunks(KNOWN_DIGITS).map(|digits| {
@@ -238,7 +243,7 @@
     cbor_reply(gateway, &entries)
 }
 
-/// All that the node believes, for operators.
+/// Dumps the node's view of upstreams and nodes as JSON, for operators.
 fn state(gateway: &Gateway) -> Reply {
     let now = gateway.now();
     let upstreams: Vec<serde_json::Value> = gateway
--- a/daemon/src/gateway/events.rs
+++ b/daemon/src/gateway/events.rs
@@ -1,47 +1,47 @@
-//! Splits a stream of server-sent events where events end, without changing a byte.
+//! Splits a stream of server-sent events at the ends of events, without changing a byte.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event that is held back until it is whole.
-const MOST_BYTES: usize = 1 << 20;
+/// Largest event that is buffered, in bytes.
+const MAX_BYTES: usize = 1 << 20;
 
-/// A whole event, as it came.
+/// A complete event in its original bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RawEvent {
-    /// Its bytes, the blank line included.
+    /// Bytes of the event, including the final blank line.
     pub bytes: Bytes,
-    /// Its id, if it has one.
+    /// Numeric event id; `None` if the event has none.
     pub id: Option<u64>,
 }
 
-/// Holds bytes back until they make whole events.
+/// Buffers bytes until they form complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
+    buffer: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes in the next bytes. Gives false if an event grows beyond all bounds.
+    /// Appends received bytes. Returns false if the buffered event exceeds 1 MiB.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
-        self.held.extend_from_slice(bytes);
-        self.held.len() <= MOST_BYTES
+        self.buffer.extend_from_slice(bytes);
+        self.buffer.len() <= MAX_BYTES
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event; `None` if more bytes are needed.
     pub fn next_event(&mut self) -> Option<RawEvent> {
-        let end = event_end(&self.held)?;
-        let bytes = self.held.split_to(end).freeze();
+        let end = event_end(&self.buffer)?;
+        let bytes = self.buffer.split_to(end).freeze();
         let id = event_id(&bytes);
         Some(RawEvent { bytes, id })
     }
 
-    /// Bytes after the last whole event.
+    /// Removes and returns the bytes after the last complete event.
     pub fn remainder(&mut self) -> Bytes {
-        self.held.split().freeze()
+        self.buffer.split().freeze()
     }
 }
 
-/// Position after the first blank line.
+/// Returns the position after the first blank line.
 fn event_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
--- a/daemon/src/gateway/fetch.rs
+++ b/daemon/src/gateway/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetches from another node what that has read of the store and this one has not.
+//! Fetches state from other nodes that this node has not read from the store itself.
 
 use std::io;
 use std::net::SocketAddr;
@@ -27,50 +27,51 @@
 use crate::gateway::patch::{self, ConfigurationPatch};
 use crate::gateway::{Gateway, endpoints, frame, quarantine, sync};
 
-/// Time in which a node has to begin its answer, and longest pause within it. A weak host that takes in
-/// thousands of rules does nothing else for a third of a second.
-const FETCH_SILENCE: Duration = Duration::from_millis(500);
-/// Least time between two fetches: what a node that lags costs others.
-const FETCH_PAUSE: Duration = Duration::from_millis(100);
-/// Time over which fetches are spread that one heartbeat sets off: a node with 10 Mbit/s sends 25 kB, a
-/// usual configuration, in 20 ms, and those who have it become sources.
+/// Time within which a node has to begin its answer, and the longest pause within it. A weak host
+/// that decodes thousands of rules is unresponsive for a third of a second.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
+/// Shortest time between two fetches, which bounds the load that a lagging node puts on others.
+const FETCH_INTERVAL: Duration = Duration::from_millis(100);
+/// Time over which the fetches caused by one heartbeat are spread. A node with a link of 10 Mbit/s
+/// sends 25 kB, the size of a usual configuration, in 20 ms, and nodes that have it become sources.
 const FETCH_SPREAD: Duration = Duration::from_millis(250);
-/// The same of a node that has nothing in force: callers wait for it.
+/// Time over which the fetches of nodes without a configuration are spread; shorter, since callers
+/// wait for such a node.
 const START_SPREAD: Duration = Duration::from_millis(60);
 
-/// Why nothing was fetched.
+/// Reason why a fetch failed.
 #[derive(Debug, Error)]
 pub enum FetchError {
-    /// No connection came about, or it broke.
+    /// The connection could not be established, or it broke.
     #[error("{0}")]
     Broken(#[from] io::Error),
-    /// The answer is not HTTP, or broke off.
+    /// The answer is not valid HTTP, or the connection broke during the exchange.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// The answer is too large or broke off.
+    /// The body is too large, stalled or ended early.
     #[error("{0}")]
     Body(#[from] BodyError),
-    /// No answer came in time.
+    /// The answer did not begin in time.
     #[error("no answer in time")]
     TimedOut,
-    /// The node has nothing to give, or sends to many others.
+    /// The node has no such data, or is sending to many others.
     #[error("the node answered {0}")]
     Refused(StatusCode),
-    /// The answer is not compressed as expected.
+    /// The answer is not a valid compressed frame.
     #[error("{0}")]
     Frame(io::Error),
-    /// The answer is not in the expected form.
+    /// The answer is not valid CBOR of the expected type.
     #[error("{0}")]
     Malformed(#[from] ciborium::de::Error<io::Error>),
 }
 
-/// Fetches what a heartbeat shows that its node has and this one lacks. One fetch at a time: the next
-/// heartbeat tells again.
+/// Fetches what a heartbeat's node has and this one lacks. Only one fetch runs at a time; the next
+/// heartbeat triggers another.
 pub fn catch_up(gateway: &Rc<Gateway>, heartbeat: &NodeHeartbeat) {
     let mut lag = gateway.lag.get();
     lag.told(heartbeat.version, gateway.now());
     gateway.lag.set(lag);
-    if !lacks(gateway, heartbeat).any() || gateway.fetching.replace(true) {
+    if !missing_parts(gateway, heartbeat).any() || gateway.fetching.replace(true) {
         return;
     }
     let (gateway, heartbeat) = (gateway.clone(), heartbeat.clone());
@@ -82,47 +83,47 @@
             START_SPREAD
         };
         tokio::time::sleep(spread.mul_f64(turn as f64 / u64::MAX as f64)).await;
-        let lacking = lacks(&gateway, &heartbeat);
-        if lacking.any() {
+        let missing = missing_parts(&gateway, &heartbeat);
+        if missing.any() {
             let (peer, address) = source(&gateway, &heartbeat, turn);
-            fetch_all(&gateway, &peer, address, lacking).await;
-            tokio::time::sleep(FETCH_PAUSE).await;
+            fetch_all(&gateway, &peer, address, missing).await;
+            tokio::time::sleep(FETCH_INTERVAL).await;
         }
         gateway.fetching.set(false);
     });
 }
 
-/// What another node has and this one lacks.
+/// Parts of the state that another node has and this one lacks.
 #[derive(Clone, Copy, Debug)]
-struct LackingPart {
+struct MissingParts {
     rules: bool,
     entries: bool,
     crashes: bool,
 }
 
-impl LackingPart {
+impl MissingParts {
     fn any(self) -> bool {
         self.rules || self.entries || self.crashes
     }
 }
 
-fn lacks(gateway: &Gateway, heartbeat: &NodeHeartbeat) -> LackingPart {
-    let reads_itself = gateway.is_reader() && !gateway.store_suspect();
+fn missing_parts(gateway: &Gateway, heartbeat: &NodeHeartbeat) -> MissingParts {
+    let reads_store = gateway.is_reader() && !gateway.store_suspect();
     let differs = heartbeat.registry_digest != gateway.registry.borrow().digest();
     let unknown = !gateway.store_health.get().registry_loaded && heartbeat.registry_digest != 0;
-    let trusted = heartbeat.store_well && learns_from(gateway, heartbeat);
+    let trusted = heartbeat.store_well && accepts_entries_of(gateway, heartbeat);
     let crash_digest = gateway.crashes.borrow().digest();
-    LackingPart {
+    MissingParts {
         crashes: heartbeat.crash_digest != 0 && heartbeat.crash_digest != crash_digest,
         rules: heartbeat.version > gateway.version(),
-        entries: differs && trusted && !reads_itself || unknown,
+        entries: differs && trusted && !reads_store || unknown,
     }
 }
 
-/// Whether differences of the registry are taken from this node: from one of the same availability
-/// zone if any there hears the store. Zones read the store at different moments, so between them
-/// digests differ for a while at each change.
-fn learns_from(gateway: &Gateway, heartbeat: &NodeHeartbeat) -> bool {
+/// Returns whether registry entries are accepted from the sender of this heartbeat: a node of the
+/// same availability zone, or of another zone if no node of this one reaches the store. Zones read
+/// the store at different times, so their digests differ briefly at each change.
+fn accepts_entries_of(gateway: &Gateway, heartbeat: &NodeHeartbeat) -> bool {
     let zone = &gateway.settings.zone;
     if heartbeat.card.zone == *zone {
         return true;
@@ -132,16 +133,17 @@
     !live.any(|near| near.card.zone == *zone && near.store_well)
 }
 
-/// One of the nodes that have what `heartbeat` shows, of this availability zone if there are any: the
-/// fetches of many nodes that heard the same spread over all of them.
+/// Selects one of the nodes that have the state that `heartbeat` advertises, of this availability
+/// zone if there are any. The fetches of many nodes that received the same heartbeat are so spread
+/// over all sources.
 fn source(gateway: &Gateway, heartbeat: &NodeHeartbeat, turn: u64) -> (Box<str>, SocketAddr) {
     let fleet = gateway.fleet.borrow();
-    let has_same = |peer: &&FleetPeer| {
+    let has_state = |peer: &&FleetPeer| {
         peer.heartbeat.version >= heartbeat.version
             && peer.heartbeat.registry_digest == heartbeat.registry_digest
             && peer.heartbeat.crash_digest == heartbeat.crash_digest
     };
-    let mut peers: Vec<&FleetPeer> = fleet.live(gateway.now()).filter(has_same).collect();
+    let mut peers: Vec<&FleetPeer> = fleet.live(gateway.now()).filter(has_state).collect();
     let is_near = |peer: &&FleetPeer| peer.heartbeat.card.zone == gateway.settings.zone;
     if peers.iter().any(is_near) {
         peers.retain(is_near);
@@ -151,7 +153,7 @@
     (chosen.card.name.clone(), chosen.card.peers)
 }
 
-/// What can be fetched from a node.
+/// Part of the state that can be fetched from a node.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 enum FetchPart {
     #[display("configuration")]
@@ -162,9 +164,10 @@
     Crashes,
 }
 
-/// Fetches what is lacking, the smallest first; what fails is written down.
-async fn fetch_all(gateway: &Gateway, peer: &str, address: SocketAddr, lacking: LackingPart) {
-    if lacking.crashes {
+/// Fetches what this node lacks, the smallest part first. The first failed fetch ends it and is
+/// recorded.
+async fn fetch_all(gateway: &Gateway, peer: &str, address: SocketAddr, missing: MissingParts) {
+    if missing.crashes {
         let source = FetchSource::new(peer, address, FetchPart::Crashes);
         let Some(reports) = fetch::<Vec<CrashReport>>(gateway, source, endpoints::CRASH_PATH).await
         else {
@@ -172,39 +175,39 @@
         };
         quarantine::merge_reports(gateway, &reports, peer);
     }
-    if lacking.entries {
+    if missing.entries {
         let source = FetchSource::new(peer, address, FetchPart::Registry);
         let target = endpoints::registry_target(&gateway.registry.borrow().bucket_digests());
         let Some(entries) = fetch(gateway, source, &target).await else {
             return;
         };
-        take_entries(gateway, entries);
+        merge_entries(gateway, entries);
     }
-    if lacking.rules {
-        // Another may be in force by the time of the answer.
+    if missing.rules {
+        // Another configuration may be in force when the answer arrives.
         let base = gateway.texts.borrow().newest().cloned();
         let target = endpoints::patch_target(base.as_deref().map(patch::text_digest));
         let source = FetchSource::new(peer, address, FetchPart::Configuration);
         let Some(patch) = fetch(gateway, source, &target).await else {
             return;
         };
-        take_patch(gateway, peer, base.as_deref(), patch);
+        apply_patch(gateway, peer, base.as_deref(), patch);
     }
 }
 
-/// Takes in the configuration that a patch makes of `base`, and keeps the patch for others.
-fn take_patch(gateway: &Gateway, peer: &str, base: Option<&[u8]>, patch: ConfigurationPatch) {
+/// Applies the configuration that a patch makes of `base`, and caches the patch for other nodes.
+fn apply_patch(gateway: &Gateway, peer: &str, base: Option<&[u8]>, patch: ConfigurationPatch) {
     match patch.apply(base) {
         Ok(text) => {
             sync::apply_configuration(gateway, &text, peer);
             gateway.texts.borrow_mut().keep_patch(patch);
         }
-        Err(error) => log::warn!("a patch of {peer} was not taken: {error}"),
+        Err(error) => log::warn!("cannot apply a configuration patch from node {peer}: {error}"),
     }
 }
 
-/// Takes another node's entries in: an upstream that left there has left.
-fn take_entries(gateway: &Gateway, entries: Vec<(UpstreamEntry, bool)>) {
+/// Merges the entries of another node. An upstream that has left there has left.
+fn merge_entries(gateway: &Gateway, entries: Vec<(UpstreamEntry, bool)>) {
     let change = |(entry, left): (UpstreamEntry, bool)| {
         if !left {
             return RegistryChange::Put(entry);
@@ -212,19 +215,20 @@
         if gateway.registry.borrow().key(&entry.id).is_some() {
             return RegistryChange::Removed(entry.id);
         }
-        // It left before this node heard of it; known as left, it makes the digests agree.
+        // The upstream left before this node knew it. An entry that is marked as leaving makes the
+        // digests of both nodes equal.
         RegistryChange::Put(UpstreamEntry {
             leaving: true,
             ..entry
         })
     };
     sync::apply_changes(gateway, entries.into_iter().map(change), true);
-    let mut view = gateway.store_health.get();
-    view.registry_loaded = true;
-    gateway.store_health.set(view);
+    let mut health = gateway.store_health.get();
+    health.registry_loaded = true;
+    gateway.store_health.set(health);
 }
 
-/// Where something is fetched from.
+/// Node, address and part of the state of a fetch.
 #[derive(Clone, Copy, Debug)]
 struct FetchSource<'a> {
     peer: &'a str,
@@ -242,7 +246,7 @@
     }
 }
 
-/// None if it failed, which is written down.
+/// Fetches and decodes one part of the state; `None` if that failed, which is recorded.
 async fn fetch<T: DeserializeOwned>(
     gateway: &Gateway,
     source: FetchSource<'_>,
@@ -283,15 +287,15 @@
     path: &str,
     on_piece: impl FnMut(usize),
 ) -> Result<Bytes, FetchError> {
-    let beginning = tokio::time::timeout(FETCH_SILENCE, begin(address, path)).await;
+    let beginning = tokio::time::timeout(FETCH_TIMEOUT, begin(address, path)).await;
     let (response, _connection) = beginning.map_err(|_| FetchError::TimedOut)??;
     if !response.status().is_success() {
         return Err(FetchError::Refused(response.status()));
     }
-    Ok(body::read_to_end(response.into_body(), FETCH_SILENCE, on_piece).await?)
+    Ok(body::read_to_end(response.into_body(), FETCH_TIMEOUT, on_piece).await?)
 }
 
-/// Sends a request on a connection of its own, which ends when what is given with the answer is
+/// Sends a request on a new connection, which closes when the handle returned with the answer is
 /// dropped.
 async fn begin(
     address: SocketAddr,
@@ -301,7 +305,7 @@
     stream.set_nodelay(true)?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let task = tokio::task::spawn_local(async move {
-        // What ends the connection is told to the request.
+        // The error that ends the connection is returned to the request.
         let _ = connection.await;
     });
     let connection = AbortOnDropHandle::new(task);
--- a/daemon/src/gateway/limits.rs
+++ b/daemon/src/gateway/limits.rs
@@ -1,4 +1,5 @@
-//! Limits that upstreams in need name in their answers: sent to other nodes, and shared with them.
+//! Rate limits that overloaded upstreams announce in their answers: shared among nodes, and
+//! propagated to them.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -11,21 +12,22 @@
 use crate::gateway::Gateway;
 use crate::gateway::decisions::Decision;
 
-/// Limits in one heartbeat, some 17 bytes each.
-const MOST_REPORTS: usize = 16;
-/// Where limits come from that this node saw itself, in lines.
+/// Number of limits in one heartbeat, some 17 bytes each.
+const MAX_REPORTS: usize = 16;
+/// Source in decision lines of limits that this node received from the upstream itself.
 const OWN_SOURCE: &str = "own";
 
-/// Takes in what an answer of an upstream says of its limit.
+/// Records the limit in an upstream's answer, in requests per second; `None` means that the
+/// upstream announces no limit.
 pub fn record_limit(gateway: &Gateway, key: UpstreamKey, per_second: Option<f64>) {
-    let said = NamedLimit {
+    let named = NamedLimit {
         per_second,
         at: gateway.now(),
     };
-    observe(gateway, key, said, OWN_SOURCE);
+    observe(gateway, key, named, OWN_SOURCE);
 }
 
-/// Takes in what another node says of limits.
+/// Merges the limits that another node reports.
 pub fn merge_reports(gateway: &Gateway, reports: &[LimitReport], source: &str) {
     for report in reports {
         let key = gateway.registry.borrow().by_hash(report.run);
@@ -35,15 +37,15 @@
     }
 }
 
-/// Reports for the next heartbeat: what upstreams said last.
+/// Returns the most recent reports, for the next heartbeat.
 pub fn recent_reports(registry: &UpstreamRegistry, now: Duration) -> Vec<LimitReport> {
     let report = |upstream: &Upstream| upstream.throttle.report(upstream.entry.run_hash(), now);
     let mut reports: Vec<LimitReport> = registry.newest().filter_map(report).collect();
     reports.sort_by_key(|report| Reverse(report.age_ms));
-    reports.split_off(reports.len().saturating_sub(MOST_REPORTS))
+    reports.split_off(reports.len().saturating_sub(MAX_REPORTS))
 }
 
-/// Sets this node's share of each limit by the nodes that it knows.
+/// Recomputes this node's share of each limit from the nodes that it knows.
 pub fn update_shares(gateway: &Gateway) {
     let now = gateway.now();
     let limited: Vec<UpstreamKey> = gateway
@@ -76,18 +78,18 @@
     upstream.throttle.set_share(share, now);
 }
 
-fn observe(gateway: &Gateway, key: UpstreamKey, said: NamedLimit, source: &str) {
+fn observe(gateway: &Gateway, key: UpstreamKey, named: NamedLimit, source: &str) {
     let now = gateway.now();
     let mut registry = gateway.registry.borrow_mut();
     let Some(upstream) = registry.get_mut(key) else {
         return;
     };
-    if !upstream.throttle.observe(said, now) {
+    if !upstream.throttle.observe(named, now) {
         return;
     }
     gateway.decisions.record(&Decision::LimitChanged {
         upstream: &upstream.entry.id,
-        per_second: said.per_second,
+        per_second: named.per_second,
         source,
     });
     drop(registry);
--- a/daemon/src/gateway/listener.rs
+++ b/daemon/src/gateway/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections and reads their requests.
+//! Accepts callers' connections and serves their requests.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -17,27 +17,28 @@
 use crate::gateway::reply::{self, Reply};
 use crate::gateway::{Gateway, admission, endpoints, relay};
 
-/// Descriptors that are kept for files, upstreams, peers and the store.
-const OTHER_DESCRIPTORS: usize = 1200;
-/// Least head that the reader can be bound to, in bytes.
-const LEAST_HEAD_BYTES: usize = 8192;
-/// Longest idle time of a caller's connection before a configuration tells it.
-const START_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// File descriptors reserved for files, upstreams, peers and the store.
+const RESERVED_DESCRIPTORS: usize = 1200;
+/// Smallest limit that the HTTP parser accepts for a request head, in bytes.
+const MIN_HEAD_BYTES: usize = 8192;
+/// Idle timeout of a caller's connection until a configuration sets one.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Listens for callers, checks, lookups, operators and metrics.
+/// Binds the ports for callers, readiness checks, lookups, operators, metrics and other nodes, and
+/// starts to accept connections. Fails if a port cannot be bound.
 pub async fn start(gateway: &Rc<Gateway>) -> Result<(), NodeError> {
     let listen = gateway.settings.listen.clone();
     let callers = bind(listen.callers, "callers").await?;
     tokio::task::spawn_local(accept_callers(gateway.clone(), callers));
     let metrics = SocketAddr::new(listen.callers.ip(), listen.metrics_port);
-    let desks = [
+    let endpoints = [
         (listen.ready, "readiness checks"),
         (listen.lookup, "lookups"),
         (listen.operators, "operators"),
         (metrics, "metrics"),
         (gateway.settings.peer_address(), "other nodes"),
     ];
-    for (address, role) in desks {
+    for (address, role) in endpoints {
         let listener = bind(address, role).await?;
         tokio::task::spawn_local(endpoints::serve(gateway.clone(), listener));
     }
@@ -54,17 +55,17 @@
 }
 
 async fn accept_callers(gateway: Rc<Gateway>, listener: TcpListener) {
-    let most = gateway
+    let max_connections = gateway
         .settings
         .limits
         .descriptors
-        .saturating_sub(OTHER_DESCRIPTORS)
+        .saturating_sub(RESERVED_DESCRIPTORS)
         .max(64);
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!("a caller's connection was not accepted: {error}");
+                log::warn!("cannot accept a caller's connection: {error}");
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 continue;
             }
@@ -72,7 +73,7 @@
         if !gateway.accepts_calls() {
             return;
         }
-        if gateway.open_connections.get() >= most {
+        if gateway.open_connections.get() >= max_connections {
             continue;
         }
         tokio::task::spawn_local(serve_caller(gateway.clone(), stream));
@@ -101,12 +102,12 @@
 async fn serve_caller(gateway: Rc<Gateway>, stream: TcpStream) {
     let _count = ConnectionCount::new(&gateway);
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("a caller's connection keeps its delay: {error}");
+        log::debug!("cannot disable Nagle's algorithm on a caller's connection: {error}");
     }
     let bounds = gateway.rules().map(|rules| rules.bounds);
-    let idle = bounds.map_or(START_IDLE_TIMEOUT, |bounds| bounds.idle_timeout);
-    let head = bounds.map_or(LEAST_HEAD_BYTES, |bounds| {
-        bounds.head_bytes.max(LEAST_HEAD_BYTES)
+    let idle = bounds.map_or(DEFAULT_IDLE_TIMEOUT, |bounds| bounds.idle_timeout);
+    let head = bounds.map_or(MIN_HEAD_BYTES, |bounds| {
+        bounds.head_bytes.max(MIN_HEAD_BYTES)
     });
     let service = service_fn(|request| answer(gateway.clone(), request));
     let connection = http1::Builder::new()
@@ -116,14 +117,14 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
-        ended = connection.as_mut() => return note_end(ended),
+        ended = connection.as_mut() => return log_end(ended),
         () = gateway.shutdown_notify.notified() => {}
     }
     connection.as_mut().graceful_shutdown();
-    note_end(connection.await);
+    log_end(connection.await);
 }
 
-fn note_end(ended: hyper::Result<()>) {
+fn log_end(ended: hyper::Result<()>) {
     if let Err(error) = ended {
         log::debug!("a caller's connection broke: {error}");
     }
@@ -136,10 +137,10 @@
         Ok(_) => reply::not_run("the node is leaving", Duration::ZERO),
         Err(reply) => reply,
     };
-    // A second length may have been dropped before the headers were seen; what follows a body in
-    // chunks is then not to be trusted as the next request.
-    let unsure = chunked || reply.status() == StatusCode::BAD_REQUEST;
-    if unsure || gateway.leaving_since.get().is_some() {
+    // Closes the connection after a chunked body or a malformed request. The HTTP parser may have
+    // dropped a second length header, so bytes behind the body may not be the next request.
+    let must_close = chunked || reply.status() == StatusCode::BAD_REQUEST;
+    if must_close || gateway.leaving_since.get().is_some() {
         reply
             .headers_mut()
             .insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/daemon/src/gateway/liveness.rs
+++ b/daemon/src/gateway/liveness.rs
@@ -1,7 +1,8 @@
-//! Waits for what an upstream says, and finds out whether its host is still there.
+//! Waits for data from an upstream and probes whether its host is still reachable.
 //!
-//! A host that goes dark after it has acknowledged a request breaks no connection: nothing of ours is
-//! unacknowledged. A new connection tells a dark host from a slow upstream, which accepts.
+//! A host that becomes unreachable after it has acknowledged a request breaks no connection, since
+//! no sent data is left unacknowledged. A new connection distinguishes an unreachable host from a
+//! slow upstream, whose host still accepts.
 
 use std::future::Future;
 use std::pin::pin;
@@ -16,14 +17,14 @@
 use crate::gateway::connections;
 use crate::gateway::relay::FailedAttempt;
 
-/// Least silence after which a host is asked: a sound engine's pauses are below this, and each
-/// question is one connection.
-const LEAST_SILENCE: Duration = Duration::from_millis(500);
-/// Questions in a row that must fail: one may be lost on its way.
-const FAILED_QUESTIONS: u32 = 2;
+/// Shortest silence after which a host is probed. A healthy engine pauses for less, and each probe
+/// costs one connection.
+const MIN_SILENCE: Duration = Duration::from_millis(500);
+/// Number of probes in a row that must fail, since a single one may be lost in the network.
+const MAX_FAILED_PROBES: u32 = 2;
 
-/// Waits until `waiting` is done or the call's deadline has passed. For a call that can go on at
-/// another upstream, the wait also ends when the upstream's host takes no more connections.
+/// Waits until `waiting` completes or the call's deadline has passed. For a call that can continue
+/// at another upstream, the wait also fails once the upstream's host no longer accepts connections.
 pub async fn wait<T>(
     gateway: &Gateway,
     call: &Call,
@@ -31,16 +32,12 @@
     waiting: impl Future<Output = T>,
 ) -> Result<T, FailedAttempt> {
     let mut waiting = pin!(waiting);
-    let silence = call
-        .class
-        .gap
-        .unwrap_or(call.class.target)
-        .max(LEAST_SILENCE);
-    let mut failed_questions = 0;
+    let silence = call.class.gap.unwrap_or(call.class.target).max(MIN_SILENCE);
+    let mut failed_probes = 0;
     loop {
         let left = call.deadline.saturating_sub(gateway.now());
-        if let Ok(heard) = tokio::time::timeout(left.min(silence), &mut waiting).await {
-            return Ok(heard);
+        if let Ok(received) = tokio::time::timeout(left.min(silence), &mut waiting).await {
+            return Ok(received);
         }
         if gateway.now() >= call.deadline {
             return Err(lost("the deadline has passed"));
@@ -49,12 +46,12 @@
             continue;
         }
         tokio::select! {
-            heard = &mut waiting => return Ok(heard),
-            there = is_there(gateway, key) => {
-                failed_questions = if there { 0 } else { failed_questions + 1 };
+            received = &mut waiting => return Ok(received),
+            reachable = accepts_connection(gateway, key) => {
+                failed_probes = if reachable { 0 } else { failed_probes + 1 };
             }
         }
-        if failed_questions >= FAILED_QUESTIONS {
+        if failed_probes >= MAX_FAILED_PROBES {
             return Err(lost("its host takes no more connections"));
         }
     }
@@ -64,7 +61,7 @@
     FailedAttempt::new(AttemptEnd::Lost, &reason)
 }
 
-async fn is_there(gateway: &Gateway, key: UpstreamKey) -> bool {
+async fn accepts_connection(gateway: &Gateway, key: UpstreamKey) -> bool {
     let entry = gateway
         .registry
         .borrow()
@@ -84,7 +81,7 @@
             true
         }
         Err(error) => {
-            log::debug!("the host of {} was asked: {error}", entry.id);
+            log::debug!("probe of the host of upstream {} failed: {error}", entry.id);
             false
         }
     }
--- a/daemon/src/gateway/metrics.rs
+++ b/daemon/src/gateway/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, in the text form of Prometheus.
+//! Counters and latency histograms, in the Prometheus text format.
 
 use std::time::Duration;
 
@@ -7,45 +7,46 @@
     TextEncoder,
 };
 
-/// Upper ends of the latency buckets, in seconds: around the targets in use, 0.1 to 2.5 s.
+/// Upper bounds of the latency buckets, in seconds, around the usual targets of 0.1 to 2.5 s.
 const BUCKETS: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 3.0, 6.0, 15.0,
 ];
 
-/// Everything that a gateway counts.
+/// Metrics of a gateway.
 #[derive(Debug)]
 pub struct GatewayMetrics {
     registry: Registry,
     /// Calls that ended, by tier and outcome.
     pub calls: IntCounterVec,
-    /// Attempts that ended without an answer to pass on, by pool and end.
+    /// Attempts without an answer to forward, by pool and kind of failure.
     pub attempts: IntCounterVec,
-    /// Answers in which an upstream says that it leaves or asks for a pause, by which.
+    /// Notices in upstreams' answers: that they leave or ask for a pause, by kind.
     pub notices: IntCounterVec,
-    /// Time to the first piece of the answer, by tier.
+    /// Time to the first part of the answer, in seconds, by tier.
     pub first_piece: HistogramVec,
     /// Calls to the store, by reader and outcome.
     pub store_calls: IntCounterVec,
-    /// Bytes of configurations and registries received, by source and whether they were of use.
+    /// Bytes of configurations and registries received, by source and by whether they were used.
     pub received_bytes: IntCounterVec,
-    /// Bytes of heartbeats that were sent to other nodes.
+    /// Bytes of heartbeats sent to other nodes.
     pub heartbeat_bytes: IntCounter,
-    /// Connections to upstreams that were opened, by pool.
+    /// Opened connections to upstreams, by pool.
     pub connections_opened: IntCounterVec,
     /// Version of the configuration in force.
     pub version: IntGauge,
     /// Calls that have not ended.
     pub open_calls: IntGauge,
-    /// Calls that were not sent, as upstreams crashed under such calls.
+    /// Calls that were not sent because their content is quarantined.
     pub quarantined_calls: IntCounter,
-    /// Contents of such calls that are known.
+    /// Number of quarantined contents known to this node.
     pub quarantined_contents: IntGauge,
     /// Windows of usage whose report was not accepted in time.
     pub duty_calls_missed: IntCounter,
 }
 
 impl GatewayMetrics {
-    /// Registers all metrics; their names are fixed, so a failure is a broken invariant.
+    /// Creates and registers all metrics. Panics only on an invalid or duplicate name, and the
+    /// names are constants.
     pub fn new() -> Self {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
@@ -132,19 +133,19 @@
         }
     }
 
-    /// Counts bytes that were received of `source`: the store, or other nodes.
+    /// Counts bytes received from `source`: the store, or other nodes.
     pub fn count_received(&self, source: &str, outcome: &str, bytes: usize) {
         self.received_bytes
             .with_label_values(&[source, outcome])
             .inc_by(bytes as u64);
     }
 
-    /// Counts an answer in which an upstream says something of itself.
+    /// Counts a notice of this kind in an upstream's answer.
     pub fn count_notice(&self, notice: &str) {
         self.notices.with_label_values(&[notice]).inc();
     }
 
-    /// Counts a first piece.
+    /// Records the time to the first part of an answer.
     pub fn observe_first(&self, tier: u8, took: Duration) {
         let tier = tier.to_string();
         self.first_piece
@@ -152,11 +153,11 @@
             .observe(took.as_secs_f64());
     }
 
-    /// All metrics as text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
-            log::warn!("metrics cannot be written: {error}");
+            log::warn!("cannot encode metrics: {error}");
         }
         text
     }
--- a/daemon/src/gateway/notices.rs
+++ b/daemon/src/gateway/notices.rs
@@ -1,4 +1,4 @@
-//! Takes in what upstreams say of themselves in the heads of their answers.
+//! Applies what upstreams report about themselves in the heads of their answers.
 
 use std::time::Duration;
 
@@ -8,24 +8,24 @@
 use crate::gateway::decisions::{Decision, millis};
 use crate::gateway::{Gateway, limits, sync};
 
-/// Takes in the head of an upstream's answer.
+/// Applies the rate limit and the notices in the head of an upstream's answer.
 pub fn apply_head(gateway: &Gateway, key: UpstreamKey, head: &AnswerHead) {
     let limit = head.notices.rate_limit;
     match head.kind {
         AnswerKind::Success | AnswerKind::Failure => limits::record_limit(gateway, key, limit),
-        // A refusal without a limit says nothing of it.
+        // A refusal without a limit does not mean that the limit has ended.
         AnswerKind::NotRun if limit.is_some() => limits::record_limit(gateway, key, limit),
         AnswerKind::NotRun | AnswerKind::Moved | AnswerKind::Foreign => {}
     }
     apply(gateway, key, head.notices);
 }
 
-/// Takes in what an upstream says of itself.
+/// Applies an upstream's notices: it is leaving, or it asks for a pause.
 pub fn apply(gateway: &Gateway, key: UpstreamKey, notices: UpstreamNotices) {
     if notices.leaving {
         gateway.metrics.count_notice("leaving");
-        let is_news = gateway.registry.borrow_mut().announced(key, gateway.now());
-        if is_news {
+        let is_new = gateway.registry.borrow_mut().announced(key, gateway.now());
+        if is_new {
             sync::upstream_changed(gateway, key);
         }
     }
--- a/daemon/src/gateway/patch.rs
+++ b/daemon/src/gateway/patch.rs
@@ -1,4 +1,4 @@
-//! Configurations as nodes pass them on: what changed against the one that the asker has.
+//! Patches between configuration texts, which nodes send to each other instead of complete texts.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, VecDeque};
@@ -10,39 +10,40 @@
 use xxhash_rust::xxh3::xxh3_64;
 use zstd::zstd_safe::CParameter;
 
-/// Texts that are kept, the one in force among them: a node that missed one change still gets a patch.
-const MOST_TEXTS: usize = 3;
-/// zstd's fastest usual level. With tables that hold the whole text it also finds most: of 1.59 MB with
-/// one rule more, 238 bytes, against 37,319 by level 3 with its own (`cargo test -p monsoonbank-daemon
-/// --test patch one_rule -- --nocapture`).
+/// Number of retained texts, including the one in force. A node that missed one change still gets a
+/// patch.
+const MAX_TEXTS: usize = 3;
+/// Fastest of zstd's standard levels. With tables that span the whole text it also compresses best:
+/// 1.59 MB of text with one added rule give 238 bytes, against 37,319 bytes at level 3 with that
+/// level's own tables.
 const LEVEL: i32 = 1;
-/// Bytes of text to an entry of the table, as a power of two: parts that are copied are far longer.
+/// Bytes of text per table entry, as a power of two; the copied parts are far longer.
 const ENTRY_LOG: u32 = 2;
-/// Largest text that a patch may give, in bytes; as large as any answer that is taken.
-const MOST_BYTES: usize = 16 << 20;
-/// Largest power of two that a patch may look back, in bytes: the text and the one before it.
-const MOST_WINDOW_LOG: u32 = 25;
+/// Largest text that a patch may produce, in bytes; the same bound as for any answer that is read.
+const MAX_BYTES: usize = 16 << 20;
+/// Largest window of a patch, as a power of two in bytes; it spans the text and its predecessor.
+const MAX_WINDOW_LOG: u32 = 25;
 
-/// Why a patch gives no text.
+/// Reason why a patch cannot be applied.
 #[derive(Debug, Error)]
 pub enum PatchError {
-    /// It is for a text that this node does not have.
+    /// The patch is for a base text that this node does not have.
     #[error("it is for another text than the one in force")]
     OtherBase,
-    /// It is not a frame of zstd, or one that needs too much.
+    /// The patch is not a valid zstd frame, or decoding it needs too much memory.
     #[error("it cannot be read: {0}")]
     Frame(#[from] io::Error),
-    /// What it gives is not what its sender has.
+    /// The resulting text differs from the sender's.
     #[error("it gives another text than its sender has")]
     OtherText,
 }
 
-/// Tells texts apart.
+/// Returns the digest that identifies a text.
 pub fn text_digest(text: &[u8]) -> u64 {
     xxh3_64(text)
 }
 
-/// Makes a configuration's text from the one before it.
+/// A compressed difference between two configuration texts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConfigurationPatch {
     base: Option<u64>,
@@ -51,7 +52,7 @@
 }
 
 impl ConfigurationPatch {
-    /// What turns `base` into `text`; without a base, the whole.
+    /// Creates the patch from `base` to `text`. Without a base it contains the complete text.
     pub fn new(base: Option<&[u8]>, text: &[u8]) -> io::Result<Self> {
         let prefix = base.unwrap_or_default();
         let mut encoder = zstd::stream::Encoder::with_ref_prefix(Vec::new(), LEVEL, prefix)?;
@@ -67,39 +68,39 @@
         })
     }
 
-    /// Digest of the text that it is for; none if it is for any.
+    /// Returns the digest of the base text; `None` if the patch needs no base.
     pub fn base(&self) -> Option<u64> {
         self.base
     }
 
-    /// The text that it makes of `base`.
+    /// Applies the patch to `base` and returns the resulting text.
     ///
     /// # Errors
     ///
-    /// If it is for another base, damaged, or would give more than 16 MiB.
+    /// If the patch is for another base, is damaged, or would produce more than 16 MiB.
     pub fn apply(&self, base: Option<&[u8]>) -> Result<Bytes, PatchError> {
         if self.base.is_some() && self.base != base.map(text_digest) {
             return Err(PatchError::OtherBase);
         }
         let prefix = base.filter(|_| self.base.is_some()).unwrap_or_default();
         let mut decoder = zstd::stream::Decoder::with_ref_prefix(&self.frame[..], prefix)?;
-        decoder.window_log_max(MOST_WINDOW_LOG)?;
+        decoder.window_log_max(MAX_WINDOW_LOG)?;
         let mut text = Vec::new();
-        decoder.take(MOST_BYTES as u64 + 1).read_to_end(&mut text)?;
-        if text.len() > MOST_BYTES || text_digest(&text) != self.digest {
+        decoder.take(MAX_BYTES as u64 + 1).read_to_end(&mut text)?;
+        if text.len() > MAX_BYTES || text_digest(&text) != self.digest {
             return Err(PatchError::OtherText);
         }
         Ok(text.into())
     }
 }
 
-/// The least power of two that reaches over so many bytes, within what zstd takes.
+/// Returns the smallest window that spans this many bytes, as a power of two within zstd's limits.
 fn window_log(bytes: usize) -> u32 {
     const LEAST: u32 = 10;
-    (usize::BITS - bytes.leading_zeros()).clamp(LEAST, MOST_WINDOW_LOG)
+    (usize::BITS - bytes.leading_zeros()).clamp(LEAST, MAX_WINDOW_LOG)
 }
 
-/// The texts that were in force lately, the newest first, and patches to it.
+/// The most recent configuration texts, newest first, and patches to the newest.
 #[derive(Debug, Default)]
 pub struct ConfigurationHistory {
     texts: VecDeque<(u64, Bytes)>,
@@ -107,20 +108,20 @@
 }
 
 impl ConfigurationHistory {
-    /// Takes in the text that is in force now.
+    /// Adds the text that is in force now.
     pub fn put(&mut self, text: Bytes) {
         self.texts.push_front((text_digest(&text), text));
-        self.texts.truncate(MOST_TEXTS);
+        self.texts.truncate(MAX_TEXTS);
         self.patches.clear();
     }
 
-    /// The text in force.
+    /// Returns the text in force; `None` if there is none.
     pub fn newest(&self) -> Option<&Bytes> {
         self.texts.front().map(|(_, text)| text)
     }
 
-    /// Keeps a patch that gave the text in force: another node that has its base needs the same, and
-    /// making it takes this node up to 30 ms.
+    /// Caches a received patch to the text in force. Another node with the same base needs the same
+    /// patch, and creating it takes up to 30 ms.
     pub fn keep_patch(&mut self, patch: ConfigurationPatch) {
         let newest = self.texts.front().map(|(digest, _)| *digest);
         if newest == Some(patch.digest) {
@@ -128,8 +129,8 @@
         }
     }
 
-    /// What makes the text in force of the one with this digest; the whole if that is not known here.
-    /// None if there is no text.
+    /// Returns the patch from the text with this digest to the text in force; the complete text if
+    /// that base is not known here. `None` if there is no text in force.
     pub fn patch_from(&mut self, base: Option<u64>) -> io::Result<Option<&ConfigurationPatch>> {
         let Some((_, newest)) = self.texts.front() else {
             return Ok(None);
--- a/daemon/src/gateway/peers.rs
+++ b/daemon/src/gateway/peers.rs
@@ -1,5 +1,5 @@
-//! Heartbeats between nodes, as datagrams: who is there, what each has in force and how much work it
-//! has where. What is too large for a datagram is fetched from the node that named it.
+//! Heartbeats between nodes, sent as datagrams: liveness, the versions in force and the work at
+//! each upstream. What is too large for a datagram is fetched from the node that advertised it.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,16 +19,17 @@
 use crate::gateway::usage::UsageSender;
 use crate::gateway::{Gateway, fetch, limits, quarantine, sync, usage};
 
-/// Parts of prompts in one datagram, about 16 bytes each.
-const MOST_PARTS: usize = 48;
-/// Parts of prompts that wait to be told to nodes of other zones: a node with few calls tells none.
-const MOST_WAITING_PARTS: usize = 4 * MOST_PARTS;
-/// Open calls that a core carries with room to spare.
+/// Number of prompt parts in one datagram, about 16 bytes each.
+const MAX_PARTS: usize = 48;
+/// Number of prompt parts that wait to be sent to nodes of other availability zones. A node with
+/// few calls sends none to them.
+const MAX_PENDING_PARTS: usize = 4 * MAX_PARTS;
+/// Number of open calls that one core handles with a reserve.
 const CALLS_PER_CORE: f64 = 1000.0;
-/// Largest datagram: one that networks do not split.
-const MOST_BYTES: usize = 1400;
+/// Largest datagram that networks do not fragment, in bytes.
+const MAX_BYTES: usize = 1400;
 
-/// Starts to speak and to listen.
+/// Binds the UDP port and starts to send and receive heartbeats. Fails if the port cannot be bound.
 pub async fn start(gateway: &Rc<Gateway>) -> Result<(), NodeError> {
     let address = gateway.settings.peer_address();
     let socket = UdpSocket::bind(address).await;
@@ -47,11 +48,11 @@
         .map(|seed| SocketAddr::new(seed.ip(), port));
     let seeds: BTreeSet<SocketAddr> = seeds.filter(|seed| *seed != address).collect();
     tokio::task::spawn_local(listen(gateway.clone(), socket.clone()));
-    tokio::task::spawn_local(speak(HeartbeatSpeaker::new(gateway, socket, seeds)));
+    tokio::task::spawn_local(send_rounds(HeartbeatSender::new(gateway, socket, seeds)));
     Ok(())
 }
 
-/// Who the node of these settings is, before it has anything in force.
+/// Returns the card of the node with these settings, in the state of a node that starts.
 pub fn own_card(settings: &GatewaySettings, incarnation: u64) -> NodeCard {
     NodeCard {
         name: settings.name.clone(),
@@ -64,7 +65,7 @@
     }
 }
 
-/// What this node says of itself.
+/// Builds the heartbeat of this node.
 pub fn own_heartbeat(gateway: &Gateway) -> NodeHeartbeat {
     let now = gateway.now();
     let registry = gateway.registry.borrow();
@@ -116,10 +117,10 @@
 async fn send(gateway: &Gateway, socket: &UdpSocket, to: SocketAddr, heartbeat: &NodeHeartbeat) {
     let mut bytes = Vec::with_capacity(256);
     if let Err(error) = ciborium::into_writer(heartbeat, &mut bytes) {
-        log::warn!("a heartbeat cannot be written: {error}");
+        log::warn!("cannot encode a heartbeat: {error}");
         return;
     }
-    if bytes.len() > MOST_BYTES {
+    if bytes.len() > MAX_BYTES {
         log::debug!(
             "a heartbeat of {} bytes may be split on its way",
             bytes.len()
@@ -127,25 +128,25 @@
     }
     gateway.metrics.heartbeat_bytes.inc_by(bytes.len() as u64);
     if let Err(error) = socket.send_to(&bytes, to).await {
-        log::debug!("a heartbeat to {to} was not sent: {error}");
+        log::debug!("cannot send a heartbeat to {to}: {error}");
     }
 }
 
-/// What a node needs to tell others.
-struct HeartbeatSpeaker {
+/// Sender of heartbeats and usage counts.
+struct HeartbeatSender {
     gateway: Rc<Gateway>,
     socket: Rc<UdpSocket>,
     seeds: BTreeSet<SocketAddr>,
     seed_turn: usize,
     spread: HeartbeatSpread,
-    /// Parts of prompts that nodes of other zones have not heard of.
+    /// Prompt parts that have not been sent to nodes of other availability zones.
     far_parts: BTreeSet<(u32, u64, u64)>,
-    /// When calls by workspace were sent last.
+    /// Time at which usage counts were last sent.
     usage_at: Duration,
     usage: UsageSender,
 }
 
-impl HeartbeatSpeaker {
+impl HeartbeatSender {
     fn new(gateway: &Rc<Gateway>, socket: Rc<UdpSocket>, seeds: BTreeSet<SocketAddr>) -> Self {
         Self {
             gateway: gateway.clone(),
@@ -159,13 +160,13 @@
         }
     }
 
-    async fn tell(&self, to: &[SocketAddr], heartbeat: &NodeHeartbeat) {
+    async fn send_all(&self, to: &[SocketAddr], heartbeat: &NodeHeartbeat) {
         for to in to {
             send(&self.gateway, &self.socket, *to, heartbeat).await;
         }
     }
 
-    fn seeds_to_tell(&mut self, choice: SeedChoice) -> Vec<SocketAddr> {
+    fn select_seeds(&mut self, choice: SeedChoice) -> Vec<SocketAddr> {
         match choice {
             SeedChoice::None => Vec::new(),
             SeedChoice::Next => {
@@ -199,32 +200,32 @@
                 cards: plan.zone_cards,
                 ..own.clone()
             };
-            self.tell(&plan.zone, &idle).await;
+            self.send_all(&plan.zone, &idle).await;
         }
         own.cards = plan.hub_cards;
         if !plan.near.is_empty() {
             let parts = std::mem::take(&mut *gateway.sent_parts.borrow_mut());
             own.parts = longest_parts(&parts);
             self.far_parts.extend(parts);
-            while self.far_parts.len() > MOST_WAITING_PARTS {
+            while self.far_parts.len() > MAX_PENDING_PARTS {
                 self.far_parts.pop_first();
             }
-            self.tell(&plan.near, &own).await;
+            self.send_all(&plan.near, &own).await;
         }
         if !plan.far.is_empty() {
             own.parts = longest_parts(&std::mem::take(&mut self.far_parts));
-            self.tell(&plan.far, &own).await;
+            self.send_all(&plan.far, &own).await;
         }
         own.parts = Vec::new();
-        let seeds = self.seeds_to_tell(plan.seeds);
-        self.tell(&seeds, &own).await;
-        if now >= self.usage_at + usage::send_pause(&gateway) {
+        let seeds = self.select_seeds(plan.seeds);
+        self.send_all(&seeds, &own).await;
+        if now >= self.usage_at + usage::send_interval(&gateway) {
             self.usage_at = now;
             self.send_usage(own).await;
         }
     }
 
-    /// Sends the holder of the platform's duties, and its deputy, the calls that this node counted.
+    /// Sends this node's usage counts to the holder of the duties and its successor.
     async fn send_usage(&mut self, own: NodeHeartbeat) {
         let Some((receivers, pieces)) = self.usage.next(&self.gateway) else {
             return;
@@ -237,26 +238,27 @@
                 cards: Vec::new(),
                 ..own.clone()
             };
-            self.tell(&receivers, &heartbeat).await;
+            self.send_all(&receivers, &heartbeat).await;
         }
     }
 }
 
-async fn speak(mut speaker: HeartbeatSpeaker) {
-    let gateway = speaker.gateway.clone();
+async fn send_rounds(mut sender: HeartbeatSender) {
+    let gateway = sender.gateway.clone();
     loop {
         let busy = gateway.open_calls.get() > 0;
         let tick = spread::tick(&gateway.fleet.borrow(), busy, gateway.now());
         gateway.decisions.flush();
-        speaker.round().await;
-        // A tick that passes and a notice both begin a round.
+        sender.round().await;
+        // A round begins when the interval has passed or when it is requested.
         let _ = tokio::time::timeout(tick, gateway.heartbeat_notify.notified()).await;
     }
 }
 
-/// As many as a datagram holds, the longest first; the rest costs a few prompts that are read twice.
+/// Returns as many parts as fit into a datagram, the longest first. Dropping the others only causes
+/// a few prompts to be processed twice.
 fn longest_parts(parts: &BTreeSet<(u32, u64, u64)>) -> Vec<(u64, u64)> {
-    let longest = parts.iter().rev().take(MOST_PARTS);
+    let longest = parts.iter().rev().take(MAX_PARTS);
     longest.map(|(_, part, hash)| (*part, *hash)).collect()
 }
 
@@ -266,26 +268,26 @@
         let length = match socket.recv_from(&mut buffer).await {
             Ok((length, _)) => length,
             Err(error) => {
-                log::debug!("a heartbeat was not received: {error}");
+                log::debug!("cannot receive a heartbeat: {error}");
                 continue;
             }
         };
         match ciborium::from_reader(&buffer[..length]) {
-            Ok(heartbeat) => hear(&gateway, &socket, heartbeat).await,
+            Ok(heartbeat) => receive(&gateway, &socket, heartbeat).await,
             Err(error) => log::warn!("a heartbeat is malformed: {error}"),
         }
     }
 }
 
-async fn hear(gateway: &Rc<Gateway>, socket: &UdpSocket, mut heartbeat: NodeHeartbeat) {
+async fn receive(gateway: &Rc<Gateway>, socket: &UdpSocket, mut heartbeat: NodeHeartbeat) {
     if heartbeat.card.name == gateway.settings.name {
         return;
     }
     let now = gateway.now();
-    take_departures(gateway, &heartbeat, now);
+    merge_departures(gateway, &heartbeat, now);
     limits::merge_reports(gateway, &heartbeat.limits, &heartbeat.card.name);
     quarantine::merge_reports(gateway, &heartbeat.crashes, &heartbeat.card.name);
-    take_work(gateway, &heartbeat, now);
+    merge_work(gateway, &heartbeat, now);
     if let Some(duties) = &gateway.duties {
         usage::merge(gateway, duties, &mut heartbeat);
     }
@@ -323,7 +325,7 @@
     }
 }
 
-fn take_departures(gateway: &Gateway, heartbeat: &NodeHeartbeat, now: Duration) {
+fn merge_departures(gateway: &Gateway, heartbeat: &NodeHeartbeat, now: Duration) {
     for hash in &heartbeat.departures {
         let departed = gateway.registry.borrow_mut().departed(*hash, now);
         let Some(key) = departed else {
@@ -336,7 +338,7 @@
     }
 }
 
-fn take_work(gateway: &Gateway, heartbeat: &NodeHeartbeat, now: Duration) {
+fn merge_work(gateway: &Gateway, heartbeat: &NodeHeartbeat, now: Duration) {
     let node = &heartbeat.card.name;
     let mut registry = gateway.registry.borrow_mut();
     for work in heartbeat.work.iter().flatten() {
--- a/daemon/src/gateway/quarantine.rs
+++ b/daemon/src/gateway/quarantine.rs
@@ -1,5 +1,5 @@
-//! Keeps calls from upstreams that crash under their content, and writes down which those are, so that a
-//! fleet that starts anew knows them.
+//! Quarantines the contents of calls under which upstreams crash, and stores them so that a
+//! restarted fleet still rejects such calls.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,30 +17,31 @@
 use crate::gateway::admission::Call;
 use crate::gateway::decisions::{Decision, millis};
 
-/// Time between two looks at what has to be read or written down.
-const TICK: Duration = Duration::from_millis(250);
-/// Time that an answer of the store may take to begin.
-const STORE_PATIENCE: Duration = Duration::from_millis(800);
-/// Pause after a failed call to the store.
-const FAILURE_PAUSE: Duration = Duration::from_millis(800);
-/// Where reports that this node made itself come from, in lines.
+/// Interval at which the keeper checks what has to be read or stored.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Time within which the store has to begin its answer.
+const STORE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Backoff after a failed call to the store.
+const FAILURE_BACKOFF: Duration = Duration::from_millis(800);
+/// Source in decision lines of reports that this node made.
 const OWN_SOURCE: &str = "own";
-/// Where reports that were written down come from, in lines.
+/// Source in decision lines of reports that were read from the store.
 const STORE_SOURCE: &str = "store";
 
-/// The call's content is quarantined.
+/// Error for a call whose content is quarantined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("upstreams crashed under this call")]
 pub struct QuarantineError {
-    /// Time until it may be sent again.
+    /// Time until the content may be sent again.
     pub pause: Duration,
 }
 
-/// Whether a call may be sent, also after it has waited.
+/// Checks whether a call may be sent. A trial is not started, so the check can be repeated while
+/// the call waits.
 ///
 /// # Errors
 ///
-/// If its content is quarantined.
+/// If the call's content is quarantined.
 pub fn check(gateway: &Gateway, call: &Call) -> Result<(), QuarantineError> {
     match verdict(gateway, call) {
         ContentVerdict::Clear | ContentVerdict::Trial => Ok(()),
@@ -48,11 +49,12 @@
     }
 }
 
-/// Lets a call be sent once, now.
+/// Checks that a call may be sent now and starts the trial if one is due. The caller has to send
+/// the call at once.
 ///
 /// # Errors
 ///
-/// If its content is quarantined.
+/// If the call's content is quarantined.
 pub fn begin_send(gateway: &Gateway, call: &Call) -> Result<(), QuarantineError> {
     match verdict(gateway, call) {
         ContentVerdict::Clear => Ok(()),
@@ -83,7 +85,8 @@
     QuarantineError { pause }
 }
 
-/// Takes in that the connection to a run of an upstream broke under a call.
+/// Records that the connection to an upstream broke during a call. `run` is the hash of the
+/// upstream's run.
 pub fn record_crash(gateway: &Gateway, call: &Call, upstream: &str, run: u64) {
     let now = gateway.now();
     let news = gateway.crashes.borrow_mut().crashed(call.content, run, now);
@@ -97,29 +100,29 @@
         crashes: gateway.crashes.borrow().crashes(call.content),
     });
     gateway.propagate(SpreadNews::Calls);
-    note(gateway, call.content, news, OWN_SOURCE);
+    record_change(gateway, call.content, news, OWN_SOURCE);
 }
 
-/// Takes in that a call was answered well.
+/// Records a successful answer, which may end the quarantine of the call's content.
 pub fn record_success(gateway: &Gateway, call: &Call) {
     let now = gateway.now();
     if gateway.crashes.borrow_mut().answered(call.content, now) {
         gateway.propagate(SpreadNews::All);
-        note(gateway, call.content, CrashNews::Cleared, OWN_SOURCE);
+        record_change(gateway, call.content, CrashNews::Cleared, OWN_SOURCE);
     }
 }
 
-/// Takes in what another node or the store knows.
+/// Merges reports of another node or of the store.
 pub fn merge_reports(gateway: &Gateway, reports: &[CrashReport], source: &str) {
     let now = gateway.now();
     for report in reports {
         let news = gateway.crashes.borrow_mut().receive(report, now);
-        note(gateway, report.content, news, source);
+        record_change(gateway, report.content, news, source);
     }
 }
 
-/// Writes a change down, and has it told at once to all that the node tells.
-fn note(gateway: &Gateway, content: ContentDigest, news: CrashNews, source: &str) {
+/// Records a change of a quarantine, and propagates it at once.
+fn record_change(gateway: &Gateway, content: ContentDigest, news: CrashNews, source: &str) {
     let is_quarantined = match news {
         CrashNews::Known | CrashNews::Noted => return,
         CrashNews::Quarantined => true,
@@ -139,17 +142,17 @@
     gateway.propagate(SpreadNews::All);
 }
 
-/// Starts to read and write down what is quarantined.
+/// Starts to read and store quarantined contents.
 pub fn start(gateway: &Rc<Gateway>) {
     let keeper = QuarantineKeeper {
         client: StoreClient::new(gateway.settings.store.address),
         gateway: gateway.clone(),
         known: None,
     };
-    tokio::task::spawn_local(keep(keeper));
+    tokio::task::spawn_local(run_keeper(keeper));
 }
 
-async fn keep(mut keeper: QuarantineKeeper) {
+async fn run_keeper(mut keeper: QuarantineKeeper) {
     let gateway = keeper.gateway.clone();
     while gateway.leaving_since.get().is_none() {
         gateway.crashes.borrow_mut().forget(gateway.now());
@@ -158,25 +161,25 @@
         {
             keeper.failed(&error).await;
         }
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// What the store holds, as far as this node knows.
+/// Contents of the store's topic, as far as this node has read and written it.
 struct StoredReports {
     era: u64,
     end: u64,
     digests: BTreeMap<ContentDigest, u64>,
 }
 
-/// A report as it is written down, with the time of day, which outlasts the process.
+/// A stored report, with the Unix time of writing, which stays valid across restarts.
 #[derive(Serialize, Deserialize)]
 struct StoredReport {
     report: CrashReport,
     unix_ms: u64,
 }
 
-/// Reads what is written down once, and writes down what is new.
+/// Reads the stored reports once, and stores new ones.
 struct QuarantineKeeper {
     gateway: Rc<Gateway>,
     client: StoreClient,
@@ -197,17 +200,17 @@
         let is_new = |report: &&CrashReport| {
             known.digests.get(&report.content) != Some(&state_digest(report))
         };
-        let lacking: Vec<CrashReport> = settled.iter().filter(is_new).cloned().collect();
-        if lacking.is_empty() {
+        let unsaved: Vec<CrashReport> = settled.iter().filter(is_new).cloned().collect();
+        if unsaved.is_empty() {
             return Ok(());
         }
-        self.append(&lacking).await
+        self.append(&unsaved).await
     }
 
     async fn read(&mut self) -> Result<StoredReports, StoreError> {
         let read = self
             .client
-            .newest(names::CRASH_TOPIC, STORE_PATIENCE)
+            .newest(names::CRASH_TOPIC, STORE_TIMEOUT)
             .await?;
         self.count("answered");
         self.gateway.observe_store_era(self.client.era());
@@ -227,7 +230,8 @@
         })
     }
 
-    /// Writes reports down, unless another node wrote since this one read: that is read first then.
+    /// Stores reports, unless another node has written since the last read; the next step then
+    /// reads first.
     async fn append(&mut self, reports: &[CrashReport]) -> Result<(), StoreError> {
         let Some(known) = self.known.take() else {
             return Ok(());
@@ -236,7 +240,7 @@
             reports.iter().map(|report| self.encode(report)).collect();
         let appended = self
             .client
-            .append(names::CRASH_TOPIC, known.end, &records, STORE_PATIENCE)
+            .append(names::CRASH_TOPIC, known.end, &records, STORE_TIMEOUT)
             .await;
         self.gateway.observe_store_era(self.client.era());
         let place = match appended {
@@ -266,7 +270,7 @@
         };
         let mut value = Vec::new();
         if let Err(error) = ciborium::into_writer(&stored, &mut value) {
-            log::error!("a quarantine cannot be written: {error}");
+            log::error!("cannot encode the report of a quarantined call: {error}");
         }
         (report.content.to_string().into_bytes(), value)
     }
@@ -281,7 +285,7 @@
                 })
             }
             Err(error) => {
-                log::warn!("a quarantine in the store is malformed: {error}");
+                log::warn!("a stored report of a quarantined call is malformed: {error}");
                 None
             }
         }
@@ -294,7 +298,7 @@
             reader: "quarantine",
             reason: &reason,
         });
-        tokio::time::sleep(FAILURE_PAUSE).await;
+        tokio::time::sleep(FAILURE_BACKOFF).await;
     }
 
     fn count(&self, outcome: &str) {
@@ -303,7 +307,7 @@
     }
 }
 
-/// The same for reports that say the same, whatever their age.
+/// Hashes the state of a report without its age, so that equal states need not be stored again.
 fn state_digest(report: &CrashReport) -> u64 {
     let is_quarantined = u64::from(report.is_quarantined());
     u64::from(report.round) << 16 | u64::from(report.trials) << 1 | is_quarantined
--- a/daemon/src/gateway/relay.rs
+++ b/daemon/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! Sends a call to upstreams until one answers or it must be given up.
+//! Sends a call to upstreams until one answers or the router gives up.
 
 use std::error::Error;
 use std::io::ErrorKind;
@@ -31,43 +31,44 @@
 use crate::gateway::work::WorkGuard;
 use crate::gateway::{liveness, notices, quarantine, stream, usage, waiting};
 
-/// Largest answer that is held whole before it is passed on. Plain services answer a few kB.
-const MOST_ANSWER_BYTES: usize = 8 << 20;
-/// Hosts that may fail to accept a connection before a call is given up: each takes a few ms, or the
-/// connection's time limit if it is dark.
-const MOST_CONNECTS: usize = 8;
-/// What a refused caller is told to wait: about the time in which a full engine frees slots.
-const BUSY_PAUSE: Duration = Duration::from_millis(400);
-/// Longest time that a caller is told to wait: upstreams may be added before a long pause ends.
-const LONGEST_PAUSE: Duration = Duration::from_secs(30);
-/// What a caller is told to wait longer for each rank, where a whole pool pauses: the most urgent come back
-/// first.
-const RANK_PAUSE: Duration = Duration::from_millis(100);
+/// Largest answer that is buffered before it is forwarded, in bytes. Plain services answer with a
+/// few kB.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// Number of hosts that may fail to accept a connection before a call is rejected. Each costs a few
+/// ms, or the connection's time limit if the host is down.
+const MAX_FAILED_CONNECTS: usize = 8;
+/// `Retry-After` of a rejected call: about the time in which a full engine frees slots.
+const BUSY_RETRY_AFTER: Duration = Duration::from_millis(400);
+/// Longest `Retry-After`, since upstreams may be added before a long pause ends.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Added to `Retry-After` for each rank if a whole pool pauses, so that the most urgent callers
+/// return first.
+const RANK_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// What a call has been through.
+/// Progress of a call over its attempts.
 #[derive(Debug, Default)]
 pub struct CallProgress {
-    /// Upstreams that it was sent to or could not be sent to.
+    /// Upstreams that the call was sent to or could not be sent to.
     pub tried: Vec<UpstreamKey>,
-    /// What came of that.
+    /// Outcomes of the attempts so far.
     pub history: CallHistory,
     connects: usize,
 }
 
-/// An attempt whose answer's head has come.
+/// An attempt for which the head of an answer has arrived.
 pub struct OpenAttempt {
-    /// The connection.
+    /// Connection that carries the answer.
     pub connection: UpstreamConnection,
-    /// Its work.
+    /// Accounting of the attempt's work at the upstream.
     pub work: WorkGuard,
-    /// The answer.
+    /// Head of the answer, with its body still to be read.
     pub response: Response<Incoming>,
 }
 
-/// Why a call is not sent to the upstream that was chosen for it.
+/// Reason why a call is not sent to the upstream that was chosen for it.
 #[derive(Clone, Copy, Debug, Error)]
 enum WithheldError {
-    /// The upstream wants no call.
+    /// The upstream does not accept calls.
     #[error("{0}")]
     Upstream(#[from] GateError),
     /// The call's content is quarantined.
@@ -75,22 +76,22 @@
     Content(#[from] QuarantineError),
 }
 
-/// An attempt that gave no answer to pass on.
+/// An attempt that produced no answer to forward.
 pub struct FailedAttempt {
-    /// How it ended.
+    /// How the attempt ended.
     pub end: AttemptEnd,
-    /// More on it.
+    /// Details, for the decision line and the caller.
     pub reason: Box<str>,
-    /// The upstream's own failure, if it gave one.
+    /// Failure answer of the upstream itself, if it sent one.
     pub answer: Option<Reply>,
-    /// Whether the upstream's connection broke under it.
+    /// Whether the connection broke during the attempt, which may be a crash of the upstream.
     pub connection_lost: bool,
-    /// What the caller is told to wait; as long as for a full or pausing pool if none.
+    /// `Retry-After` for the caller; `None` means the time for a full or pausing pool.
     pub pause: Option<Duration>,
 }
 
 impl FailedAttempt {
-    /// An attempt that ended in this way.
+    /// Creates an attempt that ended in this way.
     pub fn new(end: AttemptEnd, reason: &dyn std::fmt::Display) -> Self {
         Self {
             end,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// The upstream answered with a failure of its own.
+    /// Creates an attempt that the upstream answered with a failure of its own.
     pub fn answered(status: StatusCode, answer: Reply) -> Self {
         Self {
             answer: Some(answer),
@@ -120,17 +121,17 @@
         }
     }
 
-    /// The upstream's connection ended with this error after the call was sent.
+    /// Creates an attempt whose connection failed with this error after the call was sent.
     pub fn broken(error: &hyper::Error) -> Self {
         Self {
-            // An upstream that talks garbage lives.
+            // A malformed answer shows that the upstream is still running.
             connection_lost: !error.is_parse(),
             ..Self::new(AttemptEnd::Lost, error)
         }
     }
 }
 
-/// Carries a call to its answer.
+/// Sends a call to upstreams and returns the answer for the caller.
 pub async fn forward(gateway: Rc<Gateway>, call: Rc<Call>) -> Reply {
     let mut tracker = CallTracker::new(&gateway, &call);
     let mut progress = CallProgress::default();
@@ -141,13 +142,13 @@
         };
         let key = attempt.work.key;
         let answered = match call.class.form {
-            AnswerForm::Whole => pass_whole(&gateway, &call, attempt, &mut tracker).await,
+            AnswerForm::Whole => forward_whole(&gateway, &call, attempt, &mut tracker).await,
             AnswerForm::Events { .. } => {
                 match stream::first_event(&gateway, &call, attempt).await {
-                    Ok(begun) => {
+                    Ok(opened) => {
                         tracker.first_piece();
-                        tracker.status = begun.status().as_u16();
-                        return stream::forward(gateway, call, tracker, progress, begun);
+                        tracker.status = opened.status().as_u16();
+                        return stream::forward(gateway, call, tracker, progress, opened);
                     }
                     Err(failed) => Err(failed),
                 }
@@ -164,8 +165,8 @@
     }
 }
 
-/// Sends the call until the head of an answer to it comes. `after` is the last event that the
-/// caller has been given.
+/// Sends the call until the head of an answer to it arrives. `after` is the id of the last event
+/// that the caller has received.
 pub async fn next_attempt(
     gateway: &Rc<Gateway>,
     call: &Rc<Call>,
@@ -189,7 +190,7 @@
     }
 }
 
-/// The upstream for a call, if one has room.
+/// Returns the upstream for a call; `None` if none has capacity.
 pub fn choose(gateway: &Gateway, call: &Call, progress: &CallProgress) -> Option<UpstreamChoice> {
     let rivals = gateway.fleet.borrow().rivals();
     let silent = gateway.fleet.borrow().silent_rivals(gateway.now());
@@ -212,7 +213,7 @@
     choice::choose(&gateway.registry.borrow(), &input)
 }
 
-/// Takes the end of an attempt in. Gives whether to try again.
+/// Records a failed attempt in the upstream's health. Returns whether to retry the call.
 pub fn record_failure(
     gateway: &Gateway,
     call: &Call,
@@ -223,10 +224,15 @@
     let now = gateway.now();
     progress.history.may_have_run |= failed.end.may_have_run();
     if failed.connection_lost {
-        note_crash(gateway, call, key);
+        report_crash(gateway, call, key);
     }
-    let room = has_room(gateway, call, progress, failed.end, now);
-    let next = outcome::next_step(failed.end, call.class.safety, progress.history, room);
+    let retry_allowed = may_retry(gateway, call, progress, failed.end, now);
+    let next = outcome::next_step(
+        failed.end,
+        call.class.safety,
+        progress.history,
+        retry_allowed,
+    );
     let mut registry = gateway.registry.borrow_mut();
     if failed.end == AttemptEnd::Moved {
         registry.replaced(key);
@@ -235,7 +241,7 @@
     let Some(upstream) = registry.get_mut(key) else {
         return next == NextStep::Retry;
     };
-    let rests = match failed.end {
+    let backed_off = match failed.end {
         AttemptEnd::Unreachable => upstream.health.unreachable(now),
         AttemptEnd::NotSent | AttemptEnd::Lost if now < call.deadline => {
             upstream.health.silent(now)
@@ -256,7 +262,7 @@
         next: &next.to_string(),
         reason: &failed.reason,
     });
-    if rests {
+    if backed_off {
         gateway.propagate(SpreadNews::Calls);
         gateway.decisions.record(&Decision::UpstreamRests {
             upstream: &upstream.entry.id,
@@ -268,7 +274,7 @@
     next == NextStep::Retry
 }
 
-fn note_crash(gateway: &Gateway, call: &Call, key: UpstreamKey) {
+fn report_crash(gateway: &Gateway, call: &Call, key: UpstreamKey) {
     let entry = gateway
         .registry
         .borrow()
@@ -279,7 +285,7 @@
     }
 }
 
-fn has_room(
+fn may_retry(
     gateway: &Gateway,
     call: &Call,
     progress: &mut CallProgress,
@@ -291,7 +297,7 @@
     }
     if !end.was_sent() {
         progress.connects += 1;
-        return progress.connects < MOST_CONNECTS;
+        return progress.connects < MAX_FAILED_CONNECTS;
     }
     if progress.history.sends >= call.class.max_attempts {
         return false;
@@ -342,10 +348,10 @@
     if now >= call.deadline {
         return Err(not_sent(&"the deadline has passed"));
     }
-    pass_gate(gateway, call, choice.key).map_err(FailedAttempt::withheld)?;
+    check_again(gateway, call, choice.key).map_err(FailedAttempt::withheld)?;
     let time_left = call.deadline.saturating_sub(now);
-    let keeper = choice.fetch_from;
-    let fetch_from = keeper.and_then(|keeper| address_of(gateway, keeper));
+    let source = choice.fetch_from;
+    let fetch_from = source.and_then(|source| address_of(gateway, source));
     let request = request(call, &id, fetch_from, time_left, after);
     count_send(gateway, call, progress);
     gateway.decisions.record(&Decision::Sent {
@@ -386,8 +392,8 @@
     }
 }
 
-/// The last look before a call is sent: what became known since its upstream was chosen.
-fn pass_gate(gateway: &Gateway, call: &Call, key: UpstreamKey) -> Result<(), WithheldError> {
+/// Last check before a call is sent, which covers what became known since its upstream was chosen.
+fn check_again(gateway: &Gateway, call: &Call, key: UpstreamKey) -> Result<(), WithheldError> {
     gate::check(&gateway.registry.borrow(), key, gateway.now())?;
     quarantine::begin_send(gateway, call)?;
     Ok(())
@@ -404,7 +410,8 @@
     }
 }
 
-/// Where other upstreams may fetch from this one.
+/// Returns the address from which other upstreams may fetch cached prompt parts; `None` if the
+/// upstream does not accept calls.
 fn address_of(gateway: &Gateway, key: UpstreamKey) -> Option<SocketAddr> {
     let registry = gateway.registry.borrow();
     let upstream = gate::check(&registry, key, gateway.now()).ok()?;
@@ -433,7 +440,7 @@
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.target.clone();
     *request.headers_mut() = call.headers.clone();
-    let order = RoutingHeaders {
+    let routing = RoutingHeaders {
         upstream,
         workspace: call.workspace.as_deref(),
         time_left,
@@ -441,11 +448,11 @@
         fetch_from,
         last_event: after.or(call.head.last_event),
     };
-    head::encode_routing(request.headers_mut(), &order);
+    head::encode_routing(request.headers_mut(), &routing);
     request
 }
 
-async fn pass_whole(
+async fn forward_whole(
     gateway: &Rc<Gateway>,
     call: &Call,
     attempt: OpenAttempt,
@@ -458,9 +465,9 @@
     } = attempt;
     let (parts, body) = response.into_parts();
     usage::count(gateway, call, gateway.now().saturating_sub(work.since));
-    let reading = Limited::new(body, MOST_ANSWER_BYTES).collect();
+    let reading = Limited::new(body, MAX_ANSWER_BYTES).collect();
     let body = match liveness::wait(gateway, call, work.key, reading).await? {
-        Err(error) => return Err(unread(&*error)),
+        Err(error) => return Err(body_error(&*error)),
         Ok(body) => body.to_bytes(),
     };
     let now = gateway.now();
@@ -482,21 +489,21 @@
     Ok(reply)
 }
 
-/// An answer's body did not come whole, or is too large.
-fn unread(error: &(dyn Error + 'static)) -> FailedAttempt {
+/// Converts the error of an answer's body that ended early or is too large.
+fn body_error(error: &(dyn Error + 'static)) -> FailedAttempt {
     match error.downcast_ref::<hyper::Error>() {
         Some(error) => FailedAttempt::broken(error),
         None => FailedAttempt::new(AttemptEnd::Lost, &error),
     }
 }
 
-/// What the caller of a refused call is told to wait.
-fn pool_pause(gateway: &Gateway, call: &Call) -> Duration {
+/// Returns the `Retry-After` for a call that no upstream of its pool accepted.
+fn pool_retry_after(gateway: &Gateway, call: &Call) -> Duration {
     let registry = gateway.registry.borrow();
     let Some(left) = gate::opens_in(&registry, &call.pool, &[], gateway.now()) else {
-        return BUSY_PAUSE;
+        return BUSY_RETRY_AFTER;
     };
-    left.clamp(BUSY_PAUSE, LONGEST_PAUSE) + RANK_PAUSE * u32::from(call.tier)
+    left.clamp(BUSY_RETRY_AFTER, MAX_RETRY_AFTER) + RANK_RETRY_AFTER * u32::from(call.tier)
 }
 
 fn give_up(
@@ -522,7 +529,7 @@
                 &failed.reason,
                 failed
                     .pause
-                    .unwrap_or_else(|| pool_pause(gateway, tracker.call())),
+                    .unwrap_or_else(|| pool_retry_after(gateway, tracker.call())),
             ),
         ),
     };
--- a/daemon/src/gateway/reply.rs
+++ b/daemon/src/gateway/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Answers to callers and other clients of the node.
 
 use std::time::Duration;
 
@@ -11,32 +11,32 @@
 use monsoonbank_platform::answer;
 use thiserror::Error;
 
-/// Why an answer that has begun is cut off.
+/// Reason why an answer is cut off after its head was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CutError {
-    /// Its upstream broke off and none can go on.
+    /// The upstream's stream broke and no other upstream can continue it.
     #[error("the upstream broke off")]
     Upstream,
-    /// Its time is up.
+    /// The call's deadline has passed.
     #[error("the deadline has passed")]
     Deadline,
 }
 
-/// The pieces of a stream.
+/// Chunks of a streamed body.
 pub type PieceStream = LocalBoxStream<'static, Result<Frame<Bytes>, CutError>>;
-/// A body, whole or in pieces.
+/// Body of an answer: complete in memory, or streamed.
 pub type ReplyBody = Either<Full<Bytes>, StreamBody<PieceStream>>;
-/// An answer.
+/// HTTP answer with a complete or streamed body.
 pub type Reply = Response<ReplyBody>;
 
-/// An answer with a whole body.
+/// Builds an answer with a complete body.
 pub fn whole(status: StatusCode, body: impl Into<Bytes>) -> Reply {
     let mut reply = Response::new(Either::Left(Full::new(body.into())));
     *reply.status_mut() = status;
     reply
 }
 
-/// A failure of the router's own, with its reason as JSON.
+/// Builds a failure answer of the router itself, with the reason as JSON.
 pub fn failure(status: StatusCode, reason: &str) -> Reply {
     let body = serde_json::json!({ "error": reason }).to_string();
     let mut reply = whole(status, body);
@@ -45,7 +45,8 @@
     reply
 }
 
-/// The call has not run and will not; the caller may come back after a pause.
+/// Builds the answer for a call that has not run and will not: status 503, with `pause` as the time
+/// after which the caller may retry.
 pub fn not_run(reason: &str, pause: Duration) -> Reply {
     let mut reply = failure(StatusCode::SERVICE_UNAVAILABLE, reason);
     reply
--- a/daemon/src/gateway/reports.rs
+++ b/daemon/src/gateway/reports.rs
@@ -1,4 +1,4 @@
-//! Makes the calls of duties, each under a lease that is looked at right before it is sent.
+//! Sends usage reports as a duty. The lease is checked immediately before each call.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,15 +13,15 @@
 use crate::gateway::duties::DutyState;
 use crate::gateway::settings::DutyName;
 
-/// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(200);
-/// The same of a node that holds no duty.
-const IDLE_TICK: Duration = Duration::from_millis(500);
-/// Time for an answer: a call that is still under way then is reset, well before another holder may
-/// begin.
+/// Interval at which a holder checks what is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// The same interval at a node that does not hold the duties.
+const IDLE_INTERVAL: Duration = Duration::from_millis(500);
+/// Time limit for an answer. A call that is still in flight then is reset, well before another
+/// holder may begin.
 pub const CALL_TIMEOUT: Duration = CALL_FLIGHT.saturating_sub(Duration::from_millis(200));
 
-/// Starts to make the calls of duties, if the platform has any.
+/// Starts to send usage reports, if the settings list duties.
 pub fn start(gateway: &Rc<Gateway>) {
     if gateway.duties.is_some() {
         tokio::task::spawn_local(report(gateway.clone()));
@@ -42,26 +42,26 @@
         };
         for window in missed {
             if !duties.is_holder() {
-                // Another node may have reported it.
+                // Another node may have reported this window.
                 continue;
             }
             gateway.metrics.duty_calls_missed.inc();
             gateway.decisions.record(&Decision::UsageMissed { window });
         }
         if duties.token().is_none() {
-            tokio::time::sleep(IDLE_TICK).await;
+            tokio::time::sleep(IDLE_INTERVAL).await;
             continue;
         }
         let due = duties.reports.borrow().to_send(unix_now);
         if let Some(due) = due.filter(|_| duties.has(DutyName::Usage)) {
             send(&gateway, duties, &mut client, due).await;
         }
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Makes sure of a connection, then looks at the lease; none if nothing may be sent now. The caller waits
-/// for nothing else before it sends.
+/// Ensures that there is a connection, then checks the lease. Returns `None` if no call may be sent
+/// now. The caller must send the call without any other wait.
 pub async fn begin_call<'a>(
     gateway: &'a Gateway,
     duties: &DutyState,
@@ -71,15 +71,15 @@
         return None;
     }
     let connected = client.connect().await;
-    let stamp = DutyCredentials {
+    let credentials = DutyCredentials {
         holder: &gateway.settings.name,
         token: duties.token()?,
     };
-    Some((stamp, connected))
+    Some((credentials, connected))
 }
 
 async fn send(gateway: &Gateway, duties: &DutyState, client: &mut DutyClient, due: FinalWindow) {
-    let Some((stamp, connected)) = begin_call(gateway, duties, client).await else {
+    let Some((credentials, connected)) = begin_call(gateway, duties, client).await else {
         return;
     };
     let report = UsageReport {
@@ -87,7 +87,7 @@
         counts: &due.counts,
     };
     let outcome = match connected {
-        Ok(()) => client.report(stamp, &report, CALL_TIMEOUT).await,
+        Ok(()) => client.report(credentials, &report, CALL_TIMEOUT).await,
         Err(error) => Err(error),
     };
     let error = outcome.as_ref().err().map(DutyError::to_string);
@@ -95,7 +95,7 @@
         window: due.window,
         workspaces: due.counts.len(),
         calls: due.counts.values().sum(),
-        token: stamp.token,
+        token: credentials.token,
         error: error.as_deref(),
     });
     match outcome {
--- a/daemon/src/gateway/scaling.rs
+++ b/daemon/src/gateway/scaling.rs
@@ -1,4 +1,4 @@
-//! Orders engines of the platform, as the duty of the node that holds the lease.
+//! Orders engines from the platform, as a duty of the node that holds the lease.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -16,14 +16,14 @@
 use crate::gateway::reports::{CALL_TIMEOUT, begin_call};
 use crate::gateway::settings::DutyName;
 
-/// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(200);
-/// Time between two looks at how busy a pool is.
-const METER_PAUSE: Duration = Duration::from_secs(1);
-/// The same of a node that holds no duty.
-const IDLE_TICK: Duration = Duration::from_millis(500);
+/// Interval at which a holder checks what is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between measurements of a pool's load.
+const MEASURE_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval of checks at a node that does not hold the duties.
+const IDLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Starts to order engines, if the platform lets the fleet do so.
+/// Starts to order engines, if the settings list this duty.
 pub fn start(gateway: &Rc<Gateway>) {
     let is_wanted = |duties: &DutyState| duties.has(DutyName::Autoscale);
     if gateway.duties.as_ref().is_some_and(is_wanted) {
@@ -31,10 +31,10 @@
     }
 }
 
-/// What a holder remembers of its orders, by pool.
+/// State of a holder's orders and measurements, by pool.
 type PoolScalings = BTreeMap<Box<str>, (PoolScaling, LoadMeter)>;
 
-/// Measures how busy a pool is.
+/// Measures the load of a pool between two points in time.
 #[derive(Debug, Default)]
 struct LoadMeter {
     taken: u64,
@@ -45,7 +45,7 @@
     fn measure(&mut self, gateway: &Gateway, pool: &str) -> Option<PoolLoad> {
         let now = gateway.now();
         let passed = now.saturating_sub(self.at);
-        if passed < METER_PAUSE {
+        if passed < MEASURE_INTERVAL {
             return None;
         }
         let registry = gateway.registry.borrow();
@@ -73,9 +73,9 @@
     let mut scalings = PoolScalings::new();
     loop {
         if duties.token().is_none() {
-            // The next holder's orders are not known here.
+            // The orders of the next holder are not visible to this node.
             scalings.clear();
-            tokio::time::sleep(IDLE_TICK).await;
+            tokio::time::sleep(IDLE_INTERVAL).await;
             continue;
         }
         let pools = gateway.rules();
@@ -102,11 +102,11 @@
             }
             order_next(&gateway, duties, &mut client, pool, scaling).await;
         }
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Gives the pool's next order, if one is due.
+/// Sends the pool's next order, if one is due.
 async fn order_next(
     gateway: &Gateway,
     duties: &DutyState,
@@ -121,7 +121,7 @@
     let Some(order) = scaling.next_order(spec, &zones, gateway.now()) else {
         return;
     };
-    let Some((stamp, connected)) = begin_call(gateway, duties, client).await else {
+    let Some((credentials, connected)) = begin_call(gateway, duties, client).await else {
         return;
     };
     let call = ScaleCall {
@@ -131,7 +131,7 @@
         spot: order.kind == EngineKind::Spot,
     };
     let given = match connected {
-        Ok(()) => client.order(stamp, &call, CALL_TIMEOUT).await,
+        Ok(()) => client.order(credentials, &call, CALL_TIMEOUT).await,
         Err(error) => Err(error),
     };
     let outcome = match &given {
@@ -141,14 +141,21 @@
     };
     let present = zones.get(&order.zone).copied().unwrap_or_default();
     if outcome == OrderOutcome::Unavailable {
-        // The same status says that another holder has a newer token.
+        // The platform also answers with this status if another holder has a newer token.
         duties.lease.borrow_mut().read_again();
     }
-    write_down(gateway, pool, &order, present, stamp.token, given.err());
+    record_order(
+        gateway,
+        pool,
+        &order,
+        present,
+        credentials.token,
+        given.err(),
+    );
     scaling.ordered(order, outcome, gateway.now());
 }
 
-fn write_down(
+fn record_order(
     gateway: &Gateway,
     pool: &PoolSpec,
     order: &EngineOrder,
@@ -173,7 +180,8 @@
     });
 }
 
-/// Engines of a pool that take calls, in each zone in which it ever ran.
+/// Counts the engines of a pool that accept calls, in each availability zone in which the pool has
+/// ever run.
 fn zone_engines(gateway: &Gateway, pool: &str) -> BTreeMap<Box<str>, ZoneEngines> {
     let registry = gateway.registry.borrow();
     let mut zones: BTreeMap<Box<str>, ZoneEngines> = BTreeMap::new();
--- a/daemon/src/gateway/settings.rs
+++ b/daemon/src/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a gateway: one YAML file.
+//! Settings of a gateway, read from one YAML file.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -9,45 +9,47 @@
 
 use crate::error::NodeError;
 
-/// Everything that a gateway is told by its operator.
+/// Settings that the operator gives a gateway.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// The file that the settings come from.
+    /// File that the settings were read from.
     #[serde(skip)]
     pub file: PathBuf,
-    /// The node's name; unique in the fleet.
+    /// Name of the node; unique in the fleet.
     pub name: Box<str>,
-    /// The availability zone that the host stands in.
+    /// Availability zone of the host.
     pub zone: Box<str>,
-    /// Where the node listens.
+    /// Addresses that the node listens on.
     pub listen: ListenSettings,
-    /// How it meets the other nodes.
+    /// Addresses for the traffic between nodes.
     pub peers: PeerSettings,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: StoreSettings,
-    /// What the host allows.
+    /// Resources that the host grants the process.
     pub limits: HostLimits,
-    /// Bounds in time.
+    /// Time limits.
     pub times: TimeSettings,
-    /// The fleet's budget for repeats.
+    /// Retry budget of the fleet.
     pub retries: RetrySettings,
-    /// Calls to the platform that one node at a time makes; none if it has no such duties.
+    /// Calls to the platform that one node at a time makes; `None` if the platform has no such
+    /// duties.
     #[serde(default)]
     pub duties: Option<DutySettings>,
 }
 
-/// Calls to the platform that are the duty of one node at a time.
+/// Settings of the duties, which are calls to the platform that one node at a time makes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DutySettings {
-    /// Where they go.
+    /// Address that the calls are sent to.
     pub address: SocketAddr,
-    /// Which duties there are.
+    /// Names of the duties; unknown names are ignored.
     pub names: Vec<Box<str>>,
-    /// Calls a second that the platform accepts, of all duties.
+    /// Calls per second that the platform accepts, for all duties together.
     pub calls_per_s: f64,
-    /// How soon after another holder's last call the next holder may make one.
+    /// Length of the lease: the next holder makes no call earlier than this after another holder's
+    /// last call.
     #[serde(
         rename = "lease_ms",
         default = "default_lease",
@@ -61,7 +63,7 @@
         deserialize_with = "seconds"
     )]
     pub usage_window: Duration,
-    /// Time after a window's end at which its report is due.
+    /// Time after the end of a window at which its report is due.
     #[serde(
         rename = "usage_late_s",
         default = "default_late",
@@ -71,21 +73,21 @@
 }
 
 impl DutySettings {
-    /// Whether the platform has a duty. Names of others are passed over: a platform may have duties that
-    /// this version does not know.
+    /// Returns whether the settings list a duty. Unknown names are ignored, since a platform may
+    /// have duties that this version does not implement.
     pub fn has(&self, name: DutyName) -> bool {
         let name = name.to_string();
         self.names.iter().any(|known| **known == *name)
     }
 }
 
-/// A duty that this version knows.
+/// Duty that this version implements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 #[display(rename_all = "lowercase")]
 pub enum DutyName {
-    /// Reports of each workspace's usage.
+    /// Reporting each workspace's usage.
     Usage,
-    /// Orders of engines.
+    /// Ordering engines.
     Autoscale,
 }
 
@@ -101,71 +103,73 @@
     Duration::from_secs(10)
 }
 
-/// Listen addresses, each an IP number and a port.
+/// Listen addresses, each an IP address and a port.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// For callers.
+    /// For callers' requests.
     pub callers: SocketAddr,
     /// For readiness checks.
     pub ready: SocketAddr,
-    /// For the question which address to use.
+    /// For lookups of the addresses that callers may use.
     pub lookup: SocketAddr,
-    /// For operators.
+    /// For operators' requests.
     pub operators: SocketAddr,
-    /// Port for metrics, on the address of `callers`.
+    /// Port for metrics, on the IP address of `callers`.
     pub metrics_port: u16,
 }
 
-/// How a node meets the others.
+/// Addresses for the traffic between nodes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// The node's own address.
+    /// IP address of this node.
     pub ip: IpAddr,
-    /// First and last port that are free for the nodes' own traffic.
+    /// First and last port that the nodes may use among themselves.
     pub ports: [u16; 2],
-    /// Addresses of a few hosts that may run nodes; their port is not used.
+    /// Addresses of a few hosts that may run nodes, which a starting node contacts first; their
+    /// port is ignored.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// The platform's store.
+/// Location of the platform's store.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Its address.
+    /// Address of the store.
     pub address: SocketAddr,
 }
 
-/// What the host allows a process.
+/// Resources that the host grants the process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostLimits {
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub descriptors: usize,
     /// Processor time, in cores.
     pub cores: f64,
 }
 
-/// Bounds in time.
+/// Time limits.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TimeSettings {
-    /// How long the store must have been well before a missing entry counts.
+    /// Time for which the store must have been reachable before a missing entry means that its
+    /// upstream has left.
     #[serde(rename = "trust_ms", deserialize_with = "millis")]
     pub trust: Duration,
-    /// Between the signal to stop and the end of the process.
+    /// Time between the signal to stop and the end of the process.
     #[serde(rename = "grace_ms", deserialize_with = "millis")]
     pub grace: Duration,
 }
 
-/// The fleet's budget for repeats, for each pool.
+/// Retry budget of the fleet, for each pool.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Repeats for each call in the window.
+    /// Retries per call in the window.
     pub ratio: f64,
-    /// Repeats that are free in a window.
+    /// Retries in a window that are permitted regardless of the number of calls.
     pub slack: f64,
     /// Length of the window.
     #[serde(rename = "window_s", deserialize_with = "seconds")]
@@ -173,7 +177,7 @@
 }
 
 impl RetrySettings {
-    /// As the kernel takes it.
+    /// Converts the settings to the kernel's type.
     pub fn spec(&self) -> BudgetSpec {
         BudgetSpec {
             ratio: self.ratio,
@@ -201,7 +205,7 @@
         Ok(settings)
     }
 
-    /// Where this node hears heartbeats of other nodes, and serves them what it has read.
+    /// Returns the address on which this node receives heartbeats and serves state to other nodes.
     pub fn peer_address(&self) -> SocketAddr {
         SocketAddr::new(self.peers.ip, self.peers.ports[0])
     }
--- a/daemon/src/gateway/stream.rs
+++ b/daemon/src/gateway/stream.rs
@@ -1,4 +1,5 @@
-//! Passes a stream on whole event by whole event, and lets another upstream go on where one breaks.
+//! Forwards a stream one complete event at a time, and resumes it at another upstream if its
+//! upstream fails.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,17 +24,17 @@
 use crate::gateway::tracker::{CallOutcome, CallTracker};
 use crate::gateway::{liveness, quarantine, usage};
 
-/// The next piece of an upstream's stream.
+/// Next part of an upstream's stream.
 enum StreamPiece {
-    /// A whole event.
+    /// A complete event.
     Event(RawEvent),
     /// Bytes after the last event of a complete stream.
     Rest(Bytes),
-    /// The stream is complete.
+    /// End of a complete stream.
     End,
 }
 
-/// An upstream's stream that is being read.
+/// Stream of an upstream that is being read.
 struct UpstreamStream {
     parts: Parts,
     attempt: OpenAttempt,
@@ -41,14 +42,14 @@
     ended: bool,
 }
 
-/// A stream whose first piece is there.
+/// Stream whose first event has been received.
 pub struct OpenStream {
     stream: UpstreamStream,
     first: StreamPiece,
 }
 
 impl OpenStream {
-    /// The answer's status.
+    /// Returns the status of the answer.
     pub fn status(&self) -> StatusCode {
         self.stream.parts.status
     }
@@ -92,7 +93,8 @@
     }
 }
 
-/// Reads up to the first piece of a stream, so that nothing is promised to the caller before.
+/// Reads a stream up to its first event, so that the caller gets no answer head before the upstream
+/// has produced something.
 pub async fn first_event(
     gateway: &Gateway,
     call: &Call,
@@ -116,7 +118,7 @@
         ended: false,
     };
     if !stream.parts.status.is_success() {
-        return Err(whole_failure(gateway, call, stream).await);
+        return Err(read_failure(gateway, call, stream).await);
     }
     let first = stream.next(gateway, call).await?;
     usage::count(gateway, call, first_token_age(gateway, call));
@@ -131,7 +133,8 @@
     Ok(OpenStream { stream, first })
 }
 
-/// How long ago the first token was made when the first event comes, which holds several.
+/// Estimates how long before the first event arrived its first token was generated, since an event
+/// holds several tokens.
 fn first_token_age(gateway: &Gateway, call: &Call) -> Duration {
     let tokens = call.engine.map_or(1, |engine| engine.event_tokens.max(1));
     let pace = gateway.pace(call);
@@ -139,11 +142,7 @@
     event * (tokens - 1) / tokens
 }
 
-async fn whole_failure(
-    gateway: &Gateway,
-    call: &Call,
-    mut stream: UpstreamStream,
-) -> FailedAttempt {
+async fn read_failure(gateway: &Gateway, call: &Call, mut stream: UpstreamStream) -> FailedAttempt {
     usage::count(gateway, call, Duration::ZERO);
     while !stream.ended {
         if let Err(failed) = stream.read(gateway, call).await {
@@ -156,7 +155,7 @@
     FailedAttempt::answered(status, reply)
 }
 
-/// A stream on its way to the caller.
+/// Stream that is being forwarded to the caller.
 struct CallerStream {
     gateway: Rc<Gateway>,
     call: Rc<Call>,
@@ -167,24 +166,24 @@
     last_event: Option<u64>,
 }
 
-/// The answer that carries a stream that has begun.
+/// Builds the answer that forwards a stream to the caller.
 pub fn forward(
     gateway: Rc<Gateway>,
     call: Rc<Call>,
     tracker: CallTracker,
     progress: CallProgress,
-    begun: OpenStream,
+    opened: OpenStream,
 ) -> Reply {
-    let status = begun.stream.parts.status;
-    let headers = answer::end_to_end_headers(&begun.stream.parts.headers);
+    let status = opened.stream.parts.status;
+    let headers = answer::end_to_end_headers(&opened.stream.parts.headers);
     let last_event = call.head.last_event;
     let stream = CallerStream {
         gateway,
         call,
         tracker,
         progress,
-        source: Some(begun.stream),
-        pending: Some(begun.first),
+        source: Some(opened.stream),
+        pending: Some(opened.first),
         last_event,
     };
     let pieces = futures_util::stream::unfold(Some(stream), |stream| async move {
@@ -202,7 +201,7 @@
 }
 
 impl CallerStream {
-    /// The next bytes for the caller; none when the stream is complete.
+    /// Returns the next bytes for the caller; `None` if the stream is complete.
     async fn next_piece(&mut self) -> Result<Option<Bytes>, CutError> {
         loop {
             let piece = match self.pending.take() {
@@ -211,7 +210,7 @@
             };
             match piece {
                 StreamPiece::Event(event) if self.is_repeated(&event) => {}
-                StreamPiece::Event(event) if self.is_beyond(&event) => return Err(self.cut()),
+                StreamPiece::Event(event) if self.leaves_gap(&event) => return Err(self.cut()),
                 StreamPiece::Event(event) => {
                     self.last_event = event.id.or(self.last_event);
                     self.tracker.events += 1;
@@ -232,8 +231,8 @@
             .is_some_and(|id| self.last_event.is_some_and(|last| id <= last))
     }
 
-    /// Whether events between the last one and this one are missing.
-    fn is_beyond(&self, event: &RawEvent) -> bool {
+    /// Returns whether events are missing between the last one and this one.
+    fn leaves_gap(&self, event: &RawEvent) -> bool {
         event
             .id
             .is_some_and(|id| id > self.last_event.unwrap_or(0) + 1)
@@ -249,7 +248,7 @@
                 Err(failed) => failed,
             };
             let key = source.attempt.work.key;
-            // Closes the connection, which makes the upstream drop what it still works on.
+            // Closes the connection, which makes the upstream abandon the call.
             self.source = None;
             self.resume(key, failed).await?;
             if let Some(piece) = self.pending.take() {
@@ -259,10 +258,10 @@
     }
 
     async fn resume(&mut self, key: UpstreamKey, failed: FailedAttempt) -> Result<(), CutError> {
-        let again =
+        let retry =
             relay::record_failure(&self.gateway, &self.call, &mut self.progress, key, &failed);
         let resumable = self.call.class.form == AnswerForm::Events { resumable: true };
-        if !again || !resumable {
+        if !retry || !resumable {
             return Err(self.cut());
         }
         let after = self.last_event;
@@ -280,9 +279,9 @@
             });
         }
         match first_event(&self.gateway, &self.call, attempt).await {
-            Ok(begun) => {
-                self.pending = Some(begun.first);
-                self.source = Some(begun.stream);
+            Ok(opened) => {
+                self.pending = Some(opened.first);
+                self.source = Some(opened.stream);
                 Ok(())
             }
             Err(failed) => Box::pin(self.resume(key, failed)).await,
@@ -298,8 +297,8 @@
         }
     }
 
-    /// Takes in how fast a stream went that one upstream gave whole.
-    fn note_pace(&self, attempt: &OpenAttempt, now: Duration) {
+    /// Records the pace of a stream that a single upstream sent in full.
+    fn record_pace(&self, attempt: &OpenAttempt, now: Duration) {
         let (Some(first_at), 1) = (self.tracker.first_at, self.progress.history.sends) else {
             return;
         };
@@ -310,14 +309,14 @@
         pace.ended(first, rest, self.tracker.events.saturating_sub(1));
     }
 
-    /// Keeps the connection for other calls.
+    /// Records the completed call and returns the connection to the pool.
     fn complete(&mut self) {
         self.tracker.set(CallOutcome::Answered);
         let Some(source) = self.source.take() else {
             return;
         };
         let now = self.gateway.now();
-        self.note_pace(&source.attempt, now);
+        self.record_pace(&source.attempt, now);
         let announced = answer::keep_alive(&source.parts.headers);
         if let Some(upstream) = self
             .gateway
