--- a/daemon/src/gateway/sync.rs
+++ b/daemon/src/gateway/sync.rs
@@ -1,4 +1,5 @@
-//! Follows the platform's store: the operator's configuration and the upstreams' registry.
+//! Reads the platform's store continuously: the operator's configuration and the registry of
+//! upstreams.
 
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -15,33 +16,35 @@
 use crate::gateway::Gateway;
 use crate::gateway::decisions::{Decision, millis};
 
-/// How long the store keeps a read of the configuration waiting. A connection that has fallen
-/// silent shows after this and `PATIENCE`; each answer without news costs one call.
-const CONFIGURATION_WAIT: Duration = Duration::from_millis(2500);
-/// Time between two reads of the registry: an upstream that leaves has to be known well within
-/// two seconds, and each read is one call.
-const REGISTRY_PAUSE: Duration = Duration::from_millis(700);
-/// Time beyond the wait that the store gets to begin its answer.
-const PATIENCE: Duration = Duration::from_millis(800);
-/// How often `PATIENCE` is doubled at most for an answer that may be large: many nodes that read 2 MB
-/// each keep a store that sends 80 MB a second busy for seconds, and who gives up and asks again only
-/// adds to that.
-const MOST_DOUBLINGS: u32 = 2;
-/// Time between two looks of a node that does not read at whether it should.
-const TURN_PAUSE: Duration = Duration::from_millis(250);
-/// Time that a starting node leaves to the seeds, which read the store at once: they and the hubs then
-/// pass on what all others need. Up to as much again is waited at random.
-const SEEDS_TIME: Duration = Duration::from_millis(150);
-/// Time after which a starting node that still lacks something reads the store, whoever else does.
-const LONGEST_START: Duration = Duration::from_secs(4);
-/// Time between two looks of a starting node at whether others gave it what it lacks.
-const START_PAUSE: Duration = Duration::from_millis(20);
-/// First pause after a failed call; doubles up to `LONGEST_PAUSE`.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause after a failed call: the store's return shows within this.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+/// Wait of a long-poll read of the configuration. A dead connection is noticed after this and
+/// `ANSWER_TIMEOUT`; each answer without records costs one call.
+const CONFIGURATION_POLL: Duration = Duration::from_millis(2500);
+/// Interval between reads of the registry. A leaving upstream has to be noticed well within two
+/// seconds, and each read costs one call.
+const REGISTRY_INTERVAL: Duration = Duration::from_millis(700);
+/// Time beyond the wait within which the store has to begin its answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Number of times that `ANSWER_TIMEOUT` is doubled for an answer that may be large. Many nodes
+/// that read 2 MB each keep a store that sends 80 MB a second busy for seconds, and a node that
+/// gives up and reads again adds to that load.
+const MAX_DOUBLINGS: u32 = 2;
+/// Interval at which a node that does not read the store checks whether it should.
+const TURN_INTERVAL: Duration = Duration::from_millis(250);
+/// Time for which a starting node leaves the store to the seeds. They read it at once, and they and
+/// the hubs then propagate what all others need. A random delay of up to the same length is added.
+const SEED_HEAD_START: Duration = Duration::from_millis(150);
+/// Time after which a starting node that still lacks data reads the store, even if other nodes read
+/// it.
+const MAX_START_DELAY: Duration = Duration::from_secs(4);
+/// Interval at which a starting node checks whether other nodes have sent what it lacks.
+const START_INTERVAL: Duration = Duration::from_millis(20);
+/// First backoff after a failed call; doubles up to `MAX_BACKOFF`.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// Longest backoff after a failed call. The store's recovery is noticed within this time.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// When the process started, as a number that grows with each start.
+/// Returns the Unix time in milliseconds, which serves as an incarnation that grows with each start
+/// of the process.
 pub fn start_time() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -49,17 +52,17 @@
     millis(since)
 }
 
-/// Starts both readers.
+/// Starts the readers of the configuration and the registry, with `seed` for their random backoff.
 pub fn start(gateway: &Rc<Gateway>, seed: u64) {
     let random = |stream: u64| Pcg64Mcg::seed_from_u64(seed ^ stream);
     let configuration = StoreReader::new(gateway, "configuration", random(1));
     tokio::task::spawn_local(follow_configuration(configuration));
     let registry = StoreReader::new(gateway, "registry", random(2));
     tokio::task::spawn_local(follow_registry(registry));
-    tokio::task::spawn_local(settle_lapsed(gateway.clone()));
+    tokio::task::spawn_local(expire_lapsed(gateway.clone()));
 }
 
-/// A reader with its own connection and its own pauses after failures.
+/// A reader of one topic, with its own connection and backoff.
 struct StoreReader {
     gateway: Rc<Gateway>,
     client: StoreClient,
@@ -69,7 +72,7 @@
     timeouts: u32,
     lost_since: Option<Duration>,
     counted_bytes: usize,
-    /// The era that the reader's position in the log belongs to.
+    /// Store era that the reader's offset belongs to.
     era: u64,
 }
 
@@ -88,8 +91,8 @@
         }
     }
 
-    /// Takes in the era of the answer that came last. Gives whether offsets known before still count: not
-    /// if the store came back from an older copy, also not if the answer is from before that.
+    /// Records the era of the last answer. Returns whether known offsets are still valid: not if
+    /// the store has come back from an older copy, nor if the answer is from before that.
     fn same_era(&mut self) -> bool {
         let era = self.client.era();
         self.gateway.observe_store_era(era);
@@ -111,9 +114,9 @@
         let Some(since) = self.lost_since.take() else {
             return;
         };
-        let mut view = self.gateway.store_health.get();
-        view.recovered_at = now;
-        self.gateway.store_health.set(view);
+        let mut health = self.gateway.store_health.get();
+        health.recovered_at = now;
+        self.gateway.store_health.set(health);
         self.gateway.configuration_notify.notify_waiters();
         let lost_ms = millis(now.saturating_sub(since));
         self.gateway.decisions.record(&Decision::StoreBack {
@@ -125,9 +128,9 @@
     async fn failed(&mut self, error: &StoreError) {
         self.count("failed", "wasted");
         let now = self.gateway.now();
-        let mut view = self.gateway.store_health.get();
-        view.failed_at = Some(now);
-        self.gateway.store_health.set(view);
+        let mut health = self.gateway.store_health.get();
+        health.failed_at = Some(now);
+        self.gateway.store_health.set(health);
         if self.lost_since.is_none() {
             self.lost_since = Some(now);
             let reason = error.to_string();
@@ -136,13 +139,13 @@
                 reason: &reason,
             });
         }
-        let pause = FIRST_PAUSE * 2_u32.pow(self.failures.min(4));
+        let pause = MIN_BACKOFF * 2_u32.pow(self.failures.min(4));
         self.failures += 1;
         if matches!(error, StoreError::TimedOut | StoreError::Body(_)) {
             self.timeouts += 1;
         }
         let pause = pause
-            .min(LONGEST_PAUSE)
+            .min(MAX_BACKOFF)
             .mul_f64(self.random.random_range(0.5..1.0));
         tokio::time::sleep(pause).await;
     }
@@ -158,28 +161,29 @@
         self.counted_bytes = received;
     }
 
-    /// Time for an answer that may be large to begin.
-    fn patience(&self) -> Duration {
-        PATIENCE * 2_u32.pow(self.timeouts.min(MOST_DOUBLINGS))
+    /// Returns the time within which an answer that may be large has to begin.
+    fn timeout(&self) -> Duration {
+        ANSWER_TIMEOUT * 2_u32.pow(self.timeouts.min(MAX_DOUBLINGS))
     }
 
-    /// Whether the store has been well for long enough to trust that a missing entry means leaving.
+    /// Returns whether the store has been reachable for long enough that a missing entry means that
+    /// the upstream has left.
     fn trusted(&self) -> bool {
         !self.gateway.store_suspect()
     }
 }
 
-/// Waits until it is this node's turn to read the store for its availability zone, or until `needed`
-/// says that it must read all the same.
-async fn readers_turn(gateway: &Gateway, needed: impl Fn() -> bool) {
+/// Waits until this node is the reader of its availability zone, or until `needed` returns that it
+/// has to read anyway.
+async fn wait_for_turn(gateway: &Gateway, needed: impl Fn() -> bool) {
     while !gateway.is_reader() && !needed() {
-        tokio::time::sleep(TURN_PAUSE).await;
+        tokio::time::sleep(TURN_INTERVAL).await;
     }
 }
 
-/// Waits until others have given a starting node what it lacks, or until it has to read the store for
-/// it. When all nodes start at once, a few read for all.
-async fn start_turn(reader: &mut StoreReader, has: impl Fn(&Gateway) -> bool) {
+/// Waits until a starting node has received what it lacks, or has to read the store for it. If all
+/// nodes start at once, a few read on behalf of all.
+async fn wait_at_start(reader: &mut StoreReader, has: impl Fn(&Gateway) -> bool) {
     let gateway = reader.gateway.clone();
     let own = gateway.settings.peers.ip;
     let mut seeds = gateway.settings.peers.seeds.iter();
@@ -187,27 +191,27 @@
         return;
     }
     let started = gateway.now();
-    let first = started + SEEDS_TIME.mul_f64(reader.random.random_range(1.0..2.0));
+    let first = started + SEED_HEAD_START.mul_f64(reader.random.random_range(1.0..2.0));
     while !has(&gateway) {
         let now = gateway.now();
-        if now >= first && gateway.is_reader() || now >= started + LONGEST_START {
+        if now >= first && gateway.is_reader() || now >= started + MAX_START_DELAY {
             return;
         }
-        tokio::time::sleep(START_PAUSE).await;
+        tokio::time::sleep(START_INTERVAL).await;
     }
 }
 
 async fn follow_configuration(mut reader: StoreReader) {
     let mut position = None;
-    start_turn(&mut reader, |gateway| gateway.version() > 0).await;
+    wait_at_start(&mut reader, |gateway| gateway.version() > 0).await;
     loop {
         let gateway = reader.gateway.clone();
         if gateway.version() > 0 {
-            readers_turn(&gateway, || gateway.lags_behind()).await;
+            wait_for_turn(&gateway, || gateway.lags_behind()).await;
         }
         let outcome = match position {
             None => newest_configuration(&mut reader).await,
-            Some(from) => more_configuration(&mut reader, from).await,
+            Some(from) => read_configuration(&mut reader, from).await,
         };
         match outcome {
             Ok(next) => {
@@ -223,20 +227,19 @@
     }
 }
 
-/// Reads the newest configuration. Gives where to go on; none if the pages are not of one era.
+/// Reads the newest configuration. Returns the offset to continue from; `None` if the pages were
+/// not all of one era.
 async fn newest_configuration(reader: &mut StoreReader) -> Result<Option<u64>, StoreError> {
-    let patience = reader.patience();
-    let snapshot = reader
-        .client
-        .newest(names::OPERATOR_TOPIC, patience)
-        .await?;
+    let timeout = reader.timeout();
+    let snapshot = reader.client.newest(names::OPERATOR_TOPIC, timeout).await?;
     let same_era = reader.same_era();
-    take_configurations(&reader.gateway, &snapshot.records);
+    apply_configurations(&reader.gateway, &snapshot.records);
     Ok(same_era.then_some(snapshot.end))
 }
 
-/// Reads on. Gives where to go on; none if the log is another one than before.
-async fn more_configuration(
+/// Reads the records from an offset. Returns the offset to continue from; `None` if the store's era
+/// has changed.
+async fn read_configuration(
     reader: &mut StoreReader,
     from: u64,
 ) -> Result<Option<u64>, StoreError> {
@@ -244,34 +247,34 @@
     let wait = if gateway.store_suspect() || !gateway.is_reader() {
         Duration::ZERO
     } else {
-        CONFIGURATION_WAIT
+        CONFIGURATION_POLL
     };
-    let patience = reader.patience();
+    let timeout = reader.timeout();
     let reading = reader
         .client
-        .read(names::OPERATOR_TOPIC, from, wait, patience);
+        .read(names::OPERATOR_TOPIC, from, wait, timeout);
     let batch = tokio::select! {
         batch = reading => batch?,
         () = gateway.configuration_notify.notified() => {
             reader.client.reconnect();
-            let again = reader.client.read(names::OPERATOR_TOPIC, from, Duration::ZERO, patience);
-            again.await?
+            let retry = reader.client.read(names::OPERATOR_TOPIC, from, Duration::ZERO, timeout);
+            retry.await?
         }
     };
     if !reader.same_era() {
         return Ok(None);
     }
-    take_configurations(&gateway, &batch.records);
+    apply_configurations(&gateway, &batch.records);
     if wait.is_zero() && batch.records.is_empty() {
-        tokio::time::sleep(REGISTRY_PAUSE).await;
+        tokio::time::sleep(REGISTRY_INTERVAL).await;
     }
     Ok(Some(batch.next))
 }
 
-/// Names the store as the source of a configuration.
+/// Source in decision lines of configurations from the store.
 const STORE_SOURCE: &str = "store";
 
-fn take_configurations(gateway: &Gateway, records: &[KeyedRecord]) {
+fn apply_configurations(gateway: &Gateway, records: &[KeyedRecord]) {
     for record in records
         .iter()
         .filter(|record| record.key == names::CONFIGURATION_KEY)
@@ -282,7 +285,8 @@
     }
 }
 
-/// Puts a configuration in force if it is newer than the one in force.
+/// Decodes a configuration and applies it if it is newer than the one in force. `source` is `store`
+/// or the node that it came from.
 pub fn apply_configuration(gateway: &Gateway, bytes: &Bytes, source: &str) {
     let started = gateway.now();
     let rules = match configuration::decode(bytes) {
@@ -325,25 +329,25 @@
 
 async fn follow_registry(mut reader: StoreReader) {
     let mut position = None;
-    start_turn(&mut reader, |gateway| {
+    wait_at_start(&mut reader, |gateway| {
         gateway.store_health.get().registry_loaded
     })
     .await;
     loop {
         if reader.gateway.store_health.get().registry_loaded {
-            readers_turn(&reader.gateway, || false).await;
+            wait_for_turn(&reader.gateway, || false).await;
         }
         let outcome = match position {
             None => newest_registry(&mut reader).await,
-            Some(from) => more_registry(&mut reader, from).await,
+            Some(from) => read_registry(&mut reader, from).await,
         };
         match outcome {
             Ok(next) => {
                 reader.succeeded();
                 position = next;
-                let mut view = reader.gateway.store_health.get();
-                view.registry_loaded = true;
-                reader.gateway.store_health.set(view);
+                let mut health = reader.gateway.store_health.get();
+                health.registry_loaded = true;
+                reader.gateway.store_health.set(health);
             }
             Err(StoreError::Expired { .. }) => {
                 reader.same_era();
@@ -355,21 +359,18 @@
                 continue;
             }
         }
-        let nudge = reader.gateway.registry_notify.notified();
-        let _ = tokio::time::timeout(REGISTRY_PAUSE, nudge).await;
+        let notified = reader.gateway.registry_notify.notified();
+        let _ = tokio::time::timeout(REGISTRY_INTERVAL, notified).await;
     }
 }
 
 async fn newest_registry(reader: &mut StoreReader) -> Result<Option<u64>, StoreError> {
-    let patience = reader.patience();
-    let snapshot = reader
-        .client
-        .newest(names::UPSTREAM_TOPIC, patience)
-        .await?;
+    let timeout = reader.timeout();
+    let snapshot = reader.client.newest(names::UPSTREAM_TOPIC, timeout).await?;
     let same_era = reader.same_era();
     let trusted = reader.trusted();
     let gateway = &reader.gateway;
-    take_entries(gateway, &snapshot.records, trusted);
+    apply_entries(gateway, &snapshot.records, trusted);
     let listed: Vec<Box<str>> = snapshot
         .records
         .iter()
@@ -386,20 +387,20 @@
     Ok(same_era.then_some(snapshot.end))
 }
 
-async fn more_registry(reader: &mut StoreReader, from: u64) -> Result<Option<u64>, StoreError> {
+async fn read_registry(reader: &mut StoreReader, from: u64) -> Result<Option<u64>, StoreError> {
     let reading = reader
         .client
-        .read(names::UPSTREAM_TOPIC, from, Duration::ZERO, PATIENCE);
+        .read(names::UPSTREAM_TOPIC, from, Duration::ZERO, ANSWER_TIMEOUT);
     let batch = reading.await?;
     if !reader.same_era() {
         return Ok(None);
     }
     let trusted = reader.trusted();
-    take_entries(&reader.gateway, &batch.records, trusted);
+    apply_entries(&reader.gateway, &batch.records, trusted);
     Ok(Some(batch.next))
 }
 
-fn take_entries(gateway: &Gateway, records: &[KeyedRecord], trusted: bool) {
+fn apply_entries(gateway: &Gateway, records: &[KeyedRecord], trusted: bool) {
     let changes = records.iter().filter_map(|record| {
         let id = String::from_utf8_lossy(&record.key);
         let Some(value) = &record.value else {
@@ -416,7 +417,8 @@
     apply_changes(gateway, changes, trusted);
 }
 
-/// Takes changes of the registry in and writes down what they change.
+/// Applies changes to the registry, and records and propagates their effects. If `trusted` is
+/// false, a missing entry is not proof that its upstream has left.
 pub fn apply_changes(
     gateway: &Gateway,
     changes: impl IntoIterator<Item = RegistryChange>,
@@ -436,7 +438,7 @@
     }
 }
 
-/// Writes down what is believed of an upstream now, and closes what is kept to one that leaves.
+/// Records the new state of an upstream, and closes idle connections to one that leaves.
 pub fn upstream_changed(gateway: &Gateway, key: UpstreamKey) {
     let registry = gateway.registry.borrow();
     let Some(upstream) = registry.get(key) else {
@@ -454,21 +456,21 @@
     }
 }
 
-/// Gives up upstreams whose lapsed entries did not come back.
-async fn settle_lapsed(gateway: Rc<Gateway>) {
+/// Removes upstreams whose lapsed entries were not written again in time.
+async fn expire_lapsed(gateway: Rc<Gateway>) {
     loop {
         tokio::time::sleep(Duration::from_millis(250)).await;
-        let view = gateway.store_health.get();
-        let sound = view
+        let health = gateway.store_health.get();
+        let reachable = health
             .failed_at
-            .is_none_or(|failed_at| view.recovered_at >= failed_at);
-        if !sound {
+            .is_none_or(|failed_at| health.recovered_at >= failed_at);
+        if !reachable {
             continue;
         }
         let gone = gateway
             .registry
             .borrow_mut()
-            .settle(view.recovered_at, gateway.clock.now());
+            .settle(health.recovered_at, gateway.clock.now());
         for key in gone {
             upstream_changed(&gateway, key);
         }
--- a/daemon/src/gateway/tracker.rs
+++ b/daemon/src/gateway/tracker.rs
@@ -1,4 +1,4 @@
-//! Follows each call to its end, which is counted and written down.
+//! Tracks each call until its end, when it is counted and recorded.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,49 +7,49 @@
 use crate::gateway::admission::Call;
 use crate::gateway::decisions::{Decision, millis};
 
-/// How a call ended, for its log line and counters.
+/// Outcome of a call, for its decision line and counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum CallOutcome {
-    /// The caller got the whole answer.
+    /// The caller received the complete answer.
     #[display("answered")]
     Answered,
-    /// The caller got the upstream's failure.
+    /// The caller received the upstream's failure.
     #[display("failed")]
     Failed,
-    /// It did not run, and the caller was told so.
+    /// The call did not run, and the caller was informed of that.
     #[display("not_run")]
     NotRun,
-    /// It may have run, and the caller was told that nothing is known.
+    /// The call may have run, and the caller was informed that the result is unknown.
     #[display("unknown")]
     Unknown,
-    /// Its stream was cut off.
+    /// The stream was cut off.
     #[display("cut")]
     Cut,
-    /// The caller left.
+    /// The caller closed the connection before the end.
     #[display("caller_left")]
     CallerLeft,
 }
 
-/// Follows one call to its end, which it writes down.
+/// Tracks one call and records its end when dropped.
 pub struct CallTracker {
     gateway: Rc<Gateway>,
     call: Rc<Call>,
     outcome: CallOutcome,
-    /// Status of the answer.
+    /// Status of the answer; 0 until there is one.
     pub status: u16,
-    /// When the first piece of the answer was there.
+    /// Time at which the first part of the answer was available.
     pub first_at: Option<Duration>,
-    /// Events that were passed on.
+    /// Number of events that were forwarded.
     pub events: u64,
 }
 
 impl CallTracker {
-    /// The call.
+    /// Returns the tracked call.
     pub fn call(&self) -> &Call {
         &self.call
     }
 
-    /// Begins to follow a call.
+    /// Starts to track a call, which counts as open from now on.
     pub fn new(gateway: &Rc<Gateway>, call: &Rc<Call>) -> Self {
         gateway.open_calls.set(gateway.open_calls.get() + 1);
         gateway.metrics.open_calls.inc();
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Notes how the call ends.
+    /// Sets the outcome that is recorded. Without one, the caller counts as having left.
     pub fn set(&mut self, outcome: CallOutcome) {
         self.outcome = outcome;
     }
 
-    /// Notes that the first piece of the answer is there.
+    /// Records that the first part of the answer is available.
     pub fn first_piece(&mut self) {
         if self.first_at.is_some() {
             return;
--- a/daemon/src/gateway/usage.rs
+++ b/daemon/src/gateway/usage.rs
@@ -1,4 +1,4 @@
-//! Counts calls that upstreams began, and sends the counts to the node that reports them.
+//! Counts the calls that upstreams have begun, and sends the counts to the node that reports them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,16 +13,18 @@
 use crate::gateway::duties::DutyState;
 use crate::gateway::settings::DutyName;
 
-/// Time between two messages of a node: what its loss costs, against a datagram.
-const SEND_PAUSE: Duration = Duration::from_millis(200);
-/// Messages after which all is sent anew, in case one was lost.
-const SENDS_BETWEEN_WHOLE: u32 = 5;
-/// Nodes whose messages the holder takes in each pause; in larger fleets each sends less often.
-const MOST_SENDERS: u32 = 100;
-/// Workspaces in one datagram, some 12 bytes each.
-const MOST_WORKSPACES: usize = 90;
+/// Interval between two messages of a node. It bounds the counts lost with a node, at the cost of
+/// one datagram each.
+const SEND_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of messages after which all counts are sent again, in case a datagram was lost.
+const SENDS_BETWEEN_RESETS: u32 = 5;
+/// Number of nodes whose messages the holder receives in each interval; in larger fleets each node
+/// sends less often.
+const MAX_SENDERS: u32 = 100;
+/// Number of workspaces in one datagram, some 12 bytes each.
+const MAX_WORKSPACES: usize = 90;
 
-/// Counts a call that an upstream began `ago`.
+/// Counts a call that an upstream began `ago`, once and only if usage is a duty.
 pub fn count(gateway: &Gateway, call: &Call, ago: Duration) {
     let Some(duties) = &gateway.duties else {
         return;
@@ -37,16 +39,17 @@
     duties.ledger.borrow_mut().count(workspace, begun_at);
 }
 
-/// Time until the node should send again; one that leaves does so with every heartbeat.
-pub fn send_pause(gateway: &Gateway) -> Duration {
+/// Returns the interval between messages of this node; zero during the shutdown, when each
+/// heartbeat carries them.
+pub fn send_interval(gateway: &Gateway) -> Duration {
     if gateway.leaving_since.get().is_some() {
         return Duration::ZERO;
     }
     let nodes = u32::try_from(gateway.node_count()).unwrap_or(u32::MAX);
-    SEND_PAUSE * nodes.div_ceil(MOST_SENDERS)
+    SEND_INTERVAL * nodes.div_ceil(MAX_SENDERS)
 }
 
-/// Sends the holder what it does not have yet.
+/// Selects the counts that the holder has not received yet.
 #[derive(Debug, Default)]
 pub struct UsageSender {
     sent: BTreeMap<u64, WorkspaceCounts>,
@@ -54,7 +57,7 @@
 }
 
 impl UsageSender {
-    /// Receivers and messages; none if there is nothing to send, or no one to send it to.
+    /// Returns receivers and messages; `None` if there is nothing to send or no holder is known.
     pub fn next(&mut self, gateway: &Gateway) -> Option<(Vec<SocketAddr>, Vec<WindowUsage>)> {
         let duties = gateway.duties.as_ref()?;
         if !duties.has(DutyName::Usage) {
@@ -62,7 +65,7 @@
         }
         let notice = duties.notice(gateway)?;
         self.sends += 1;
-        if self.sends.is_multiple_of(SENDS_BETWEEN_WHOLE) {
+        if self.sends.is_multiple_of(SENDS_BETWEEN_RESETS) {
             self.sent.clear();
         }
         let ledger = duties.ledger.borrow();
@@ -74,7 +77,7 @@
                 .filter(|news| sent.get(news.0) != Some(news.1))
                 .map(|(workspace, count)| (workspace.clone(), *count))
                 .collect();
-            pieces.extend(news.chunks(MOST_WORKSPACES).map(|piece| WindowUsage {
+            pieces.extend(news.chunks(MAX_WORKSPACES).map(|piece| WindowUsage {
                 window,
                 counts: piece.to_vec(),
             }));
@@ -88,7 +91,7 @@
     }
 }
 
-/// Takes in what another node's heartbeat says of the holder and of its calls.
+/// Merges the notice of the holder and the usage counts in another node's heartbeat.
 pub fn merge(gateway: &Rc<Gateway>, duties: &DutyState, heartbeat: &mut NodeHeartbeat) {
     if let Some(notice) = heartbeat.holder {
         duties.observe(notice, gateway.now(), gateway.unix_now());
--- a/daemon/src/gateway/waiting.rs
+++ b/daemon/src/gateway/waiting.rs
@@ -1,4 +1,4 @@
-//! Lets a call wait for room at an upstream, and gives up when that takes too long.
+//! Lets a call wait for capacity at an upstream, and rejects it when that takes too long.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,25 +13,25 @@
 use crate::gateway::decisions::{Decision, millis};
 use crate::gateway::relay::{self, CallProgress};
 
-/// Part of a call's time for which it waits. What is left lets its caller come back once, which
-/// may wait up to a third of it.
-const PATIENCE_PART: f64 = 0.33;
-/// Time after which a waiting call looks again even if nothing was told: work of other nodes ends
-/// unseen until their next heartbeat.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+/// Fraction of a call's time for which it waits. The rest allows its caller to retry once, and the
+/// retry may wait for up to a third of it.
+const WAIT_FRACTION: f64 = 0.33;
+/// Interval at which a waiting call looks for capacity without a notification, since work that
+/// other nodes finish is only visible with their next heartbeat.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Part of a call's target that its way through an upstream takes when it is busy: a call that has
-/// waited for the rest of it is late whatever is done.
-const SERVING_PART: f64 = 0.5;
+/// Fraction of a call's latency target that a busy upstream takes to serve it. A call that has
+/// waited for the rest of its target will miss it in any case.
+const SERVING_FRACTION: f64 = 0.5;
 
-/// A place in the list of waiting calls, given up when this is dropped.
-struct WaitPlace<'a> {
+/// A position in the list of waiting calls, released when this is dropped.
+struct WaitPosition<'a> {
     gateway: &'a Gateway,
     pool: &'a str,
     rank: WaitRank,
 }
 
-impl Drop for WaitPlace<'_> {
+impl Drop for WaitPosition<'_> {
     fn drop(&mut self) {
         self.gateway
             .waiting
@@ -41,39 +41,40 @@
     }
 }
 
-/// Until when a call is likely to be in time if it is sent. What its caller has spent on it before
-/// shows in the time that is left of the longest that it may take.
-fn hopeful_until(call: &Call) -> Duration {
+/// Returns the latest time at which sending a call can still meet its target. The time that its
+/// caller has already spent is the class's timeout minus the time left in the call's head.
+fn send_by(call: &Call) -> Duration {
     let timeout = call.class.timeout;
     let spent = timeout.saturating_sub(call.head.time_left.unwrap_or(timeout));
-    let target = call.class.target.mul_f64(1.0 - SERVING_PART);
+    let target = call.class.target.mul_f64(1.0 - SERVING_FRACTION);
     (call.started + target).saturating_sub(spent)
 }
 
-/// Why a call gets no upstream.
+/// Reason why a call gets no upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum WaitError {
-    /// There is no upstream at all, or none with room in time.
+    /// The pool has no upstream, or none had capacity in time.
     #[display("no upstream has room")]
     NoRoom,
-    /// All upstreams want a pause that is longer than it may wait.
+    /// All upstreams asked for a pause that is longer than the call may wait.
     #[display("all upstreams asked for a pause")]
     Paused,
-    /// Its stream would not end in the time that is left.
+    /// The call's stream is not expected to end before the deadline.
     #[display("its stream would not end in time")]
     TooLate,
 }
 
-/// Whether a call is late already and cannot be expected to end in its time either. Such a call
-/// would take an engine's time from others and be cut. One that was sent before goes on.
-fn is_in_vain(
+/// Returns whether a call has missed its target and is not expected to end before its deadline
+/// either. Such a call would use an engine's time and then be cut off. A call that was sent before
+/// continues.
+fn cannot_finish(
     gateway: &Gateway,
     call: &Call,
     progress: &CallProgress,
-    hopeful_until: Duration,
+    send_by: Duration,
 ) -> bool {
     let now = gateway.now();
-    if hopeful_until > now || progress.history.sends > 0 {
+    if send_by > now || progress.history.sends > 0 {
         return false;
     }
     let (Some(engine), AnswerForm::Events { .. }) = (call.engine, call.class.form) else {
@@ -94,7 +95,7 @@
     true
 }
 
-/// Whether no upstream wants calls, nor will before the call has waited long enough.
+/// Returns whether all upstreams pause until the call has waited long enough.
 fn pauses_beyond(gateway: &Gateway, call: &Call, progress: &CallProgress, until: Duration) -> bool {
     let now = gateway.now();
     let opens_in = gate::opens_in(&gateway.registry.borrow(), &call.pool, &progress.tried, now);
@@ -109,28 +110,29 @@
     true
 }
 
-/// How long a call that comes to wait now may do so: for its part of the time that is left, and no
-/// longer than its caller waits for an event that is then sent.
+/// Returns the time until which a call may wait: for a fraction of the time that is left, and no
+/// longer than leaves its caller's limit for the first event after sending.
 fn waits_until(gateway: &Gateway, call: &Call) -> Duration {
     let now = gateway.now();
-    let part = call.deadline.saturating_sub(now).mul_f64(PATIENCE_PART);
+    let part = call.deadline.saturating_sub(now).mul_f64(WAIT_FRACTION);
     let patience = call.class.patience.unwrap_or(part);
     let first = gateway.pace(call).time_to_first();
     now + part.min(patience.saturating_sub(first))
 }
 
-/// The upstream for a call, once one has room and it is the call's turn.
+/// Waits until an upstream has capacity and it is the call's turn, and returns that upstream.
 ///
 /// # Errors
 ///
-/// If there is none, or the call is not worth sending any more.
+/// If no upstream has capacity in time, if all pause for too long, or if the call's stream could no
+/// longer end before its deadline.
 pub async fn wait_for_capacity(
     gateway: &Rc<Gateway>,
     call: &Call,
     progress: &CallProgress,
 ) -> Result<UpstreamChoice, WaitError> {
-    let hopeful_until = hopeful_until(call);
-    if is_in_vain(gateway, call, progress, hopeful_until) {
+    let send_by = send_by(call);
+    if cannot_finish(gateway, call, progress, send_by) {
         return Err(WaitError::TooLate);
     }
     let blocked = |rank: Option<WaitRank>| {
@@ -150,19 +152,18 @@
         return Ok(choice);
     }
     let since = gateway.now();
-    let rank =
-        gateway
-            .waiting
-            .borrow_mut()
-            .join(&call.pool, call.tier, hopeful_until, call.deadline);
-    let place = WaitPlace {
+    let rank = gateway
+        .waiting
+        .borrow_mut()
+        .join(&call.pool, call.tier, send_by, call.deadline);
+    let position = WaitPosition {
         gateway,
         pool: &call.pool,
         rank,
     };
     let mut found = Err(WaitError::NoRoom);
     while found.is_err() && gateway.now() < until {
-        if is_in_vain(gateway, call, progress, hopeful_until) {
+        if cannot_finish(gateway, call, progress, send_by) {
             found = Err(WaitError::TooLate);
             break;
         }
@@ -171,12 +172,12 @@
             break;
         }
         let notice = gateway.capacity_notify.notified();
-        let _ = tokio::time::timeout(LOOK_PAUSE, notice).await;
+        let _ = tokio::time::timeout(POLL_INTERVAL, notice).await;
         if !blocked(Some(rank)) {
             found = relay::choose(gateway, call, progress).ok_or(WaitError::NoRoom);
         }
     }
-    drop(place);
+    drop(position);
     gateway.decisions.record(&Decision::Waited {
         call: &call.head.id,
         waited_ms: millis(gateway.now().saturating_sub(since)),
--- a/daemon/src/gateway/work.rs
+++ b/daemon/src/gateway/work.rs
@@ -1,4 +1,4 @@
-//! Counts what calls of this node are at work at upstreams.
+//! Accounts for the work that this node's calls cause at upstreams.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,19 +10,20 @@
 use crate::gateway::Gateway;
 use crate::gateway::admission::Call;
 
-/// A call's work at an upstream, counted until this is dropped.
+/// A call's work at an upstream, counted in the upstream's load until this is dropped.
 pub struct WorkGuard {
     gateway: Rc<Gateway>,
-    /// The upstream.
+    /// Upstream that the call was sent to.
     pub key: UpstreamKey,
-    /// When the call was sent.
+    /// Time at which the call was sent.
     pub since: Duration,
     item: WorkItem,
     call: Rc<Call>,
 }
 
 impl WorkGuard {
-    /// Counts a call that is about to be sent.
+    /// Adds a call that is about to be sent to the upstream's load, and its prompt parts to the
+    /// next heartbeat.
     pub fn begin(gateway: &Rc<Gateway>, call: &Rc<Call>, choice: &UpstreamChoice) -> Self {
         let now = gateway.now();
         let prompt = &call.head.prompt;
@@ -44,9 +45,10 @@
             let mut sent_parts = gateway.sent_parts.borrow_mut();
             let shared = prompt.shared_parts();
             for (index, part) in shared.iter().enumerate() {
-                let is_news = upstream.load.part_used(part.id, now);
-                // What comes after a part tells of it too.
-                if is_news || index + 1 == shared.len() {
+                let is_new = upstream.load.part_used(part.id, now);
+                // A later part implies the parts before it, so only new parts and the last one are
+                // sent.
+                if is_new || index + 1 == shared.len() {
                     sent_parts.insert((part.tokens, part.id, hash));
                 }
             }
@@ -60,7 +62,7 @@
         }
     }
 
-    /// The upstream has read the prompt.
+    /// Records that the upstream has processed the prompt and caches its shared parts.
     pub fn prompt_read(&mut self) {
         let now = self.gateway.now();
         if let Some(upstream) = self.gateway.registry.borrow_mut().get_mut(self.key) {
@@ -68,10 +70,10 @@
                 upstream.load.part_read(part.id, now);
             }
         }
-        self.reading_ended();
+        self.end_reading();
     }
 
-    fn reading_ended(&mut self) {
+    fn end_reading(&mut self) {
         let unread = std::mem::take(&mut self.item.unread_tokens);
         if let Some(upstream) = self.gateway.registry.borrow_mut().get_mut(self.key) {
             upstream.load.prompt_read(unread);
@@ -81,7 +83,7 @@
 
 impl Drop for WorkGuard {
     fn drop(&mut self) {
-        self.reading_ended();
+        self.end_reading();
         if let Some(upstream) = self.gateway.registry.borrow_mut().get_mut(self.key) {
             upstream.load.end(self.item);
         }
