--- a/daemon/tests/gateway/caches.rs
+++ b/daemon/tests/gateway/caches.rs
@@ -1,12 +1,12 @@
-//! What engines kept before a node started.
+//! Prompt parts that engines cached before a node started.
 
 use monsoonbank_standin::scripted::{AnswerScript, ScriptStep};
 use serde_json::json;
 
 use crate::world::{World, configuration, good_answer, request, script, until};
 
-/// An engine that says that it keeps these parts.
-fn keeps(list: &'static str) -> AnswerScript {
+/// Makes the script of an engine that lists these cached parts.
+fn caches(list: &'static str) -> AnswerScript {
     script(move |request, _| {
         if &*request.target != "/kv-list" {
             return vec![ScriptStep::Send(good_answer(request))];
@@ -16,23 +16,23 @@
     })
 }
 
-const NOTHING: &str = r#"{"epoch":"a","next":0,"held":[]}"#;
+const EMPTY: &str = r#"{"epoch":"a","next":0,"held":[]}"#;
 const PROMPT: &str = r#"{"epoch":"a","next":3,"held":[["","5c1e07a2",4800,"m"]]}"#;
 
-/// Names a case: what two engines say that they keep before a node starts, and how many tokens of a
-/// call's prompt the node then knows to be kept, and need not have read.
+/// Defines a case: the lists of two engines that cached parts before a node starts, and how many
+/// tokens of a call's prompt the node then counts as cached and not to be processed.
 macro_rules! listed {
     ($($name:ident: $lists:expr => $known:literal;)*) => {$(
         #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
         async fn $name() {
-            let scripts = $lists.into_iter().map(keeps).collect();
+            let scripts = $lists.into_iter().map(caches).collect();
             let world = World::start(&[], scripts).await;
             let mut rules = configuration(2);
             rules["services"][0]["engine"] = json!({ "kvCapacity": 500_000, "stride": 5 });
             world.publish(&rules);
             let world = world.with_nodes(&["east"]).await;
             let listed = |line: &serde_json::Value| line["event"] == "cache_listed";
-            until("both were asked", async || {
+            until("both engines were queried", async || {
                 world.nodes[0].lines().iter().filter(|line| listed(line)).count() == 2
             })
             .await;
@@ -41,7 +41,7 @@
             let answer = world.send(&request("/safe/x", "a1", prompt)).await;
             assert_eq!(answer.status, 200);
             let sent = |line: &serde_json::Value| line["event"] == "sent";
-            until("the call is written down", async || {
+            until("the call is recorded", async || {
                 world.nodes[0].lines().iter().any(sent)
             })
             .await;
@@ -53,9 +53,9 @@
 }
 
 listed! {
-    the_first_engine_kept_the_prompt: [PROMPT, NOTHING] => 4800;
-    the_second_engine_kept_the_prompt: [NOTHING, PROMPT] => 4800;
-    no_engine_kept_it: [NOTHING, NOTHING] => 0;
-    an_engine_that_does_not_tell_harms_nothing: ["no JSON", PROMPT] => 4800;
-    a_part_with_an_odd_id_harms_nothing: [r#"{"held":[["","x",1,"m"]]}"#, PROMPT] => 4800;
+    the_first_engine_caches_the_prompt: [PROMPT, EMPTY] => 4800;
+    the_second_engine_caches_the_prompt: [EMPTY, PROMPT] => 4800;
+    no_engine_caches_the_prompt: [EMPTY, EMPTY] => 0;
+    a_malformed_list_is_ignored: ["no JSON", PROMPT] => 4800;
+    a_part_with_a_malformed_id_is_ignored: [r#"{"held":[["","x",1,"m"]]}"#, PROMPT] => 4800;
 }
--- a/daemon/tests/gateway/departures.rs
+++ b/daemon/tests/gateway/departures.rs
@@ -1,4 +1,4 @@
-//! Upstreams that say in their answers that they leave.
+//! Upstreams that announce in their answers that they leave.
 
 use std::time::Duration;
 
@@ -9,41 +9,41 @@
 
 use crate::world::{World, answer_head, events, good, request, script, send, until, upstream_id};
 
-/// Time after such an answer in which calls may still be sent.
+/// Time after such an answer during which calls may still be sent.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
-/// For how long calls are sent.
+/// Time for which calls are sent.
 const LOAD_TIME: Duration = Duration::from_secs(6);
-/// Time between two calls.
-const CALL_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between calls.
+const CALL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How an upstream answers while it leaves.
+/// Answer of an upstream that leaves.
 #[derive(Clone, Copy)]
 enum LeavingAnswer {
-    /// It answers well.
+    /// A successful answer.
     Good,
-    /// It gives a stream.
+    /// A stream.
     Stream,
-    /// It refuses the call.
+    /// A refusal of the call.
     Refusal,
 }
 
 impl LeavingAnswer {
     fn bytes(self, request: &RawRequest) -> Vec<u8> {
         let id = request.header("x-attempt-id");
-        let says_so = "Server-Leaving: 1\r\n";
+        let notice = "Server-Leaving: 1\r\n";
         let whole = "Content-Length: 2\r\n\r\nok";
         match self {
-            Self::Good => answer_head(id, &format!("{says_so}{whole}")).into_bytes(),
+            Self::Good => answer_head(id, &format!("{notice}{whole}")).into_bytes(),
             Self::Stream => {
                 let kind = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-                let mut bytes = answer_head(id, &format!("{says_so}{kind}")).into_bytes();
+                let mut bytes = answer_head(id, &format!("{notice}{kind}")).into_bytes();
                 bytes.extend(events(1, 3));
                 bytes.extend(b"0\r\n\r\n");
                 bytes
             }
             Self::Refusal => format!(
                 "HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\n\
-                 X-Attempt-Id: {id}\r\n{says_so}{whole}"
+                 X-Attempt-Id: {id}\r\n{notice}{whole}"
             )
             .into_bytes(),
         }
@@ -54,7 +54,7 @@
     script(move |request, _| vec![Send(answer.bytes(request))])
 }
 
-/// Sends calls to all nodes in turn for a while. Gives when each was sent, by its id.
+/// Sends calls to all nodes in turn for `LOAD_TIME`. Returns the id and time of each.
 async fn send_load(world: &World, folder: &str) -> Vec<(String, Instant)> {
     let started = Instant::now();
     let mut sent = Vec::new();
@@ -66,12 +66,12 @@
         let address = node.address(4000);
         sent.push((id, Instant::now()));
         tokio::spawn(async move { send(address, call.as_bytes()).await });
-        sleep(CALL_PAUSE).await;
+        sleep(CALL_INTERVAL).await;
     }
     sent
 }
 
-/// Calls that reached the upstream though they were sent too late after its first answer.
+/// Counts calls that reached the upstream although they were sent too late after its first answer.
 fn late_calls(world: &World, index: usize, sent: &[(String, Instant)]) -> usize {
     let calls = world.upstreams[index].calls();
     let mut calls = calls
@@ -89,8 +89,8 @@
         .count()
 }
 
-/// Names a case: the zones of the nodes, the folder of the calls, how the upstream answers that leaves, and
-/// how many others stay.
+/// Defines a case: the zones of the nodes, the path of the calls, the answer of the upstream that
+/// leaves, and the number of upstreams that stay.
 macro_rules! departures {
     ($($name:ident: $zones:expr, $folder:literal, $answer:ident, $others:literal;)*) => {$(
         #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -104,16 +104,18 @@
     )*};
 }
 
-// Guards against calls to an upstream whose answers say that it leaves, while its entry does not.
+// Guards against calls to an upstream that announces in its answers, but not in its entry, that it
+// leaves.
 departures! {
-    an_answer_says_that_its_upstream_leaves: ["east"], "safe", Good, 1;
-    a_stream_says_that_its_upstream_leaves: ["east"], "resume", Stream, 1;
-    a_refusal_says_that_the_only_upstream_leaves: ["east"], "safe", Refusal, 0;
+    an_answer_announces_that_its_upstream_leaves: ["east"], "safe", Good, 1;
+    a_stream_announces_that_its_upstream_leaves: ["east"], "resume", Stream, 1;
+    a_refusal_announces_that_the_only_upstream_leaves: ["east"], "safe", Refusal, 0;
 }
 
-// Guards against each node that learns by calls of its own that an upstream leaves.
+// Guards against each node having to send a call of its own before it knows that an upstream
+// leaves.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_departure_that_an_answer_announces_is_told_to_other_nodes() {
+async fn a_departure_announced_in_an_answer_propagates_to_other_nodes() {
     let world = World::start(
         &["east", "east", "west"],
         vec![leaving(LeavingAnswer::Good), good()],
@@ -136,7 +138,7 @@
     }
 }
 
-// Guards against callers that are not told when to come back if all upstreams of a pool leave.
+// Guards against refusals without `Retry-After` after all upstreams of a pool have left.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn calls_are_refused_as_not_run_once_the_only_upstream_leaves() {
     let world = World::start(&["east"], vec![leaving(LeavingAnswer::Good)]).await;
--- a/daemon/tests/gateway/duties.rs
+++ b/daemon/tests/gateway/duties.rs
@@ -1,4 +1,5 @@
-//! Calls to the platform that one node at a time makes, and a store that comes back older.
+//! Calls to the platform that one node at a time makes, and a store that resumes from an older
+//! copy.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,7 +13,7 @@
 
 const USAGE_PATH: &str = "/usage-reports";
 
-/// A platform that accepts every call.
+/// Starts a platform that accepts every call.
 async fn platform() -> ScriptedUpstream {
     let accepts = script(|_, _| {
         let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -31,7 +32,7 @@
     )
 }
 
-/// A report as the platform got it.
+/// A report as the platform received it.
 #[derive(Clone, Debug)]
 struct UsageReport {
     holder: String,
@@ -62,7 +63,7 @@
         .collect()
 }
 
-/// Calls of all windows; two reports of one window have to be the same.
+/// Sums the calls of all windows. Two reports of one window have to be equal.
 fn reported_calls(platform: &ScriptedUpstream) -> u64 {
     let mut windows: BTreeMap<u64, BTreeMap<String, u64>> = BTreeMap::new();
     for report in reports(platform) {
@@ -74,7 +75,8 @@
     windows.values().flat_map(BTreeMap::values).sum()
 }
 
-/// Windows that went on when the store was first met are not reported: an earlier era may have been.
+/// Waits until a node holds the duties. Windows that were open at the first contact with the store
+/// are not reported, since they may have been in an earlier era.
 async fn until_held(world: &World) {
     until("a node holds the duties", async || {
         let lines = world.nodes.iter().flat_map(NodeProcess::lines);
@@ -142,19 +144,19 @@
 }
 
 #[tokio::test]
-async fn a_store_that_comes_back_older_takes_no_configuration_back() {
+async fn a_store_that_resumes_from_an_older_copy_reverts_no_configuration() {
     let world = World::start(&["east"], vec![good()]).await;
     world.publish(&configuration(2));
     let version = async || world.nodes[0].state().await["version"].as_u64();
     until("version 2 is in force", async || version().await == Some(2)).await;
     world.store.roll_back("keyed.op", 1);
-    until("the node has seen it", async || {
+    until("the node has recorded the new era", async || {
         let lines = world.nodes[0].lines();
         lines.iter().any(|line| line["event"] == "store_era_began")
     })
     .await;
     assert_eq!(version().await, Some(2));
-    // It stands where version 2 stood.
+    // The record has the offset that version 2 had.
     world.publish(&configuration(3));
     until("version 3 is in force", async || version().await == Some(3)).await;
 }
@@ -163,7 +165,7 @@
 async fn an_entry_that_an_older_copy_lacks_has_time_to_be_written_again() {
     let world = World::start(&["east"], vec![good()]).await;
     world.store.roll_back("keyed.servers", 1);
-    until("the node has seen it", async || {
+    until("the node has recorded the new era", async || {
         let lines = world.nodes[0].lines();
         lines.iter().any(|line| line["event"] == "store_era_began")
     })
--- a/daemon/tests/gateway/heartbeats.rs
+++ b/daemon/tests/gateway/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of nodes that are not there.
+//! Heartbeats of nodes that do not exist.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// A heartbeat as it is sent.
+/// Encodes a heartbeat as it is sent.
 pub fn encode(heartbeat: &NodeHeartbeat) -> Vec<u8> {
     let mut bytes = Vec::new();
     ciborium::into_writer(heartbeat, &mut bytes).expect("written");
     bytes
 }
 
-/// What a node of the zone `east` without work says, which can be asked at `peers`.
+/// Builds the heartbeat of an idle node of the zone `east` that serves other nodes at `peers`.
 pub fn heartbeat(name: &str, peers: SocketAddr) -> NodeHeartbeat {
     let card = NodeCard {
         name: name.into(),
@@ -33,18 +33,18 @@
     }
 }
 
-/// A strong node, which is a hub of its zone.
+/// Gives the node so much capacity that it is a hub of its zone.
 pub fn strong(mut heartbeat: NodeHeartbeat) -> NodeHeartbeat {
     heartbeat.card.capacity = 100_000;
     heartbeat
 }
 
-/// Says five times a second that a node reads the store well, has the version in `told` in force and
-/// can be asked for it at `peers`.
-pub async fn pretend_reader(to: SocketAddr, peers: SocketAddr, told: Arc<AtomicU64>) {
+/// Sends five heartbeats a second of a node that reads the store, has the version in `advertised`
+/// in force and serves it at `peers`.
+pub async fn simulate_reader(to: SocketAddr, peers: SocketAddr, advertised: Arc<AtomicU64>) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     loop {
-        let version = told.load(Ordering::Relaxed);
+        let version = advertised.load(Ordering::Relaxed);
         let heartbeat = NodeHeartbeat {
             version,
             ..strong(heartbeat("a-reader", peers))
@@ -55,8 +55,8 @@
     }
 }
 
-/// All that comes to a socket within half a second.
-pub async fn heard(socket: &UdpSocket) -> Vec<Vec<u8>> {
+/// Collects the datagrams that arrive at a socket within half a second.
+pub async fn receive_all(socket: &UdpSocket) -> Vec<Vec<u8>> {
     let mut datagrams = Vec::new();
     let mut buffer = vec![0; 64 << 10];
     let last = Instant::now() + Duration::from_millis(500);
--- a/daemon/tests/gateway/input.rs
+++ b/daemon/tests/gateway/input.rs
@@ -1,4 +1,4 @@
-//! What callers send: odd, forged, broken or slow.
+//! Requests of callers that are invalid, forged, broken or slow.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 const HEAD: &str =
     "Host: calls.example\r\nX-Attempt-Id: a1\r\nX-Key: key-1\r\nX-Deadline-Ms: 2000\r\n";
 
-/// Names a case: the raw request, the status it gets, and the calls that reach an upstream.
+/// Defines a case: the raw request and the status of its answer. No call reaches an upstream.
 macro_rules! refuses {
     ($($name:ident: $request:expr => $status:expr;)*) => {$(
         #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -134,7 +134,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn slow_heads_harm_no_one_else() {
+async fn slow_heads_do_not_block_other_callers() {
     let world = World::start(&["east"], vec![good()]).await;
     let mut slow = Vec::new();
     for _ in 0..100 {
@@ -175,11 +175,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_node_without_configuration_says_not_run() {
+async fn a_node_without_configuration_refuses_calls_as_not_run() {
     let empty = monsoonbank_standin::keyed::KeyedStore::start("127.0.0.1:0")
         .await
         .expect("a store");
-    let node = World::lonely_node(empty.address());
+    let node = World::start_alone(empty.address());
     crate::world::until("it listens", async || {
         crate::world::get(node.address(4001), "/readyz")
             .await
--- a/daemon/tests/gateway/leaving.rs
+++ b/daemon/tests/gateway/leaving.rs
@@ -1,4 +1,4 @@
-//! Planned stops and reloads cut nothing off.
+//! Planned shutdowns and reloads cut off no calls.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::world::{World, events, get, good, read_answer, request, script, stream_head, until};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_stop_finishes_streams_and_takes_nothing_late() {
+async fn a_shutdown_finishes_streams_and_ends_in_time() {
     let slow = script(|request, _| {
         let mut steps = vec![Send(stream_head(request))];
         for id in 1..=10 {
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn calls_right_after_a_stop_are_served_and_late_ones_refused() {
+async fn calls_right_after_a_shutdown_signal_are_served() {
     let world = World::start(&["east"], vec![good()]).await;
     let address = world.nodes[0].address(4000);
     let mut late = TcpStream::connect(address).await.expect("a connection");
@@ -69,7 +69,7 @@
     let answer = world.send(&request("/once/x", "a1", "")).await;
     assert_eq!(answer.status, 200);
     assert!(answer.has("connection: close"));
-    // An idle connection is closed; a call that crosses that was not read.
+    // An idle connection is closed; a call sent at the same moment has not been read.
     let _ = late
         .write_all(request("/once/x", "a2", "").as_bytes())
         .await;
@@ -94,7 +94,7 @@
     }
     world.nodes[0].spoil_settings();
     world.nodes[0].signal("-HUP");
-    until("the fault is written down", async || {
+    until("the error is recorded", async || {
         let wrong = |line: &serde_json::Value| {
             line["event"] == "reloaded"
                 && line["error"]
--- a/daemon/tests/gateway/limits.rs
+++ b/daemon/tests/gateway/limits.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name how many requests a second they take from all nodes together.
+//! Upstreams that limit the requests per second from all nodes together.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 
 use crate::world::{World, answer_head, good, request, script, send, until};
 
-/// Time in which an upstream's requests are counted.
+/// Length of the window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Requests in a window beyond one and a half times the limit.
+/// Requests in a window that are allowed beyond one and a half times the limit.
 const SLACK: f64 = 5.0;
-/// Time from a node's first answer with a limit to the first request that counts.
-const TOLD_TIME: Duration = Duration::from_millis(500);
-/// Time between two calls of the load.
-const CALL_PAUSE: Duration = Duration::from_millis(25);
+/// Time from the first answer with a limit to the first request that is counted.
+const PROPAGATION_TIME: Duration = Duration::from_millis(500);
+/// Interval between calls of the load.
+const CALL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Answers well and names a limit, if one is given for the number of the call.
+/// Answers successfully and announces a limit, if one is given for the number of the call.
 fn limited(
     limit: impl Fn(usize) -> Option<&'static str> + Sync + std::marker::Send + 'static,
 ) -> AnswerScript {
@@ -31,7 +31,7 @@
     })
 }
 
-/// Sends calls to all nodes in turn for a while. Gives the share that was answered.
+/// Sends calls to all nodes in turn for a time. Returns the share that succeeded.
 async fn send_load(world: &World, load_time: Duration) -> f64 {
     let started = Instant::now();
     let mut answered = Vec::new();
@@ -48,7 +48,7 @@
         answered.push(tokio::spawn(async move {
             send(address, call.as_bytes()).await.status
         }));
-        sleep(CALL_PAUSE).await;
+        sleep(CALL_INTERVAL).await;
     }
     let mut good = 0;
     for answer in &mut answered {
@@ -57,15 +57,19 @@
     good as f64 / answered.len() as f64
 }
 
-/// Most requests in a window that an upstream got after nodes had been told.
+/// Returns the largest number of requests in a window that an upstream got after the nodes could
+/// know the limit.
 fn most_in_window(world: &World, index: usize) -> usize {
     let calls = world.upstreams[index].calls();
     let calls = calls
         .iter()
         .filter(|call| call.request.target.starts_with("/safe"));
     let times: Vec<Instant> = calls.map(|call| call.at).collect();
-    let told = times.first().map(|first| *first + TOLD_TIME);
-    let counted: Vec<Instant> = times.into_iter().filter(|at| Some(*at) >= told).collect();
+    let counted_from = times.first().map(|first| *first + PROPAGATION_TIME);
+    let counted: Vec<Instant> = times
+        .into_iter()
+        .filter(|at| Some(*at) >= counted_from)
+        .collect();
     let in_window = |from: &Instant| {
         let window = counted
             .iter()
@@ -79,7 +83,7 @@
     (1.5 * limit * WINDOW.as_secs_f64() + SLACK) as usize
 }
 
-/// Names a case: the zones of the nodes, the upstreams and the limit of the first of them.
+/// Defines a case: the zones of the nodes, the upstreams and the limit of the first of them.
 macro_rules! limits {
     ($($name:ident: $zones:expr, $upstreams:expr, $limit:literal;)*) => {$(
         #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -93,14 +97,14 @@
     )*};
 }
 
-// Guards against an upstream that got more than the limit it had named, as no node read it.
+// Guards against an upstream that gets more than the limit that it has announced.
 limits! {
     a_limit_holds_at_one_node: ["east"], vec![limited(|_| Some("1")), good()], 1.0;
     a_limit_holds_over_all_nodes: ["east", "east", "west", "west"], vec![limited(|_| Some("1.5")), good()], 1.5;
     a_limit_holds_where_there_is_no_other_upstream: ["east", "west"], vec![limited(|_| Some("2"))], 2.0;
 }
 
-// Guards against a refusal, which says nothing of limits, that ends one for the whole fleet.
+// Guards against a refusal, which contains no limit, that ends the limit for the whole fleet.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_refusal_does_not_end_a_limit() {
     let refusing = script(|request, number| {
@@ -121,9 +125,9 @@
     assert_eq!(state["upstreams"][0]["limit_per_s"], 1.0);
 }
 
-// Guards against an upstream that stays limited after it has stopped to say so.
+// Guards against an upstream that stays limited after it has stopped announcing a limit.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_upstream_that_names_no_limit_any_more_gets_its_calls_again() {
+async fn an_upstream_whose_limit_ended_gets_all_its_calls_again() {
     let ends_soon = limited(|number| (number < 3).then_some("2"));
     let world = World::start(&["east", "west"], vec![ends_soon]).await;
     send_load(&world, Duration::from_secs(5)).await;
@@ -131,7 +135,7 @@
     assert!(answered > 0.95, "{answered}");
 }
 
-// Guards against calls that are refused although another upstream has room.
+// Guards against calls that are refused although another upstream has capacity.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn calls_go_to_upstreams_without_a_limit() {
     let world = World::start(&["east", "west"], vec![limited(|_| Some("0")), good()]).await;
@@ -139,7 +143,7 @@
     assert!(answered > 0.99, "{answered}");
 }
 
-// Guards against a node that starts anew and sends what the others may send in all.
+// Guards against a restarted node that uses the limit of the whole fleet alone.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_limit_holds_while_a_node_starts_anew() {
     let upstreams = vec![limited(|_| Some("1")), good()];
@@ -154,9 +158,9 @@
     assert!(most <= allowed(1.0), "{most} requests");
 }
 
-// Guards against nodes that each learn a limit by sending more than it.
+// Guards against nodes that each exceed a limit before they know it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_limit_is_told_to_nodes_that_sent_nothing() {
+async fn a_limit_propagates_to_nodes_that_sent_no_calls() {
     let world = World::start(&["east", "west"], vec![limited(|_| Some("2.5"))]).await;
     assert_eq!(world.send(&request("/safe/x", "a1", "")).await.status, 200);
     until("the other node knows the limit", async || {
--- a/daemon/tests/gateway/main.rs
+++ b/daemon/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The gateway as processes, between raw callers, scripted upstreams and a store.
+//! Tests of the gateway as processes, between raw callers, scripted upstreams and a store.
 
 mod caches;
 mod crashes;
--- a/daemon/tests/gateway/pauses.rs
+++ b/daemon/tests/gateway/pauses.rs
@@ -1,4 +1,4 @@
-//! Upstreams that refuse calls and want none from the node that sent them for a while.
+//! Upstreams that refuse calls and ask the node that sent them to pause.
 
 use std::time::Duration;
 
@@ -9,18 +9,18 @@
 
 use crate::world::{RawAnswer, World, good, good_answer, request, script, send, until};
 
-/// The pause that upstreams ask for.
+/// Pause that upstreams ask for.
 const PAUSE: Duration = Duration::from_secs(3);
-/// Time after a refusal in which calls may still arrive that were under way.
-const NOTICE_TIME: Duration = Duration::from_millis(500);
-/// Calls that may reach an upstream from the node in the rest of the pause.
+/// Time after a refusal during which calls that were already in flight may arrive.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
+/// Number of calls that may reach an upstream from the node in the rest of the pause.
 const ALLOWED: usize = 2;
-/// For how long calls are sent.
+/// Time for which calls are sent.
 const LOAD_TIME: Duration = Duration::from_secs(5);
-/// Time between two calls.
-const CALL_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between calls.
+const CALL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A refusal that asks for a pause.
+/// Builds a refusal that asks for a pause.
 fn refusal(request: &RawRequest) -> Vec<u8> {
     let id = request.header("x-attempt-id");
     let text = format!(
@@ -36,7 +36,7 @@
     script(|request, _| vec![Send(refusal(request))])
 }
 
-/// Sends calls to all nodes in turn for a while; the ids begin with the node's number.
+/// Sends calls to all nodes in turn for `LOAD_TIME`. The ids begin with the node's number.
 async fn send_load(world: &World, folder: &str) -> Vec<RawAnswer> {
     let started = Instant::now();
     let mut sent = Vec::new();
@@ -49,7 +49,7 @@
         sent.push(tokio::spawn(
             async move { send(address, call.as_bytes()).await },
         ));
-        sleep(CALL_PAUSE).await;
+        sleep(CALL_INTERVAL).await;
     }
     let mut answers = Vec::new();
     for answer in sent {
@@ -58,7 +58,8 @@
     answers
 }
 
-/// Most calls that reached an upstream from one node in a pause that it had asked that node for.
+/// Returns the largest number of calls that reached an upstream from one node in a pause that it
+/// had asked that node for.
 fn most_in_pause(world: &World) -> usize {
     let mut most = 0;
     for upstream in &world.upstreams {
@@ -71,7 +72,7 @@
                 .map(|call| call.at)
                 .collect();
             let in_pause = |refused: &Instant| {
-                let pause = *refused + NOTICE_TIME..*refused + PAUSE;
+                let pause = *refused + SETTLE_TIME..*refused + PAUSE;
                 times.iter().filter(|at| pause.contains(at)).count()
             };
             most = most.max(times.iter().map(in_pause).max().unwrap_or(0));
@@ -80,7 +81,7 @@
     most
 }
 
-/// Names a case: the zones of the nodes, the folder of the calls and how many upstreams there are, which
+/// Defines a case: the zones of the nodes, the path of the calls and the number of upstreams, which
 /// all ask for pauses.
 macro_rules! pauses {
     ($($name:ident: $zones:expr, $folder:literal, $upstreams:literal;)*) => {$(
@@ -95,16 +96,16 @@
     )*};
 }
 
-// Guards against calls to an upstream that has refused one and named a time for which it wants none.
+// Guards against calls to an upstream during a pause that it asked for.
 pauses! {
     the_only_upstream_asks_for_a_pause: ["east"], "safe", 1;
     all_upstreams_ask_two_nodes_for_pauses: ["east", "west"], "safe", 3;
     upstreams_ask_for_pauses_where_calls_may_run_once: ["east"], "once", 2;
 }
 
-// Guards against callers that are held, or told to come back while all upstreams still pause.
+// Guards against callers that wait, or that get a `Retry-After` within the pause of all upstreams.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn callers_are_told_at_once_when_a_pausing_pool_opens() {
+async fn callers_of_a_pausing_pool_get_retry_after_at_once() {
     let world = World::start(&["east"], vec![pausing()]).await;
     assert_eq!(world.send(&request("/safe/x", "0-1", "")).await.status, 503);
     let asked = Instant::now();
@@ -115,11 +116,11 @@
         asked.elapsed()
     );
     assert_eq!(answer.status, 503);
-    let told = retry_after(&answer);
-    assert!((2.0..=4.0).contains(&told), "{told}");
+    let seconds = retry_after(&answer);
+    assert!((2.0..=4.0).contains(&seconds), "{seconds}");
     assert_eq!(world.arrivals(), 1);
     let line = |line: &serde_json::Value| line["event"] == "pool_paused" && line["call"] == "0-2";
-    until("the refusal is written down", async || {
+    until("the refusal is recorded", async || {
         world.nodes[0].lines().iter().any(line)
     })
     .await;
@@ -136,7 +137,7 @@
         .expect("seconds")
 }
 
-// Guards against a pause that keeps away the calls of nodes that were not asked for it.
+// Guards against a pause that also stops the calls of nodes that were not asked for it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_pause_binds_only_the_node_that_was_asked_for_it() {
     let upstream = script(|request, _| {
@@ -148,21 +149,21 @@
     });
     let world = World::start(&["east", "east"], vec![upstream]).await;
     assert_eq!(world.send(&request("/safe/x", "0-1", "")).await.status, 503);
-    sleep(NOTICE_TIME).await;
+    sleep(SETTLE_TIME).await;
     let other = world.nodes[1].address(4000);
     let answer = send(other, request("/safe/y", "1-1", "").as_bytes()).await;
     assert_eq!(answer.status, 200);
 }
 
-// Guards against a pool whose calls are refused although another upstream has room.
+// Guards against a pool whose calls are refused although another upstream has capacity.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn calls_go_to_upstreams_that_want_them() {
+async fn calls_go_to_upstreams_that_do_not_pause() {
     let world = World::start(&["east"], vec![pausing(), good()]).await;
     let answers = send_load(&world, "safe").await;
     assert!(answers.iter().all(|answer| answer.status == 200));
 }
 
-// Guards against an upstream that gets nothing after its pause has ended.
+// Guards against an upstream that gets no calls after its pause has ended.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_upstream_gets_calls_again_after_its_pause() {
     let upstream = script(|request, number| {
@@ -174,6 +175,6 @@
     });
     let world = World::start(&["east"], vec![upstream]).await;
     assert_eq!(world.send(&request("/safe/x", "0-1", "")).await.status, 503);
-    sleep(PAUSE + NOTICE_TIME).await;
+    sleep(PAUSE + SETTLE_TIME).await;
     assert_eq!(world.send(&request("/safe/x", "0-2", "")).await.status, 200);
 }
--- a/daemon/tests/gateway/peers.rs
+++ b/daemon/tests/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! Several nodes: who is named to callers, and what one learns from another.
+//! Several nodes: which addresses lookups return, and what a node fetches from another.
 
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener};
@@ -13,7 +13,7 @@
 use monsoonbank_kernel::gateway::heartbeat::NodeHeartbeat;
 use monsoonbank_standin::scripted::ScriptStep;
 
-use crate::heartbeats::{encode, heard, heartbeat, pretend_reader};
+use crate::heartbeats::{encode, heartbeat, receive_all, simulate_reader};
 use crate::world::{NodeProcess, World, configuration, get, good, request, script, send, until};
 
 async fn addresses(node: &NodeProcess, zone: &str) -> Vec<String> {
@@ -30,7 +30,7 @@
 
 async fn meet(world: &World) {
     for node in &world.nodes {
-        until("the nodes have met", async || {
+        until("the nodes know each other", async || {
             let state = node.state().await;
             state["peers"].as_array().map_or(0, Vec::len) == world.nodes.len() - 1
         })
@@ -39,57 +39,57 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn callers_are_sent_to_nodes_of_their_zone() {
+async fn lookups_return_nodes_of_the_callers_zone() {
     let world = World::start(&["east", "east", "west"], vec![good()]).await;
     meet(&world).await;
     let address = |index: usize| world.nodes[index].address(4000).to_string();
     let mut expected = vec![address(0), address(1)];
     expected.sort();
-    until("both of the zone are named", async || {
+    until("both nodes of the zone are returned", async || {
         let mut east = addresses(&world.nodes[2], "east").await;
         east.sort();
         east == expected
     })
     .await;
     let west = async || addresses(&world.nodes[0], "west").await == vec![address(2)];
-    until("the one of the zone is named", west).await;
+    until("the only node of the zone is returned", west).await;
     assert_eq!(addresses(&world.nodes[0], "north").await.len(), 3);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_node_that_is_killed_is_named_no_longer() {
+async fn lookups_do_not_return_a_killed_node() {
     let mut world = World::start(&["east", "east"], vec![good()]).await;
     meet(&world).await;
     world.nodes[1].child.kill().expect("killed");
     let only = world.nodes[0].address(4000).to_string();
-    until("only the other is named", async || {
+    until("only the other node is returned", async || {
         addresses(&world.nodes[0], "east").await == vec![only.clone()]
     })
     .await;
     world.nodes[1].restart();
-    until("both are named", async || {
+    until("both nodes are returned", async || {
         addresses(&world.nodes[0], "east").await.len() == 2
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_node_that_the_store_turns_away_learns_from_others() {
+async fn a_node_without_its_store_fetches_from_other_nodes() {
     let mut world = World::start(&["east"], vec![good(), good()]).await;
     let broken = monsoonbank_standin::keyed::KeyedStore::start("127.0.0.1:0")
         .await
         .expect("a store");
     broken.set_mood(monsoonbank_standin::keyed::StoreMood::Busy);
-    let turned_away = world.turned_away(broken.address());
-    turned_away.ready().await;
-    world.nodes.push(turned_away);
+    let isolated = world.start_with_store(broken.address());
+    isolated.ready().await;
+    world.nodes.push(isolated);
     let call = request("/safe/x", "a1", "");
     let status = async || {
         send(world.nodes[1].address(4000), call.as_bytes())
             .await
             .status
     };
-    until("it serves with what the other told", async || {
+    until("it serves with the fetched state", async || {
         status().await == 200
     })
     .await;
@@ -118,7 +118,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn garbage_between_nodes_harms_no_call() {
+async fn malformed_heartbeats_are_ignored() {
     let world = World::start(&["east"], vec![good()]).await;
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     let peers = world.nodes[0].address(4010);
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_upstream_that_fails_at_one_node_is_passed_over_by_the_other() {
+async fn an_upstream_that_fails_at_one_node_is_backed_off_by_the_other() {
     let failing = script(|request, _| {
         let id = request.header("x-attempt-id");
         let answer = format!(
@@ -151,7 +151,7 @@
         let answer = send(world.nodes[0].address(4000), call.as_bytes()).await;
         assert_eq!(answer.status, 500);
     }
-    until("the other node passes it over as well", async || {
+    until("the other node backs it off as well", async || {
         let state = world.nodes[1].state().await;
         state["upstreams"][0]["resting"] == true
     })
@@ -163,12 +163,16 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_node_that_cannot_fetch_a_version_reads_it_from_the_store() {
     let world = World::start(&["east"], vec![good()]).await;
-    let nowhere = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let nothing = nowhere.local_addr().expect("an address");
-    drop(nowhere);
-    let told = Arc::new(AtomicU64::new(7));
-    tokio::spawn(pretend_reader(world.nodes[0].address(4010), nothing, told));
-    until("the other is taken for the reader", async || {
+    let closed_listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let closed_address = closed_listener.local_addr().expect("an address");
+    drop(closed_listener);
+    let advertised = Arc::new(AtomicU64::new(7));
+    tokio::spawn(simulate_reader(
+        world.nodes[0].address(4010),
+        closed_address,
+        advertised,
+    ));
+    until("the other node counts as the reader", async || {
         world.nodes[0].state().await["reader"] == false
     })
     .await;
@@ -189,9 +193,9 @@
     );
 }
 
-/// A datagram that is split on its way is lost with any of its parts; a list of 300 nodes is 20 kB.
+/// A datagram that is fragmented is lost with any of its fragments; a list of 300 nodes has 20 kB.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_node_that_starts_is_told_of_its_zone_in_datagrams_that_are_not_split() {
+async fn a_starting_node_receives_its_zones_nodes_in_unfragmented_datagrams() {
     const PEERS: u16 = 300;
     let world = World::start(&["east"], vec![good()]).await;
     let node = &world.nodes[0];
@@ -214,7 +218,7 @@
     let mut new = heartbeat("new", own);
     new.card.capacity = 10;
     socket.send_to(&encode(&new), peers).await.expect("sent");
-    let datagrams = heard(&socket).await;
+    let datagrams = receive_all(&socket).await;
     let named: BTreeSet<SocketAddr> = datagrams
         .iter()
         .filter_map(|bytes| ciborium::from_reader(&bytes[..]).ok())
--- a/daemon/tests/gateway/store.rs
+++ b/daemon/tests/gateway/store.rs
@@ -1,4 +1,4 @@
-//! What the store says and does: versions, departures, outages, garbage.
+//! The store's versions, departures, outages and malformed data.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
     })
     .await;
     let rejected = |line: &serde_json::Value| line["event"] == "configuration_rejected";
-    until("both rejections are written down", async || {
+    until("both rejections are recorded", async || {
         world.nodes[0]
             .lines()
             .iter()
@@ -46,7 +46,7 @@
     .await;
 }
 
-/// Names a case: how an upstream leaves; within two seconds it gets nothing new.
+/// Defines a case: how an upstream leaves. Within two seconds it gets no new calls.
 macro_rules! leaves {
     ($($name:ident: $leave:expr;)*) => {$(
         #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -67,12 +67,12 @@
 leaves! {
     an_upstream_that_drains_gets_nothing_new: |world| world.register(0, "draining");
     an_upstream_whose_entry_is_gone_gets_nothing_new: |world| world.deregister(0);
-    draining_sticks: |world| { world.register(0, "draining"); world.register(0, "ready"); };
+    an_upstream_that_drained_stays_out_of_use: |world| { world.register(0, "draining"); world.register(0, "ready"); };
     departures_behind_a_compaction_are_seen: |world| { world.deregister(0); world.store.compact("keyed.servers"); };
 }
 
-/// Names a case: calls go on through an outage, and what was accepted after it is in force within
-/// two seconds.
+/// Defines a case: calls are served during an outage, and a configuration that is accepted after it
+/// is in force within two seconds.
 macro_rules! outage {
     ($($name:ident: $mood:expr;)*) => {$(
         #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -127,7 +127,7 @@
     world.deregister(0);
     world.store.set_mood(StoreMood::Well);
     let gone = |line: &serde_json::Value| line["left"] == "lapsed";
-    until("it is given up", async || {
+    until("it is removed", async || {
         world.nodes[0].lines().iter().any(gone)
     })
     .await;
@@ -138,8 +138,8 @@
     assert_eq!(world.upstreams[0].calls().len(), before);
 }
 
-/// The upstream that the last call was meant for.
-fn meant_for(world: &World) -> String {
+/// Returns the id of the upstream that the last call was meant for.
+fn intended_upstream(world: &World) -> String {
     let calls = world.upstreams[0].calls();
     let last = calls.last().expect("a call");
     last.request.header("x-expect-instance").to_string()
@@ -149,18 +149,18 @@
 async fn an_address_that_another_upstream_took_gets_only_the_new_ones_calls() {
     let world = World::start(&["east"], vec![good()]).await;
     world.register_as(0, "i-9", "ready");
-    until("the old one is passed over", async || {
+    until("the old one gets no calls", async || {
         assert_eq!(status(&world, "/safe/x").await, 200);
-        meant_for(&world) == "i-9"
+        intended_upstream(&world) == "i-9"
     })
     .await;
     for _ in 0..10 {
         assert_eq!(status(&world, "/safe/x").await, 200);
-        assert_eq!(meant_for(&world), "i-9");
+        assert_eq!(intended_upstream(&world), "i-9");
     }
 }
 
-/// Names a case: an entry of another writer, under the id of a sound upstream or another.
+/// Defines a case: an entry of another writer, under the id of a working upstream or another id.
 macro_rules! foreign {
     ($($name:ident: $id:expr, $entry:expr;)*) => {$(
         #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -172,10 +172,10 @@
             sleep(Duration::from_millis(1500)).await;
             for _ in 0..5 {
                 assert_eq!(status(&world, "/safe/x").await, 200);
-                assert_eq!(meant_for(&world), "i-0");
+                assert_eq!(intended_upstream(&world), "i-0");
             }
             world.register(0, "draining");
-            until("what comes behind it is read", async || status(&world, "/safe/x").await == 503).await;
+            until("the next record is read", async || status(&world, "/safe/x").await == 503).await;
         }
     )*};
 }
--- a/daemon/tests/gateway/streams.rs
+++ b/daemon/tests/gateway/streams.rs
@@ -1,4 +1,5 @@
-//! Streams: whole events, in order, once, and going on elsewhere where that is allowed.
+//! Streams: complete events, in order, exactly once, and resumed at another upstream where that is
+//! allowed.
 
 use std::time::Duration;
 
@@ -35,7 +36,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_whole_stream_is_passed_on_byte_by_byte() {
+async fn a_complete_stream_is_forwarded_unchanged() {
     let streams = script(|request, _| {
         vec![
             Send(stream_head(request)),
@@ -53,7 +54,7 @@
     assert_eq!(answer.text(), all_events(1, 5));
 }
 
-/// Names a case: how the first run ends; the caller gets every event once.
+/// Defines a case: how the first run ends. The caller gets every event once.
 macro_rules! resumed {
     ($($name:ident: $end:expr;)*) => {$(
         #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -79,7 +80,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_stream_that_may_not_go_on_elsewhere_is_cut_at_an_event() {
+async fn a_stream_that_cannot_be_resumed_is_cut_at_an_event() {
     let world = World::start(&["east"], vec![breaks_off(Reset), breaks_off(Reset)]).await;
     let answer = world.send(&request("/stream/x", "a1", "")).await;
     assert_eq!(answer.status, 200);
@@ -89,7 +90,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_gap_between_two_runs_is_never_passed_on() {
+async fn a_gap_between_two_runs_is_never_forwarded() {
     let skips = script(|request, number| {
         let from = request.header("last-event-id").parse::<u64>().unwrap_or(0) + 1 + number as u64;
         let again = request.header("last-event-id").is_empty();
@@ -127,9 +128,9 @@
     );
 }
 
-/// A stream that falls silent after `events` events, and an upstream that goes on. Gives the answer
-/// and the calls that the second upstream had.
-async fn falls_silent(path: &str, silent_after: u64, dark: bool) -> (RawAnswer, usize) {
+/// Runs a stream that stops after `silent_after` events, with another upstream that can resume it.
+/// Returns the answer and the number of calls at the second upstream.
+async fn stop_midway(path: &str, silent_after: u64, dark: bool) -> (RawAnswer, usize) {
     let silent = script(move |request, _| {
         let mut steps = Vec::new();
         if silent_after > 0 {
@@ -179,7 +180,7 @@
     ($($name:ident: $path:expr, $events:expr, $dark:expr => $complete:expr, $elsewhere:expr;)*) => {$(
         #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
         async fn $name() {
-            let (answer, elsewhere) = falls_silent($path, $events, $dark).await;
+            let (answer, elsewhere) = stop_midway($path, $events, $dark).await;
             assert_eq!((answer.complete && answer.status == 200, elsewhere), ($complete, $elsewhere),
                 "{} {}", answer.head, answer.text());
             if $complete {
@@ -190,13 +191,14 @@
 }
 
 silent_streams! {
-    goes_on_elsewhere_when_its_host_is_dark: "/resume/x", 3, true => true, 1;
-    starts_elsewhere_when_its_host_is_dark: "/resume/x", 0, true => true, 1;
-    stays_when_its_host_still_accepts: "/resume/x", 3, false => false, 0;
-    stays_when_it_may_run_once: "/stream/x", 0, true => false, 0;
+    resumes_at_another_upstream_when_its_host_is_unreachable: "/resume/x", 3, true => true, 1;
+    starts_at_another_upstream_when_its_host_is_unreachable: "/resume/x", 0, true => true, 1;
+    stays_when_its_host_still_accepts_connections: "/resume/x", 3, false => false, 0;
+    stays_when_the_call_may_run_only_once: "/stream/x", 0, true => false, 0;
 }
 
-/// A request for a stream of engines, with its time left and its answer's expected tokens.
+/// Builds a request for an engine's stream, with its time left and the expected tokens of the
+/// answer.
 fn engine_request(id: &str, left_ms: u64, expected: u32) -> String {
     let more = format!("X-Token-Counts: 100,400\r\nX-Length-Hint: {expected}\r\n");
     request("/stream/x", id, &more)
@@ -224,7 +226,7 @@
         world.nodes[0].lines().iter().any(in_force)
     })
     .await;
-    // Callers have 3 s in all, so that one with 1 s left is late.
+    // Callers have 3 s in total, so a call with 1 s left is late.
     let fresh = world.send(&engine_request("a1", 3000, 100)).await;
     assert!(
         fresh.complete,
@@ -236,9 +238,9 @@
     assert_eq!(world.arrivals(), 1);
     let short = world.send(&engine_request("a3", 1000, 4)).await;
     assert!(short.complete && short.status == 200, "{}", short.head);
-    let said = |line: &serde_json::Value| line["event"] == "too_late" && line["call"] == "a2";
-    until("it is written down", async || {
-        world.nodes[0].lines().iter().any(said)
+    let recorded = |line: &serde_json::Value| line["event"] == "too_late" && line["call"] == "a2";
+    until("the rejection is recorded", async || {
+        world.nodes[0].lines().iter().any(recorded)
     })
     .await;
 }
--- a/daemon/tests/gateway/thin.rs
+++ b/daemon/tests/gateway/thin.rs
@@ -1,12 +1,9 @@
-//! Large configurations on hosts with thin links.
+//! Large configurations on hosts with slow links.
 //!
-//! Seen: 72 of 82 nodes went on with the version before, for more than 3 s after the operator had been
-//! told that 1,400 rules more were accepted. They were the hosts with links of 10 Mbit/s, and their
-//! links were full all the while. Of 830 kB, 500 ms let 625 kB through to a fetch and 800 ms at most
-//! 1 MB to a read of the store, less what both took from each other: the limits were on a whole answer,
-//! each try began anew, and none could end. What proved it: the lines of failed fetches say how many
-//! bytes came, 0.61 MB at most; strong hosts failed only when one change was of 1.56 MB; and as all
-//! that lagged read the store, it answered none, not even for registries of some kB.
+//! Guards against time limits on a whole transfer. Links of 10 Mbit/s carry at most 625 kB in the
+//! 500 ms of a fetch and 1 MB in the 800 ms of a read of the store. Every retry of 830 kB began
+//! anew, so 72 of 82 nodes kept the previous version for more than 3 s, and their reads overloaded
+//! the store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,22 +19,23 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep};
 
-use crate::heartbeats::{encode, heartbeat, pretend_reader, strong};
+use crate::heartbeats::{encode, heartbeat, simulate_reader, strong};
 use crate::world::{NodeProcess, World, configuration, good, until};
 
-/// The thinnest link of a host that is served.
+/// Bandwidth of the slowest link of a host that is supported, in Mbit/s.
 const MEGABITS: f64 = 10.0;
-/// Time in which an accepted version has to be in force on sites that have such hosts.
+/// Time within which an accepted version has to be in force on sites with such hosts.
 const IN_FORCE: Duration = Duration::from_secs(3);
-/// Time in which a node has to be back after all of them were lost.
+/// Time within which a node has to be ready again after all nodes were lost.
 const READY: Duration = Duration::from_secs(15);
-/// Time after which a read of the store that was kept waiting before has ended.
+/// Time after which a pending long-poll read of the store has ended.
 const LAST_POLL: Duration = Duration::from_secs(3);
-/// Bytes that a change may cost a node: 4 KB a second, of which 14,000 changes a day leave it 6.2 s.
+/// Bytes that a change may cost a node. At 4 KB a second, 14,000 changes a day leave 6.2 s for
+/// each.
 const CHANGE_BYTES: u64 = 24_700;
 
-/// A configuration with many rules more, some 200 bytes each, with names as an operator's tool draws
-/// them.
+/// Builds a configuration with many additional rules of some 200 bytes each, with names as an
+/// operator's tool generates them.
 fn large(version: u64, rules: u64) -> Value {
     let mut whole = configuration(version);
     let routes = whole["routes"].as_array_mut().expect("routes");
@@ -51,12 +49,13 @@
     whole
 }
 
-/// A strong node that reads the store, and one behind a thin link that hears of it.
+/// A node with a fast link that reads the store, and one behind a slow link that receives its
+/// heartbeats.
 struct ThinWorld {
     world: World,
     link: ThinLink,
     thin: NodeProcess,
-    told: Arc<AtomicU64>,
+    advertised: Arc<AtomicU64>,
 }
 
 impl ThinWorld {
@@ -64,24 +63,28 @@
         let world = World::start(&["east"], vec![good()]).await;
         let link = ThinLink::new(MEGABITS);
         world.publish(first);
-        let told = Arc::new(AtomicU64::new(1));
+        let advertised = Arc::new(AtomicU64::new(1));
         let store = link.relay(world.store.address()).await.expect("a port");
-        let thin = World::lonely_node(store);
+        let thin = World::start_alone(store);
         let source = link.relay(world.nodes[0].address(4010)).await;
         let source = source.expect("a port");
-        tokio::spawn(pretend_reader(thin.address(4010), source, told.clone()));
+        tokio::spawn(simulate_reader(
+            thin.address(4010),
+            source,
+            advertised.clone(),
+        ));
         let thin_world = Self {
             world,
             link,
             thin,
-            told,
+            advertised,
         };
-        thin_world.tell(first).await;
+        thin_world.advertise(first).await;
         thin_world
     }
 
-    /// Waits until the strong node has the version and lets its heartbeats say so.
-    async fn tell(&self, newest: &Value) {
+    /// Waits until the fast node has the version, and lets its simulated heartbeats advertise it.
+    async fn advertise(&self, newest: &Value) {
         let version = &newest["version"];
         let strong = &self.world.nodes[0];
         until("the strong node has it", async || {
@@ -89,14 +92,14 @@
         })
         .await;
         let version = version.as_u64().expect("a number");
-        self.told.store(version, Ordering::Relaxed);
+        self.advertised.store(version, Ordering::Relaxed);
     }
 
-    /// Time until the thin node has a version that is published now.
+    /// Publishes a version and returns the time until the slow node has it.
     async fn time_to_force(&self, newest: &Value) -> Duration {
         self.world.publish(newest);
         let accepted = Instant::now();
-        self.tell(newest).await;
+        self.advertise(newest).await;
         until("the thin node has it", async || {
             self.thin.state().await["version"] == newest["version"]
         })
@@ -124,7 +127,7 @@
     let world = World::start(&[], Vec::new()).await;
     let link = ThinLink::new(MEGABITS);
     let store = link.relay(world.store.address()).await.expect("a port");
-    let thin = World::lonely_node(store);
+    let thin = World::start_alone(store);
     thin.ready().await;
     world.store.set_mood(StoreMood::Busy);
     until("the node finds the store away", async || {
@@ -164,13 +167,13 @@
     assert!(carried < CHANGE_BYTES, "{carried} bytes");
 }
 
-/// Upstreams of a large fleet.
+/// Number of upstreams of a large fleet.
 const UPSTREAMS: u64 = 3_000;
-/// Nodes that start together and have one node to learn from.
+/// Number of nodes that start together and have one node to fetch from.
 const STARTING: usize = 24;
 
-/// Writes the entries of a large fleet, with ids as a platform draws them. Gives the digest of the registry
-/// that they make.
+/// Writes the entries of a large fleet, with ids as a platform generates them. Returns the digest
+/// of the resulting registry.
 fn register_many(world: &World) -> u64 {
     let mut registry = UpstreamRegistry::default();
     for index in 0..UPSTREAMS {
@@ -190,8 +193,9 @@
     registry.digest()
 }
 
-/// Says five times a second that a node has the configuration and a registry, and can be asked at `peers`.
-async fn pretend_source(to: SocketAddr, peers: SocketAddr, registry_digest: u64) {
+/// Sends five heartbeats a second of a node that has the configuration and a registry, and serves
+/// them at `peers`.
+async fn simulate_source(to: SocketAddr, peers: SocketAddr, registry_digest: u64) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     let heartbeat = NodeHeartbeat {
         version: 1,
@@ -205,9 +209,10 @@
     }
 }
 
-// Guards against nodes that start together, ask one for all upstreams, and each get them too slowly to wait.
+// Guards against nodes that start together, fetch all upstreams from one node, and each receive
+// them too slowly.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn nodes_that_start_together_learn_a_large_registry_from_one() {
+async fn nodes_that_start_together_fetch_a_large_registry_from_one() {
     let world = World::start(&["east"], Vec::new()).await;
     let digest = register_many(&world);
     until("the strong node knows them", async || {
@@ -220,11 +225,11 @@
     let source = source.expect("a port");
     let no_store = SocketAddr::new(source.ip(), 1);
     let nodes: Vec<NodeProcess> = (0..STARTING)
-        .map(|_| World::lonely_node(no_store))
+        .map(|_| World::start_alone(no_store))
         .collect();
     let started = Instant::now();
     for node in &nodes {
-        tokio::spawn(pretend_source(node.address(4010), source, digest));
+        tokio::spawn(simulate_source(node.address(4010), source, digest));
     }
     for node in &nodes {
         node.ready().await;
--- a/daemon/tests/gateway/upstreams.rs
+++ b/daemon/tests/gateway/upstreams.rs
@@ -1,4 +1,4 @@
-//! What upstreams do: refuse, fail, fall silent, talk garbage.
+//! Upstreams that refuse, fail, hang or send malformed answers.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::world::{World, answer_head, good, good_answer, request, script};
 
-fn say(text: &str) -> Vec<ScriptStep> {
+fn send_text(text: &str) -> Vec<ScriptStep> {
     vec![Send(text.as_bytes().to_vec())]
 }
 
@@ -22,8 +22,8 @@
     })
 }
 
-/// Names a case: what the only upstream does with a call of a path, and the status that the caller
-/// gets. No answer of it may look like the upstream's, and the call is sent once.
+/// Defines a case: how the only upstream answers a call of a path, and the status that the caller
+/// gets. The answer never looks like the upstream's, and the call is sent once.
 macro_rules! single {
     ($($name:ident: $path:literal, $steps:expr => $status:expr;)*) => {$(
         #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -41,16 +41,16 @@
 }
 
 single! {
-    full: "once", |_| say("HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n") => 503;
+    full: "once", |_| send_text("HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n") => 503;
     reset_after_the_call: "once", |_| vec![Reset] => 502;
     closed_after_the_call: "once", |_| vec![Close] => 502;
-    garbage: "once", |_| { let mut steps = say("these bytes are no answer\r\n\r\n"); steps.push(Close); steps } => 502;
+    garbage: "once", |_| { let mut steps = send_text("these bytes are no answer\r\n\r\n"); steps.push(Close); steps } => 502;
     cut_in_the_body: "once", |request| {
         let head = answer_head(request.header("x-attempt-id"), "Content-Length: 100\r\n\r\nhalf");
         vec![Send(head.into_bytes()), Close]
     } => 502;
     other_id: "once", |_| vec![Send(answer_head("other", "Content-Length: 2\r\n\r\nno").into_bytes())] => 502;
-    no_signature: "once", |request| say(&format!("HTTP/1.1 200 OK\r\nX-Attempt-Id: {}\r\nContent-Length: 2\r\n\r\nno", request.header("x-attempt-id"))) => 502;
+    no_signature: "once", |request| send_text(&format!("HTTP/1.1 200 OK\r\nX-Attempt-Id: {}\r\nContent-Length: 2\r\n\r\nno", request.header("x-attempt-id"))) => 502;
     encoded_body: "once", |request| {
         let head = answer_head(request.header("x-attempt-id"), "Content-Encoding: gzip\r\nContent-Length: 2\r\n\r\nno");
         vec![Send(head.into_bytes())]
@@ -75,8 +75,8 @@
     assert_eq!(world.arrivals(), 1);
 }
 
-/// Names a case: what the first upstream always does; a call that may be repeated gets its answer
-/// from the second.
+/// Defines a case: how the first upstream always answers. A call that may be repeated gets its
+/// answer from the second one.
 macro_rules! repeated {
     ($($name:ident: $steps:expr;)*) => {$(
         #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -96,10 +96,10 @@
 repeated! {
     repeated_after_a_reset: |_| vec![Reset];
     repeated_after_a_close: |_| vec![Close];
-    repeated_after_garbage: |_| { let mut steps = say("nonsense\r\n\r\n"); steps.push(Close); steps };
-    repeated_after_a_refusal: |_| say("HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n");
-    repeated_after_a_move: |_| say("HTTP/1.1 421 Misdirected Request\r\nX-Instance-Id: i-9\r\nContent-Length: 0\r\n\r\n");
-    repeated_after_a_failure: |request| say(&format!("HTTP/1.1 500 Internal Server Error\r\nX-Attempt-Id: {}\r\nContent-Length: 0\r\n\r\n", request.header("x-attempt-id")));
+    repeated_after_garbage: |_| { let mut steps = send_text("nonsense\r\n\r\n"); steps.push(Close); steps };
+    repeated_after_a_refusal: |_| send_text("HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n");
+    repeated_after_a_move: |_| send_text("HTTP/1.1 421 Misdirected Request\r\nX-Instance-Id: i-9\r\nContent-Length: 0\r\n\r\n");
+    repeated_after_a_failure: |request| send_text(&format!("HTTP/1.1 500 Internal Server Error\r\nX-Attempt-Id: {}\r\nContent-Length: 0\r\n\r\n", request.header("x-attempt-id")));
     repeated_after_a_cut_body: |request| {
         let head = answer_head(request.header("x-attempt-id"), "Content-Length: 100\r\n\r\nhalf");
         vec![Send(head.into_bytes()), Close]
@@ -128,9 +128,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_call_that_met_another_upstream_has_not_run() {
+async fn a_call_to_another_incarnation_has_not_run() {
     let moved = script(|_, _| {
-        say("HTTP/1.1 421 Misdirected Request\r\nX-Instance-Id: i-9\r\nContent-Length: 0\r\n\r\n")
+        send_text(
+            "HTTP/1.1 421 Misdirected Request\r\nX-Instance-Id: i-9\r\nContent-Length: 0\r\n\r\n",
+        )
     });
     let world = World::start(&["east"], vec![moved]).await;
     let answer = world.send(&request("/once/x", "a1", "")).await;
@@ -138,7 +140,11 @@
     assert!(answer.has("retry-after"));
     let again = world.send(&request("/once/x", "a2", "")).await;
     assert_eq!(again.status, 503);
-    assert_eq!(world.arrivals(), 1, "the id is not there any more");
+    assert_eq!(
+        world.arrivals(),
+        1,
+        "the old incarnation gets no second call"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/daemon/tests/gateway/world.rs
+++ b/daemon/tests/gateway/world.rs
@@ -1,5 +1,5 @@
-//! A store, scripted upstreams and nodes that run as processes, each on a loopback address of its
-//! own.
+//! A store, scripted upstreams and nodes that run as processes, each node on its own loopback
+//! address.
 
 use std::fs;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -17,10 +17,10 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Longest wait for a condition; far above what it takes.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for a condition, far longer than any test needs.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A loopback address (127.0.0.0/8) that no other test uses.
+/// Returns a loopback address (127.0.0.0/8) that no other test uses.
 fn own_host() -> IpAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [high, low] = (std::process::id() as u16).to_be_bytes();
@@ -38,7 +38,7 @@
 
 impl Drop for NodeProcess {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -73,12 +73,12 @@
         }
     }
 
-    /// The address of one of the node's ports.
+    /// Returns the address of one of the node's ports.
     pub fn address(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.host, port)
     }
 
-    /// Makes the settings file wrong.
+    /// Makes the settings file invalid.
     pub fn spoil_settings(&self) {
         fs::write(&self.settings, "name: [wrong]\n").expect("a settings file");
     }
@@ -92,7 +92,7 @@
         assert!(sent.expect("kill").success());
     }
 
-    /// Starts the process anew after it has ended.
+    /// Starts the process again after it has exited.
     pub fn restart(&mut self) {
         let output = fs::File::options()
             .append(true)
@@ -101,7 +101,7 @@
         self.child = spawn(&self.settings, output.into());
     }
 
-    /// The node's decision lines so far.
+    /// Returns the node's decision lines so far.
     pub fn lines(&self) -> Vec<Value> {
         let text = fs::read_to_string(&self.log).expect("the log file");
         text.lines()
@@ -119,7 +119,7 @@
         .await;
     }
 
-    /// The dump of the node's state.
+    /// Returns the dump of the node's state.
     pub async fn state(&self) -> Value {
         let answer = get(self.address(4003), "/state").await.expect("an answer");
         serde_json::from_slice(&answer.body).expect("JSON")
@@ -141,7 +141,7 @@
     pub store: KeyedStore,
     pub upstreams: Vec<ScriptedUpstream>,
     pub nodes: Vec<NodeProcess>,
-    /// Further settings of the nodes.
+    /// Additional settings of the nodes.
     pub settings: String,
 }
 
@@ -151,7 +151,7 @@
         Self::start_with(zones, scripts, "").await
     }
 
-    /// The same, with further settings of the nodes.
+    /// Starts nodes and upstreams as [`Self::start`] does, with additional settings of the nodes.
     pub async fn start_with(zones: &[&str], scripts: Vec<AnswerScript>, settings: &str) -> Self {
         let store = KeyedStore::start("127.0.0.1:0").await.expect("a store");
         let mut upstreams = Vec::new();
@@ -195,14 +195,14 @@
         self
     }
 
-    /// Starts a node with another store, which knows the nodes of this world.
-    pub fn turned_away(&self, store: SocketAddr) -> NodeProcess {
+    /// Starts a node with another store and the nodes of this world as seeds.
+    pub fn start_with_store(&self, store: SocketAddr) -> NodeProcess {
         let seeds: Vec<IpAddr> = self.nodes.iter().map(|node| node.host).collect();
         NodeProcess::start("turned-away", "east", store, &seeds, "")
     }
 
-    /// Starts a node with another store, which knows no other.
-    pub fn lonely_node(store: SocketAddr) -> NodeProcess {
+    /// Starts a node with another store and without seeds.
+    pub fn start_alone(store: SocketAddr) -> NodeProcess {
         NodeProcess::start("lonely", "east", store, &[], "")
     }
 
@@ -217,7 +217,7 @@
         self.register_as(index, &upstream_id(index), state);
     }
 
-    /// Writes an upstream's entry under another id, as after a new start.
+    /// Writes an upstream's entry under another id, as after a restart.
     pub fn register_as(&self, index: usize, id: &str, state: &str) {
         let address = self.upstreams[index].address();
         let entry = json!({ "service": "model", "address": address.to_string(), "zone": "east",
@@ -236,7 +236,8 @@
         send(self.nodes[0].address(4000), request.as_bytes()).await
     }
 
-    /// Requests that all upstreams saw, but for the question what they keep of prompts.
+    /// Counts the requests that all upstreams received, without those for their lists of cached
+    /// parts.
     pub fn arrivals(&self) -> usize {
         let requests = self.upstreams.iter().flat_map(ScriptedUpstream::calls);
         requests
@@ -245,12 +246,12 @@
     }
 }
 
-/// The id of an upstream.
+/// Returns the id of an upstream.
 pub fn upstream_id(index: usize) -> String {
     format!("i-{index}")
 }
 
-/// A configuration of one host with a route of each kind.
+/// Builds a configuration of one host with a route of each kind.
 pub fn configuration(version: u64) -> Value {
     let route = |prefix: &str, kind: &str, attempts: u32, resume: bool| {
         json!({ "name": prefix, "host": "calls.example", "pathPrefix": format!("/{prefix}/"),
@@ -274,7 +275,7 @@
     })
 }
 
-/// A request with a body; `more` are further header lines, each with its line end.
+/// Builds a request with a body; `more` holds additional header lines, each with its line end.
 pub fn request(path: &str, id: &str, more: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nHost: calls.example\r\nX-Attempt-Id: {id}\r\nX-Key: key-1\r\n\
@@ -282,12 +283,12 @@
     )
 }
 
-/// An answer's status line and headers, for a script.
+/// Builds the status line and headers of an answer, for a script.
 pub fn answer_head(id: &str, more: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Response-Seal: signed-{id}\r\n{more}")
 }
 
-/// A whole good answer.
+/// Builds a complete successful answer.
 pub fn good_answer(request: &RawRequest) -> Vec<u8> {
     let id = request.header("x-attempt-id");
     let body = format!("answer to {id}");
@@ -295,46 +296,46 @@
     answer_head(id, &length).into_bytes()
 }
 
-/// A chunk of a body.
+/// Encodes a chunk of a body.
 pub fn chunk(text: &str) -> Vec<u8> {
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
 
-/// The events of a stream from one id to another, both included, each as a chunk.
+/// Encodes the events of a stream from one id to another, both included, each as a chunk.
 pub fn events(first: u64, last: u64) -> Vec<u8> {
     (first..=last).flat_map(|id| chunk(&event(id))).collect()
 }
 
-/// One event.
+/// Encodes one event.
 pub fn event(id: u64) -> String {
     format!("id: {id}\ndata: piece {id}\n\n")
 }
 
-/// The head of a stream, with chunks to follow.
+/// Builds the head of a stream, with chunks to follow.
 pub fn stream_head(request: &RawRequest) -> Vec<u8> {
     let more = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
     answer_head(request.header("x-attempt-id"), more).into_bytes()
 }
 
-/// A script that gives the same steps each time.
+/// Makes a script that answers each request with the given steps.
 pub fn script(
     steps: impl Fn(&RawRequest, usize) -> Vec<ScriptStep> + Send + Sync + 'static,
 ) -> AnswerScript {
     Arc::new(steps)
 }
 
-/// A script that answers well.
+/// Makes a script that answers every request successfully.
 pub fn good() -> AnswerScript {
     script(|request, _| vec![ScriptStep::Send(good_answer(request))])
 }
 
-/// An answer as bytes.
+/// An answer as received.
 #[derive(Clone, Debug, Default)]
 pub struct RawAnswer {
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
-    /// Whether the body came whole by its own framing.
+    /// Whether the body was complete by its own framing.
     pub complete: bool,
 }
 
@@ -350,16 +351,16 @@
     }
 }
 
-/// Sends bytes on a connection of their own and reads one answer.
+/// Sends bytes on a new connection and reads one answer.
 pub async fn send(address: SocketAddr, bytes: &[u8]) -> RawAnswer {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     stream.write_all(bytes).await.expect("written");
-    timeout(PATIENCE, read_answer(&mut stream))
+    timeout(TIMEOUT, read_answer(&mut stream))
         .await
         .expect("an answer in time")
 }
 
-/// Asks with GET; none if there is no connection.
+/// Sends a GET request; `None` if there is no connection.
 pub async fn get(address: SocketAddr, path: &str) -> Option<RawAnswer> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     let text = format!("GET {path} HTTP/1.1\r\nHost: node\r\n\r\n");
@@ -369,15 +370,15 @@
 
 /// Reads one answer; an empty one if the connection ends before it.
 pub async fn read_answer(stream: &mut TcpStream) -> RawAnswer {
-    let mut held = Vec::new();
+    let mut buffer = Vec::new();
     let mut answer = RawAnswer::default();
     loop {
-        if let Some(end) = held.windows(4).position(|window| window == b"\r\n\r\n") {
-            let bytes: Vec<u8> = held.drain(..end + 4).collect();
+        if let Some(end) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
+            let bytes: Vec<u8> = buffer.drain(..end + 4).collect();
             answer.head = String::from_utf8_lossy(&bytes).into_owned();
             break;
         }
-        if stream.read_buf(&mut held).await.unwrap_or(0) == 0 {
+        if stream.read_buf(&mut buffer).await.unwrap_or(0) == 0 {
             return answer;
         }
     }
@@ -393,14 +394,14 @@
         .nth(1)
         .and_then(|rest| rest.lines().next());
     if let Some(length) = length.and_then(|text| text.trim().parse::<usize>().ok()) {
-        while held.len() < length && stream.read_buf(&mut held).await.unwrap_or(0) > 0 {}
-        answer.complete = held.len() >= length;
-        answer.body = held;
+        while buffer.len() < length && stream.read_buf(&mut buffer).await.unwrap_or(0) > 0 {}
+        answer.complete = buffer.len() >= length;
+        answer.body = buffer;
         return answer;
     }
-    while !held.ends_with(b"0\r\n\r\n") && stream.read_buf(&mut held).await.unwrap_or(0) > 0 {}
-    answer.complete = held.ends_with(b"0\r\n\r\n");
-    answer.body = unchunk(&held);
+    while !buffer.ends_with(b"0\r\n\r\n") && stream.read_buf(&mut buffer).await.unwrap_or(0) > 0 {}
+    answer.complete = buffer.ends_with(b"0\r\n\r\n");
+    answer.body = unchunk(&buffer);
     answer
 }
 
@@ -421,7 +422,7 @@
 
 /// Waits until a condition holds.
 pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let last = Instant::now() + PATIENCE;
+    let last = Instant::now() + TIMEOUT;
     while !holds().await {
         assert!(Instant::now() < last, "never: {what}");
         sleep(Duration::from_millis(20)).await;
--- a/daemon/tests/patch.rs
+++ b/daemon/tests/patch.rs
@@ -1,5 +1,5 @@
-//! Patches of configurations between nodes: whatever the texts and whatever was damaged, a node has
-//! either exactly its source's text or its own.
+//! Patches of configurations between nodes. Whatever the texts and whatever was damaged, a node
+//! ends up with either its source's text or its own.
 
 use bytes::Bytes;
 use monsoonbank_daemon::gateway::patch::{
@@ -7,7 +7,7 @@
 };
 use proptest::prelude::*;
 
-/// A text of many like parts, as configurations are.
+/// Builds a text of many similar parts, as in a configuration.
 fn text(parts: &[u16]) -> Vec<u8> {
     let part = |part: &u16| format!("{{\"name\":\"r-{part}\",\"priority\":2}},");
     parts
@@ -24,7 +24,7 @@
 
 proptest! {
     #[test]
-    fn a_patch_gives_the_text_that_it_was_made_of(
+    fn a_patch_produces_the_text_that_it_was_made_of(
         base in prop::collection::vec(any::<u16>(), 0..200),
         added in prop::collection::vec(any::<u16>(), 0..200),
         kept in 0_usize..200,
@@ -40,7 +40,7 @@
     }
 
     #[test]
-    fn a_damaged_patch_gives_nothing_else(at in any::<prop::sample::Index>(), by in 1_u8..) {
+    fn a_damaged_patch_produces_no_other_text(at in any::<prop::sample::Index>(), by in 1_u8..) {
         let base = text(&[1, 2, 3, 4]);
         let newest = text(&[1, 2, 9, 3, 4]);
         let mut bytes = encoded(&ConfigurationPatch::new(Some(&base), &newest).expect("a patch"));
@@ -77,44 +77,48 @@
     history
 }
 
-/// The base of the patch that a node with these texts gives, and what it makes of `base`.
-fn given(texts: &mut ConfigurationHistory, base: &[u8]) -> (Option<u64>, Bytes) {
+/// Returns the base of the patch that a node with these texts makes for `base`, and the text that
+/// the patch makes of `base`.
+fn apply_patch(texts: &mut ConfigurationHistory, base: &[u8]) -> (Option<u64>, Bytes) {
     let patch = texts.patch_from(Some(text_digest(base))).expect("made");
     let patch = patch.expect("a text");
     (patch.base(), patch.apply(Some(base)).expect("a text"))
 }
 
 #[test]
-fn a_node_without_a_text_gives_no_patch() {
+fn a_node_without_a_text_has_no_patch() {
     assert!(history(&[]).patch_from(None).expect("made").is_none());
 }
 
 #[test]
-fn texts_of_a_moment_ago_get_a_patch_and_others_the_whole() {
+fn recent_texts_get_a_patch_and_others_the_complete_text() {
     let mut texts = history(&[b"one", b"two", b"three", b"four"]);
     let newest = Bytes::from_static(b"four");
     let digest = |text| Some(text_digest(text));
     assert_eq!(
-        given(&mut texts, b"three"),
+        apply_patch(&mut texts, b"three"),
         (digest(b"three"), newest.clone())
     );
-    assert_eq!(given(&mut texts, b"two"), (digest(b"two"), newest.clone()));
-    assert_eq!(given(&mut texts, b"one"), (None, newest.clone()));
-    assert_eq!(given(&mut texts, b"never"), (None, newest));
+    assert_eq!(
+        apply_patch(&mut texts, b"two"),
+        (digest(b"two"), newest.clone())
+    );
+    assert_eq!(apply_patch(&mut texts, b"one"), (None, newest.clone()));
+    assert_eq!(apply_patch(&mut texts, b"never"), (None, newest));
 }
 
 #[test]
-fn a_patch_that_was_received_is_passed_on_until_the_next_text() {
+fn a_received_patch_is_served_until_the_next_text() {
     let base = b"a text that this node never had";
     let patch = ConfigurationPatch::new(Some(base), b"two").expect("a patch");
     let mut texts = history(&[b"one", b"two"]);
     texts.keep_patch(patch);
-    assert_eq!(given(&mut texts, base).0, Some(text_digest(base)));
+    assert_eq!(apply_patch(&mut texts, base).0, Some(text_digest(base)));
     texts.put(Bytes::from_static(b"three"));
-    assert_eq!(given(&mut texts, base).0, None);
+    assert_eq!(apply_patch(&mut texts, base).0, None);
 }
 
-/// A configuration's text as an operator's tool writes it, some 190 bytes a rule.
+/// Builds a configuration's text as an operator's tool writes it, some 190 bytes per rule.
 fn rules_text(version: u64, rules: u64) -> Vec<u8> {
     let rule = |index: u64| {
         let draw = |salt: u64| (index + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15 ^ salt) >> 16;
@@ -128,8 +132,8 @@
     text.to_string().into_bytes()
 }
 
-/// A frame of zstd's level 3 with tables of its own choice, for comparison.
-fn usual_frame(base: &[u8], text: &[u8]) -> usize {
+/// Returns the size of a frame of zstd's level 3 with its default tables, for comparison.
+fn default_frame_size(base: &[u8], text: &[u8]) -> usize {
     let mut encoder = zstd::stream::Encoder::with_ref_prefix(Vec::new(), 3, base).expect("made");
     encoder
         .set_pledged_src_size(Some(text.len() as u64))
@@ -140,7 +144,8 @@
     encoder.finish().expect("finished").len()
 }
 
-/// Bytes that a change may cost a node: 4 KB a second, of which 14,000 changes a day leave it 6.2 s.
+/// Bytes that a change may cost a node. At 4 KB a second, 14,000 changes a day leave 6.2 s for
+/// each.
 const CHANGE_BYTES: usize = 24_700;
 
 #[test]
@@ -153,7 +158,7 @@
             "{rules} rules and one more: {} bytes of text, patch {patch}, whole compressed {whole}, \
              level 3 with its own tables {}",
             newest.len(),
-            usual_frame(&base, &newest)
+            default_frame_size(&base, &newest)
         );
         assert!(patch < CHANGE_BYTES, "{patch} bytes");
     }
