--- a/daemon/src/gateway.rs
+++ b/daemon/src/gateway.rs
@@ -44,12 +44,12 @@
 use monsoonbank_kernel::gateway::budget::RetryBudget;
 use monsoonbank_kernel::gateway::crashes::CrashLedger;
 use monsoonbank_kernel::gateway::fleet::FleetView;
+use monsoonbank_kernel::gateway::gossip::GossipUrgency;
 use monsoonbank_kernel::gateway::heartbeat::NodeState;
 use monsoonbank_kernel::gateway::lag::VersionLag;
 use monsoonbank_kernel::gateway::pace::{StreamKind, StreamPace};
 use monsoonbank_kernel::gateway::registry::UpstreamRegistry;
 use monsoonbank_kernel::gateway::rules::RuleTable;
-use monsoonbank_kernel::gateway::spread::SpreadNews;
 use monsoonbank_kernel::gateway::transfers::TransferList;
 use monsoonbank_kernel::gateway::waiting::WaitList;
 use rand::SeedableRng;
@@ -125,7 +125,7 @@
     /// Makes the configuration reader drop its pending read and send a new one.
     pub configuration_notify: tokio::sync::Notify,
     /// Most urgent update that the next heartbeats have to carry.
-    pub news: Cell<SpreadNews>,
+    pub news: Cell<GossipUrgency>,
     /// Starts a round of heartbeats at once.
     pub heartbeat_notify: tokio::sync::Notify,
     /// Whether a fetch from another node is running.
@@ -169,7 +169,7 @@
     }
 
     /// Starts a round of heartbeats at once that propagates updates of this urgency or higher.
-    pub fn propagate(&self, news: SpreadNews) {
+    pub fn propagate(&self, news: GossipUrgency) {
         self.news.set(self.news.get().max(news));
         self.heartbeat_notify.notify_one();
     }
@@ -198,7 +198,7 @@
     /// Records that data of a running fetch has arrived.
     pub fn record_fetch_progress(&self) {
         let mut lag = self.lag.get();
-        lag.piece_came(self.now());
+        lag.fetch_progressed(self.now());
         self.lag.set(lag);
     }
 
@@ -369,7 +369,7 @@
     let since = gateway.now();
     gateway.leaving_since.set(Some(since));
     gateway.shutdown_notify.notify_waiters();
-    gateway.propagate(SpreadNews::All);
+    gateway.propagate(GossipUrgency::All);
     gateway.decisions.record(&Decision::Leaving {
         open_calls: gateway.open_calls.get(),
     });
--- a/daemon/src/gateway/duties.rs
+++ b/daemon/src/gateway/duties.rs
@@ -18,7 +18,7 @@
 use monsoonbank_platform::store::{KeyedRecord, StoreClient, StoreError};
 use rand_pcg::Pcg64Mcg;
 
-use crate::boot::BootClock;
+use crate::boot_clock::BootClock;
 use crate::gateway::Gateway;
 use crate::gateway::decisions::{Decision, millis};
 use crate::gateway::settings::{DutyName, DutySettings};
@@ -99,7 +99,7 @@
     pub fn observe_era(&self, era: u64, unix_now: Duration) {
         let window = self.ledger.borrow().window(unix_now) + 1;
         let now = self.clock.now();
-        self.lease.borrow_mut().see_era(era, window, now);
+        self.lease.borrow_mut().observe_era(era, window, now);
     }
 
     /// Returns whether the settings list this duty.
@@ -147,7 +147,7 @@
             return Some(HolderNotice {
                 token,
                 peers: gateway.settings.peer_address(),
-                deputy: gateway.fleet.borrow().duty_deputy(now),
+                successor: gateway.fleet.borrow().duty_successor(now),
                 age_ms: 0,
                 renewal: self.lease.borrow().newest().unwrap_or(0),
                 written: self.reports.borrow().written_through(),
@@ -261,7 +261,7 @@
     fn is_claimant(&self, duties: &DutyState) -> bool {
         let now = self.gateway.now();
         let fleet = self.gateway.fleet.borrow();
-        duties.silence(now) >= fleet.claim_patience(HOLDER_TIMEOUT, now)
+        duties.silence(now) >= fleet.claim_delay(HOLDER_TIMEOUT, now)
     }
 
     /// Records when this node begins and ceases to hold the lease.
@@ -299,7 +299,7 @@
         duties
             .lease
             .borrow_mut()
-            .see_topic(&topic, now, &mut duties.random.borrow_mut());
+            .observe_topic(&topic, now, &mut duties.random.borrow_mut());
         let mut reports = duties.reports.borrow_mut();
         let ledger = duties.ledger.borrow();
         let unix_now = self.gateway.unix_now();
@@ -351,7 +351,7 @@
                 duties.lease.borrow_mut().refused();
             }
             Err(error) => {
-                duties.lease.borrow_mut().read_again();
+                duties.lease.borrow_mut().require_read();
                 self.failed(&error).await;
             }
         }
--- a/daemon/src/gateway/fetch.rs
+++ b/daemon/src/gateway/fetch.rs
@@ -69,7 +69,7 @@
 /// heartbeat triggers another.
 pub fn catch_up(gateway: &Rc<Gateway>, heartbeat: &NodeHeartbeat) {
     let mut lag = gateway.lag.get();
-    lag.told(heartbeat.version, gateway.now());
+    lag.advertised(heartbeat.version, gateway.now());
     gateway.lag.set(lag);
     if !missing_parts(gateway, heartbeat).any() || gateway.fetching.replace(true) {
         return;
@@ -111,7 +111,7 @@
     let reads_store = gateway.is_reader() && !gateway.store_suspect();
     let differs = heartbeat.registry_digest != gateway.registry.borrow().digest();
     let unknown = !gateway.store_health.get().registry_loaded && heartbeat.registry_digest != 0;
-    let trusted = heartbeat.store_well && accepts_entries_of(gateway, heartbeat);
+    let trusted = heartbeat.store_reachable && accepts_entries_of(gateway, heartbeat);
     let crash_digest = gateway.crashes.borrow().digest();
     MissingParts {
         crashes: heartbeat.crash_digest != 0 && heartbeat.crash_digest != crash_digest,
@@ -130,7 +130,7 @@
     }
     let fleet = gateway.fleet.borrow();
     let mut live = fleet.live(gateway.now()).map(|peer| &peer.heartbeat);
-    !live.any(|near| near.card.zone == *zone && near.store_well)
+    !live.any(|near| near.card.zone == *zone && near.store_reachable)
 }
 
 /// Selects one of the nodes that have the state that `heartbeat` advertises, of this availability
--- a/daemon/src/gateway/limits.rs
+++ b/daemon/src/gateway/limits.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use monsoonbank_kernel::gateway::fleet::SharedLimit;
+use monsoonbank_kernel::gateway::gossip::GossipUrgency;
 use monsoonbank_kernel::gateway::registry::{Upstream, UpstreamKey, UpstreamRegistry};
-use monsoonbank_kernel::gateway::spread::SpreadNews;
-use monsoonbank_kernel::gateway::throttle::{LimitReport, NamedLimit};
+use monsoonbank_kernel::gateway::throttle::{AdvertisedLimit, LimitReport};
 
 use crate::gateway::Gateway;
 use crate::gateway::decisions::Decision;
@@ -20,7 +20,7 @@
 /// Records the limit in an upstream's answer, in requests per second; `None` means that the
 /// upstream announces no limit.
 pub fn record_limit(gateway: &Gateway, key: UpstreamKey, per_second: Option<f64>) {
-    let named = NamedLimit {
+    let named = AdvertisedLimit {
         per_second,
         at: gateway.now(),
     };
@@ -32,7 +32,7 @@
     for report in reports {
         let key = gateway.registry.borrow().by_hash(report.run);
         if let Some(key) = key {
-            observe(gateway, key, report.named(gateway.now()), source);
+            observe(gateway, key, report.advertised(gateway.now()), source);
         }
     }
 }
@@ -78,7 +78,7 @@
     upstream.throttle.set_share(share, now);
 }
 
-fn observe(gateway: &Gateway, key: UpstreamKey, named: NamedLimit, source: &str) {
+fn observe(gateway: &Gateway, key: UpstreamKey, named: AdvertisedLimit, source: &str) {
     let now = gateway.now();
     let mut registry = gateway.registry.borrow_mut();
     let Some(upstream) = registry.get_mut(key) else {
@@ -93,6 +93,6 @@
         source,
     });
     drop(registry);
-    gateway.propagate(SpreadNews::All);
+    gateway.propagate(GossipUrgency::All);
     set_share(gateway, key, now);
 }
--- a/daemon/src/gateway/notices.rs
+++ b/daemon/src/gateway/notices.rs
@@ -24,7 +24,10 @@
 pub fn apply(gateway: &Gateway, key: UpstreamKey, notices: UpstreamNotices) {
     if notices.leaving {
         gateway.metrics.count_notice("leaving");
-        let is_new = gateway.registry.borrow_mut().announced(key, gateway.now());
+        let is_new = gateway
+            .registry
+            .borrow_mut()
+            .record_announcement(key, gateway.now());
         if is_new {
             sync::upstream_changed(gateway, key);
         }
@@ -40,7 +43,7 @@
     let Some(upstream) = registry.get_mut(key) else {
         return;
     };
-    upstream.pause.ask(pause, gateway.now());
+    upstream.pause.extend(pause, gateway.now());
     gateway.decisions.record(&Decision::PauseAsked {
         upstream: &upstream.entry.id,
         pause_ms: millis(pause),
--- a/daemon/src/gateway/peers.rs
+++ b/daemon/src/gateway/peers.rs
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use monsoonbank_kernel::gateway::heartbeat::{NodeCard, NodeHeartbeat, NodeState, WorkReport};
-use monsoonbank_kernel::gateway::spread::{
-    self, AnswerNeed, HeartbeatSpread, SeedChoice, SpreadNews, SpreadRound,
+use monsoonbank_kernel::gateway::gossip::{
+    self, GossipRound, GossipSchedule, GossipUrgency, ReplyReason, SeedChoice,
 };
+use monsoonbank_kernel::gateway::heartbeat::{NodeCard, NodeHeartbeat, NodeState, WorkReport};
 use tokio::net::UdpSocket;
 
 use crate::error::NodeError;
@@ -75,12 +75,12 @@
         .map(|(_, upstream)| WorkReport {
             run: upstream.entry.run_hash(),
             count: upstream.load.own(),
-            taken_tokens: upstream.load.cache.own_taken(),
+            taken_tokens: upstream.load.cache.own_tokens(),
         })
         .collect();
     let failing = registry
         .iter()
-        .filter(|(_, upstream)| upstream.health.warns(now))
+        .filter(|(_, upstream)| upstream.health.reports_failing(now))
         .map(|(_, upstream)| upstream.entry.run_hash())
         .collect();
     gateway.fleet.borrow_mut().set_state(gateway.state());
@@ -90,10 +90,10 @@
     let mut crashes = gateway.crashes.borrow_mut();
     let mut heartbeat = NodeHeartbeat {
         version: gateway.version(),
-        store_well: gateway.store_health.get().registry_loaded && !gateway.store_suspect(),
+        store_reachable: gateway.store_health.get().registry_loaded && !gateway.store_suspect(),
         store_age_ms: answered_at.map(|at| millis(now.saturating_sub(at))),
         registry_digest: registry.digest(),
-        seeking: spread::is_seeking(&fleet, now),
+        seeking: gossip::is_seeking(&fleet, now),
         fleet_size: fleet.size(now),
         zone_size: if fleet.is_hub(now) {
             fleet.zone_size(now)
@@ -104,7 +104,7 @@
         failing,
         departures: registry.departures(now),
         limits: limits::recent_reports(&registry, now),
-        crashes: crashes.news(now),
+        crashes: crashes.recent_reports(now),
         crash_digest: crashes.digest(),
         unix_ms: duties.map_or(0, |_| millis(host_time())),
         holder: duties.and_then(|duties| duties.notice(gateway)),
@@ -138,7 +138,7 @@
     socket: Rc<UdpSocket>,
     seeds: BTreeSet<SocketAddr>,
     seed_turn: usize,
-    spread: HeartbeatSpread,
+    spread: GossipSchedule,
     /// Prompt parts that have not been sent to nodes of other availability zones.
     far_parts: BTreeSet<(u32, u64, u64)>,
     /// Time at which usage counts were last sent.
@@ -153,7 +153,7 @@
             socket,
             seeds,
             seed_turn: 0,
-            spread: HeartbeatSpread::default(),
+            spread: GossipSchedule::default(),
             far_parts: BTreeSet::new(),
             usage_at: Duration::ZERO,
             usage: UsageSender::default(),
@@ -181,13 +181,13 @@
     async fn round(&mut self) {
         let gateway = self.gateway.clone();
         let now = gateway.now();
-        gateway.fleet.borrow_mut().forget(now);
+        gateway.fleet.borrow_mut().expire(now);
         gateway.compare_clocks();
         limits::update_shares(&gateway);
         let mut own = own_heartbeat(&gateway);
-        let round = SpreadRound {
+        let round = GossipRound {
             busy: gateway.open_calls.get() > 0,
-            news: gateway.news.take(),
+            urgency: gateway.news.take(),
             now,
         };
         let plan = self
@@ -247,7 +247,7 @@
     let gateway = sender.gateway.clone();
     loop {
         let busy = gateway.open_calls.get() > 0;
-        let tick = spread::tick(&gateway.fleet.borrow(), busy, gateway.now());
+        let tick = gossip::tick(&gateway.fleet.borrow(), busy, gateway.now());
         gateway.decisions.flush();
         sender.round().await;
         // A round begins when the interval has passed or when it is requested.
@@ -294,10 +294,10 @@
     fetch::catch_up(gateway, &heartbeat);
     gateway.capacity_notify.notify_waiters();
     let card = heartbeat.card.clone();
-    let (seeking, answers) = (heartbeat.seeking, heartbeat.answers);
-    let news = gateway.fleet.borrow_mut().heard(heartbeat, now);
+    let (seeking, answers) = (heartbeat.seeking, heartbeat.is_reply);
+    let news = gateway.fleet.borrow_mut().receive_heartbeat(heartbeat, now);
     if news.left && gateway.is_hub() {
-        gateway.propagate(SpreadNews::All);
+        gateway.propagate(GossipUrgency::All);
     }
     if news.fresh {
         gateway.heartbeat_notify.notify_one();
@@ -309,14 +309,14 @@
     if answers {
         return;
     }
-    let need = AnswerNeed {
+    let need = ReplyReason {
         fresh: news.fresh,
         seeking,
     };
-    let lists = spread::answer(&gateway.fleet.borrow(), &card, need, now);
+    let lists = gossip::reply(&gateway.fleet.borrow(), &card, need, now);
     for cards in lists {
         let answer = NodeHeartbeat {
-            answers: true,
+            is_reply: true,
             cards,
             work: None,
             ..own_heartbeat(gateway)
@@ -327,13 +327,13 @@
 
 fn merge_departures(gateway: &Gateway, heartbeat: &NodeHeartbeat, now: Duration) {
     for hash in &heartbeat.departures {
-        let departed = gateway.registry.borrow_mut().departed(*hash, now);
+        let departed = gateway.registry.borrow_mut().receive_departure(*hash, now);
         let Some(key) = departed else {
             continue;
         };
         sync::upstream_changed(gateway, key);
         if gateway.is_hub() {
-            gateway.propagate(SpreadNews::All);
+            gateway.propagate(GossipUrgency::All);
         }
     }
 }
@@ -344,20 +344,20 @@
     for work in heartbeat.work.iter().flatten() {
         let key = registry.by_hash(work.run);
         if let Some(upstream) = key.and_then(|key| registry.get_mut(key)) {
-            upstream.load.heard(node, work.count, now);
-            upstream.load.cache.heard(node, work.taken_tokens);
+            upstream.load.receive_report(node, work.count, now);
+            upstream.load.cache.receive_total(node, work.taken_tokens);
         }
     }
     for hash in &heartbeat.failing {
         let key = registry.by_hash(*hash);
         if let Some(upstream) = key.and_then(|key| registry.get_mut(key)) {
-            upstream.health.warned(now);
+            upstream.health.reported_failing(now);
         }
     }
     for (part, hash) in &heartbeat.parts {
         let key = registry.by_hash(*hash);
         if let Some(upstream) = key.and_then(|key| registry.get_mut(key)) {
-            upstream.load.part_used(*part, now);
+            upstream.load.record_part_sent(*part, now);
         }
     }
 }
--- a/daemon/src/gateway/quarantine.rs
+++ b/daemon/src/gateway/quarantine.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use monsoonbank_kernel::gateway::content::ContentDigest;
-use monsoonbank_kernel::gateway::crashes::{ContentVerdict, CrashNews, CrashReport};
-use monsoonbank_kernel::gateway::spread::SpreadNews;
+use monsoonbank_kernel::gateway::crashes::{ContentDecision, CrashChange, CrashReport};
+use monsoonbank_kernel::gateway::gossip::GossipUrgency;
 use monsoonbank_platform::names;
 use monsoonbank_platform::store::{KeyedRecord, StoreClient, StoreError};
 use serde::{Deserialize, Serialize};
@@ -44,8 +44,8 @@
 /// If the call's content is quarantined.
 pub fn check(gateway: &Gateway, call: &Call) -> Result<(), QuarantineError> {
     match verdict(gateway, call) {
-        ContentVerdict::Clear | ContentVerdict::Trial => Ok(()),
-        ContentVerdict::Quarantined { pause } => Err(refuse(gateway, call, pause)),
+        ContentDecision::Admitted | ContentDecision::Trial => Ok(()),
+        ContentDecision::Quarantined { pause } => Err(refuse(gateway, call, pause)),
     }
 }
 
@@ -57,21 +57,26 @@
 /// If the call's content is quarantined.
 pub fn begin_send(gateway: &Gateway, call: &Call) -> Result<(), QuarantineError> {
     match verdict(gateway, call) {
-        ContentVerdict::Clear => Ok(()),
-        ContentVerdict::Trial => {
+        ContentDecision::Admitted => Ok(()),
+        ContentDecision::Trial => {
             let now = gateway.now();
             gateway.crashes.borrow_mut().begin_trial(call.content, now);
-            gateway.propagate(SpreadNews::All);
+            gateway.propagate(GossipUrgency::All);
             Ok(())
         }
-        ContentVerdict::Quarantined { pause } => Err(refuse(gateway, call, pause)),
+        ContentDecision::Quarantined { pause } => Err(refuse(gateway, call, pause)),
     }
 }
 
-fn verdict(gateway: &Gateway, call: &Call) -> ContentVerdict {
+fn verdict(gateway: &Gateway, call: &Call) -> ContentDecision {
     let now = gateway.now();
-    let may_try = || gateway.fleet.borrow().is_drawn(call.content.into(), now);
-    gateway.crashes.borrow().verdict(call.content, may_try, now)
+    let may_try = || {
+        gateway
+            .fleet
+            .borrow()
+            .is_selected_hub(call.content.into(), now)
+    };
+    gateway.crashes.borrow().decide(call.content, may_try, now)
 }
 
 fn refuse(gateway: &Gateway, call: &Call, pause: Duration) -> QuarantineError {
@@ -89,8 +94,11 @@
 /// upstream's run.
 pub fn record_crash(gateway: &Gateway, call: &Call, upstream: &str, run: u64) {
     let now = gateway.now();
-    let news = gateway.crashes.borrow_mut().crashed(call.content, run, now);
-    if news == CrashNews::Known {
+    let news = gateway
+        .crashes
+        .borrow_mut()
+        .record_crash(call.content, run, now);
+    if news == CrashChange::Unchanged {
         return;
     }
     gateway.decisions.record(&Decision::UpstreamBroke {
@@ -99,16 +107,20 @@
         upstream,
         crashes: gateway.crashes.borrow().crashes(call.content),
     });
-    gateway.propagate(SpreadNews::Calls);
+    gateway.propagate(GossipUrgency::Calls);
     record_change(gateway, call.content, news, OWN_SOURCE);
 }
 
 /// Records a successful answer, which may end the quarantine of the call's content.
 pub fn record_success(gateway: &Gateway, call: &Call) {
     let now = gateway.now();
-    if gateway.crashes.borrow_mut().answered(call.content, now) {
-        gateway.propagate(SpreadNews::All);
-        record_change(gateway, call.content, CrashNews::Cleared, OWN_SOURCE);
+    if gateway
+        .crashes
+        .borrow_mut()
+        .record_answer(call.content, now)
+    {
+        gateway.propagate(GossipUrgency::All);
+        record_change(gateway, call.content, CrashChange::Cleared, OWN_SOURCE);
     }
 }
 
@@ -122,11 +134,11 @@
 }
 
 /// Records a change of a quarantine, and propagates it at once.
-fn record_change(gateway: &Gateway, content: ContentDigest, news: CrashNews, source: &str) {
+fn record_change(gateway: &Gateway, content: ContentDigest, news: CrashChange, source: &str) {
     let is_quarantined = match news {
-        CrashNews::Known | CrashNews::Noted => return,
-        CrashNews::Quarantined => true,
-        CrashNews::Cleared => false,
+        CrashChange::Unchanged | CrashChange::Updated => return,
+        CrashChange::Quarantined => true,
+        CrashChange::Cleared => false,
     };
     let ledger = gateway.crashes.borrow();
     gateway
@@ -139,7 +151,7 @@
         crashes: ledger.crashes(content),
         source,
     });
-    gateway.propagate(SpreadNews::All);
+    gateway.propagate(GossipUrgency::All);
 }
 
 /// Starts to read and store quarantined contents.
@@ -155,7 +167,7 @@
 async fn run_keeper(mut keeper: QuarantineKeeper) {
     let gateway = keeper.gateway.clone();
     while gateway.leaving_since.get().is_none() {
-        gateway.crashes.borrow_mut().forget(gateway.now());
+        gateway.crashes.borrow_mut().expire(gateway.now());
         if gateway.is_reader()
             && let Err(error) = keeper.step().await
         {
@@ -196,7 +208,7 @@
         };
         let known = self.known.insert(known);
         let now = self.gateway.now();
-        let settled = self.gateway.crashes.borrow().settled(now);
+        let settled = self.gateway.crashes.borrow().decided_reports(now);
         let is_new = |report: &&CrashReport| {
             known.digests.get(&report.content) != Some(&state_digest(report))
         };
--- a/daemon/src/gateway/relay.rs
+++ b/daemon/src/gateway/relay.rs
@@ -11,12 +11,12 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use monsoonbank_kernel::gateway::choice::{self, ChoiceInput, UpstreamChoice};
-use monsoonbank_kernel::gateway::gate::{self, GateError};
+use monsoonbank_kernel::gateway::eligibility::{self, EligibilityError};
+use monsoonbank_kernel::gateway::gossip::GossipUrgency;
 use monsoonbank_kernel::gateway::heartbeat;
 use monsoonbank_kernel::gateway::outcome::{self, AttemptEnd, CallHistory, NextStep};
 use monsoonbank_kernel::gateway::registry::UpstreamKey;
 use monsoonbank_kernel::gateway::rules::{AnswerForm, CallSafety};
-use monsoonbank_kernel::gateway::spread::SpreadNews;
 use monsoonbank_platform::answer::{self, AnswerKind};
 use monsoonbank_platform::head::{self, RoutingHeaders};
 use thiserror::Error;
@@ -70,7 +70,7 @@
 enum WithheldError {
     /// The upstream does not accept calls.
     #[error("{0}")]
-    Upstream(#[from] GateError),
+    Upstream(#[from] EligibilityError),
     /// The call's content is quarantined.
     #[error("{0}")]
     Content(#[from] QuarantineError),
@@ -192,14 +192,14 @@
 
 /// Returns the upstream for a call; `None` if none has capacity.
 pub fn choose(gateway: &Gateway, call: &Call, progress: &CallProgress) -> Option<UpstreamChoice> {
-    let rivals = gateway.fleet.borrow().rivals();
-    let silent = gateway.fleet.borrow().silent_rivals(gateway.now());
+    let rivals = gateway.fleet.borrow().sender_hashes();
+    let silent = gateway.fleet.borrow().silent_senders(gateway.now());
     let input = ChoiceInput {
         pool: &call.pool,
         zone: &gateway.settings.zone,
         node: heartbeat::node_hash(&gateway.settings.name),
-        rivals: &rivals,
-        silent,
+        senders: &rivals,
+        silent_senders: silent,
         prompt: &call.head.prompt,
         target: call.class.target,
         tier: call.tier,
@@ -235,7 +235,7 @@
     );
     let mut registry = gateway.registry.borrow_mut();
     if failed.end == AttemptEnd::Moved {
-        registry.replaced(key);
+        registry.record_replacement(key);
         gateway.registry_notify.notify_waiters();
     }
     let Some(upstream) = registry.get_mut(key) else {
@@ -244,7 +244,7 @@
     let backed_off = match failed.end {
         AttemptEnd::Unreachable => upstream.health.unreachable(now),
         AttemptEnd::NotSent | AttemptEnd::Lost if now < call.deadline => {
-            upstream.health.silent(now)
+            upstream.health.unanswered(now)
         }
         AttemptEnd::Failed | AttemptEnd::Refused => upstream.health.failed(now),
         AttemptEnd::NotSent | AttemptEnd::Lost | AttemptEnd::Withheld | AttemptEnd::Moved => false,
@@ -263,12 +263,12 @@
         reason: &failed.reason,
     });
     if backed_off {
-        gateway.propagate(SpreadNews::Calls);
+        gateway.propagate(GossipUrgency::Calls);
         gateway.decisions.record(&Decision::UpstreamRests {
             upstream: &upstream.entry.id,
-            failures: upstream.health.failures(),
-            told: upstream.health.warns(now),
-            rest_ms: millis(upstream.health.rest_left(now)),
+            failures: upstream.health.failure_share(),
+            told: upstream.health.reports_failing(now),
+            rest_ms: millis(upstream.health.backoff_left(now)),
         });
     }
     next == NextStep::Retry
@@ -311,7 +311,7 @@
     budgets
         .entry(call.pool.clone())
         .or_default()
-        .try_repeat(now, &spec, nodes)
+        .try_retry(now, &spec, nodes)
 }
 
 async fn attempt(
@@ -324,7 +324,7 @@
     let not_sent = |reason: &dyn std::fmt::Display| FailedAttempt::new(AttemptEnd::NotSent, reason);
     let (id, address) = {
         let registry = gateway.registry.borrow();
-        let upstream = gate::check(&registry, choice.key, gateway.now())
+        let upstream = eligibility::check(&registry, choice.key, gateway.now())
             .map_err(|error| FailedAttempt::withheld(error.into()))?;
         (upstream.entry.id.clone(), upstream.entry.address)
     };
@@ -359,10 +359,10 @@
         upstream: &id,
         attempt: progress.history.sends,
         cost: choice.cost as i64,
-        unread: choice.unread_tokens,
+        unread: choice.prefill_tokens,
         shared: call.head.prompt.shared_tokens(),
         known: choice.known_tokens,
-        kept: choice.kept_tokens,
+        kept: choice.cached_tokens,
         fetches: choice.fetch_from.is_some(),
         left_ms: millis(time_left),
     });
@@ -394,7 +394,7 @@
 
 /// Last check before a call is sent, which covers what became known since its upstream was chosen.
 fn check_again(gateway: &Gateway, call: &Call, key: UpstreamKey) -> Result<(), WithheldError> {
-    gate::check(&gateway.registry.borrow(), key, gateway.now())?;
+    eligibility::check(&gateway.registry.borrow(), key, gateway.now())?;
     quarantine::begin_send(gateway, call)?;
     Ok(())
 }
@@ -414,7 +414,7 @@
 /// upstream does not accept calls.
 fn address_of(gateway: &Gateway, key: UpstreamKey) -> Option<SocketAddr> {
     let registry = gateway.registry.borrow();
-    let upstream = gate::check(&registry, key, gateway.now()).ok()?;
+    let upstream = eligibility::check(&registry, key, gateway.now()).ok()?;
     Some(upstream.entry.address)
 }
 
@@ -500,7 +500,7 @@
 /// Returns the `Retry-After` for a call that no upstream of its pool accepted.
 fn pool_retry_after(gateway: &Gateway, call: &Call) -> Duration {
     let registry = gateway.registry.borrow();
-    let Some(left) = gate::opens_in(&registry, &call.pool, &[], gateway.now()) else {
+    let Some(left) = eligibility::eligible_in(&registry, &call.pool, &[], gateway.now()) else {
         return BUSY_RETRY_AFTER;
     };
     left.clamp(BUSY_RETRY_AFTER, MAX_RETRY_AFTER) + RANK_RETRY_AFTER * u32::from(call.tier)
--- a/daemon/src/gateway/scaling.rs
+++ b/daemon/src/gateway/scaling.rs
@@ -55,7 +55,7 @@
             if &*upstream.entry.pool == pool {
                 load.calls += upstream.load.total(now).calls;
                 load.slots = load.slots.max(upstream.entry.slots);
-                taken += upstream.load.cache.taken();
+                taken += upstream.load.cache.total_tokens();
             }
         }
         load.tokens_per_s = taken.saturating_sub(self.taken) as f64 / passed.as_secs_f64();
@@ -89,13 +89,13 @@
                 (scaling, LoadMeter::default())
             });
             if let Some(load) = meter.measure(&gateway, &pool.name) {
-                scaling.measured(load, gateway.now());
+                scaling.record_load(load, gateway.now());
                 let total = scaling.needed(gateway.now());
                 duties.lease.borrow_mut().decide_engines(&pool.name, total);
                 let engines = zone_engines(&gateway, &pool.name);
                 gateway.decisions.record(&Decision::PoolBusy {
                     pool: &pool.name,
-                    engines: engines.values().map(|engines| engines.all()).sum(),
+                    engines: engines.values().map(|engines| engines.total()).sum(),
                     calls: load.calls,
                     tokens_per_s: load.tokens_per_s as u64,
                 });
@@ -142,7 +142,7 @@
     let present = zones.get(&order.zone).copied().unwrap_or_default();
     if outcome == OrderOutcome::Unavailable {
         // The platform also answers with this status if another holder has a newer token.
-        duties.lease.borrow_mut().read_again();
+        duties.lease.borrow_mut().require_read();
     }
     record_order(
         gateway,
@@ -152,7 +152,7 @@
         credentials.token,
         given.err(),
     );
-    scaling.ordered(order, outcome, gateway.now());
+    scaling.record_order(order, outcome, gateway.now());
 }
 
 fn record_order(
@@ -169,7 +169,7 @@
         zone: &order.zone,
         kind: &order.kind.to_string(),
         desired: order.desired,
-        present: present.all(),
+        present: present.total(),
         token,
         outcome: if reason.is_some() {
             "failed"
--- a/daemon/src/gateway/sync.rs
+++ b/daemon/src/gateway/sync.rs
@@ -6,8 +6,8 @@
 
 use bytes::Bytes;
 use monsoonbank_kernel::clock::Clock;
+use monsoonbank_kernel::gateway::gossip::GossipUrgency;
 use monsoonbank_kernel::gateway::registry::{RegistryChange, UpstreamKey};
-use monsoonbank_kernel::gateway::spread::SpreadNews;
 use monsoonbank_platform::store::{KeyedRecord, StoreClient, StoreError};
 use monsoonbank_platform::{configuration, entry, names};
 use rand::{RngExt, SeedableRng};
@@ -323,7 +323,7 @@
     *gateway.table.borrow_mut() = Some(Rc::new(rules));
     gateway.texts.borrow_mut().put(bytes.clone());
     if source == STORE_SOURCE || gateway.is_hub() {
-        gateway.propagate(SpreadNews::All);
+        gateway.propagate(GossipUrgency::All);
     }
 }
 
@@ -431,7 +431,7 @@
         upstreams.extend(keys);
     }
     if !upstreams.is_empty() && gateway.is_reader() {
-        gateway.propagate(SpreadNews::All);
+        gateway.propagate(GossipUrgency::All);
     }
     for key in upstreams {
         upstream_changed(gateway, key);
@@ -470,7 +470,7 @@
         let gone = gateway
             .registry
             .borrow_mut()
-            .settle(health.recovered_at, gateway.clock.now());
+            .expire_lapsed(health.recovered_at, gateway.clock.now());
         for key in gone {
             upstream_changed(&gateway, key);
         }
--- a/daemon/src/gateway/waiting.rs
+++ b/daemon/src/gateway/waiting.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use monsoonbank_kernel::gateway::choice::UpstreamChoice;
-use monsoonbank_kernel::gateway::gate;
+use monsoonbank_kernel::gateway::eligibility;
 use monsoonbank_kernel::gateway::rules::AnswerForm;
 use monsoonbank_kernel::gateway::waiting::WaitRank;
 
@@ -83,13 +83,13 @@
     let events = call.head.prompt.expected_events(engine.event_tokens);
     let left = call.deadline.saturating_sub(now);
     let pace = gateway.pace(call);
-    if pace.can_end(events, left) {
+    if pace.can_finish(events, left) {
         return false;
     }
     gateway.decisions.record(&Decision::TooLate {
         call: &call.head.id,
         expected_events: events as u64,
-        needs_ms: millis(pace.time_for(events)),
+        needs_ms: millis(pace.expected_duration(events)),
         left_ms: millis(left),
     });
     true
@@ -98,14 +98,17 @@
 /// Returns whether all upstreams pause until the call has waited long enough.
 fn pauses_beyond(gateway: &Gateway, call: &Call, progress: &CallProgress, until: Duration) -> bool {
     let now = gateway.now();
-    let opens_in = gate::opens_in(&gateway.registry.borrow(), &call.pool, &progress.tried, now);
-    let Some(opens_in) = opens_in.filter(|opens_in| now.saturating_add(*opens_in) >= until) else {
+    let eligible_in =
+        eligibility::eligible_in(&gateway.registry.borrow(), &call.pool, &progress.tried, now);
+    let Some(eligible_in) =
+        eligible_in.filter(|eligible_in| now.saturating_add(*eligible_in) >= until)
+    else {
         return false;
     };
     gateway.decisions.record(&Decision::PoolPaused {
         call: &call.head.id,
         pool: &call.pool,
-        opens_ms: (opens_in < Duration::MAX).then(|| millis(opens_in)),
+        opens_ms: (eligible_in < Duration::MAX).then(|| millis(eligible_in)),
     });
     true
 }
@@ -115,8 +118,8 @@
 fn waits_until(gateway: &Gateway, call: &Call) -> Duration {
     let now = gateway.now();
     let part = call.deadline.saturating_sub(now).mul_f64(WAIT_FRACTION);
-    let patience = call.class.patience.unwrap_or(part);
-    let first = gateway.pace(call).time_to_first();
+    let patience = call.class.event_timeout.unwrap_or(part);
+    let first = gateway.pace(call).expected_first_event();
     now + part.min(patience.saturating_sub(first))
 }
 
--- a/daemon/src/gateway/work.rs
+++ b/daemon/src/gateway/work.rs
@@ -28,7 +28,7 @@
         let now = gateway.now();
         let prompt = &call.head.prompt;
         let item = WorkItem {
-            unread_tokens: choice.unread_tokens,
+            prefill_tokens: choice.prefill_tokens,
             held_tokens: prompt.prompt_tokens + prompt.output_tokens,
             tight: call.tight,
         };
@@ -37,15 +37,15 @@
             upstream.load.sent(now);
             if let Some(engine) = call.engine {
                 let cache = &mut upstream.load.cache;
-                cache.take(choice.taken_tokens, engine.cache_tokens);
+                cache.record_tokens(choice.taken_tokens, engine.cache_tokens);
             }
-            upstream.health.tried(now);
-            upstream.throttle.take(now);
+            upstream.health.attempt_started(now);
+            upstream.throttle.consume(now);
             let hash = upstream.entry.run_hash();
             let mut sent_parts = gateway.sent_parts.borrow_mut();
             let shared = prompt.shared_parts();
             for (index, part) in shared.iter().enumerate() {
-                let is_new = upstream.load.part_used(part.id, now);
+                let is_new = upstream.load.record_part_sent(part.id, now);
                 // A later part implies the parts before it, so only new parts and the last one are
                 // sent.
                 if is_new || index + 1 == shared.len() {
@@ -67,16 +67,16 @@
         let now = self.gateway.now();
         if let Some(upstream) = self.gateway.registry.borrow_mut().get_mut(self.key) {
             for part in self.call.head.prompt.shared_parts() {
-                upstream.load.part_read(part.id, now);
+                upstream.load.record_part_prefilled(part.id, now);
             }
         }
         self.end_reading();
     }
 
     fn end_reading(&mut self) {
-        let unread = std::mem::take(&mut self.item.unread_tokens);
+        let unread = std::mem::take(&mut self.item.prefill_tokens);
         if let Some(upstream) = self.gateway.registry.borrow_mut().get_mut(self.key) {
-            upstream.load.prompt_read(unread);
+            upstream.load.record_prefill(unread);
         }
     }
 }
--- a/daemon/tests/gateway/peers.rs
+++ b/daemon/tests/gateway/peers.rs
@@ -79,7 +79,7 @@
     let broken = monsoonbank_standin::keyed::KeyedStore::start("127.0.0.1:0")
         .await
         .expect("a store");
-    broken.set_mood(monsoonbank_standin::keyed::StoreMood::Busy);
+    broken.set_condition(monsoonbank_standin::keyed::StoreCondition::Busy);
     let isolated = world.start_with_store(broken.address());
     isolated.ready().await;
     world.nodes.push(isolated);
--- a/daemon/tests/gateway/streams.rs
+++ b/daemon/tests/gateway/streams.rs
@@ -168,7 +168,7 @@
         })
         .await;
         if dark {
-            world.upstreams[0].go_dark();
+            world.upstreams[0].stop_accepting();
         }
         world.register_as(1, "i-later", "ready");
     };
--- a/kernel/examples/owner_choice.rs
+++ b/kernel/examples/owner_choice.rs
@@ -1,13 +1,17 @@
-//! Compares ways of spreading calls over engines: prints the time that calls wait for a slot.
+//! Compares strategies for distributing calls over engines: prints the time that calls wait for a
+//! slot.
+//!
 //!
 //! `cargo run --release -p monsoonbank-kernel --example owner_choice`
 //!
-//! Every way gets the same calls with the same service times. Between two nodes a message takes
-//! 1 ms. `owner/...`: the entry node offers a call to the owner of some engines, which counts its
-//! slots exactly. `direct`: every node sends to every engine, the better of two by the engine's
-//! report (1 s old) and its own open calls; engines queue. `shares`: every node has an equal share
-//! of each engine's slots and queues by itself. Then a node of the largest site makes choices on
-//! the machine's own clock. An argument chooses the ways whose name contains it.
+//!
+//! Every strategy gets the same calls with the same service times. A message between two nodes
+//! takes 1 ms. `owner/...`: the entry node offers a call to the owner of some engines, which counts
+//! its slots exactly. `direct`: every node sends to every engine, to the better of two by the
+//! engine's report (1 s old) and the node's own open calls; engines queue. `shares`: every node has
+//! an equal share of each engine's slots and queues its own calls. After that, a node of the
+//! largest site is timed in real time while it chooses owners. An argument selects the strategies
+//! whose name contains it.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -18,7 +22,7 @@
 use monsoonbank_kernel::ids::{CallId, ClassId, Incarnation, NodeId, PoolId, WorkspaceId, ZoneId};
 use monsoonbank_kernel::membership::{Member, MemberView, NodeState};
 use monsoonbank_kernel::ownership::assign;
-use monsoonbank_kernel::routing::owners::{OwnerBoard, OwnerPolicy};
+use monsoonbank_kernel::routing::owners::{OwnerPolicy, OwnerTable};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -29,7 +33,7 @@
 const CHOICES: u32 = 100_000;
 
 #[derive(Clone, Copy)]
-enum Way {
+enum Strategy {
     Owner(OwnerPolicy),
     Direct,
     Shares,
@@ -66,7 +70,7 @@
     (0..site.calls)
         .map(|_| {
             at += exponential(&mut random) / rate;
-            // A quarter of the callers know one address only.
+            // A quarter of the callers are configured with one address only.
             let one = random.random_range(0..4) == 0;
             let entry = if one {
                 0
@@ -84,17 +88,17 @@
 
 struct Bench {
     site: Site,
-    way: Way,
+    strategy: Strategy,
     calls: Vec<Arrival>,
     random: Pcg64Mcg,
     steps: BinaryHeap<Reverse<(Duration, usize, Step)>>,
     order: usize,
-    /// Calls at an engine, running or waiting there.
+    /// Calls at each engine, running or queued there.
     held: Vec<u32>,
     reported: Vec<u32>,
     open: BTreeMap<(usize, usize), u32>,
     queues: Vec<VecDeque<usize>>,
-    boards: Vec<OwnerBoard>,
+    tables: Vec<OwnerTable>,
     owned: Vec<Vec<usize>>,
     waits: Vec<Duration>,
 }
@@ -153,10 +157,10 @@
 }
 
 impl Bench {
-    fn new(site: Site, way: Way, calls: Vec<Arrival>) -> Self {
-        let policy = match way {
-            Way::Owner(policy) => policy,
-            Way::Direct | Way::Shares => OwnerPolicy::default(),
+    fn new(site: Site, strategy: Strategy, calls: Vec<Arrival>) -> Self {
+        let policy = match strategy {
+            Strategy::Owner(policy) => policy,
+            Strategy::Direct | Strategy::Shares => OwnerPolicy::default(),
         };
         let (config, view) = (config(site), members(site));
         let owners = assign(&config, &view);
@@ -166,14 +170,14 @@
             let holder = (0..site.nodes).find(|node| owners.owners[&upstream] == node_id(*node));
             owned[holder.expect("every engine has an owner")].push(engine);
         }
-        let board = |node: usize| {
-            let mut board = OwnerBoard::new(policy);
+        let table = |node: usize| {
+            let mut table = OwnerTable::new(policy);
             let zone = ZoneId::named(&format!("z{}", node % ZONES));
-            board.rebuild(&config, &owners, &view, zone);
-            board
+            table.rebuild(&config, &owners, &view, zone);
+            table
         };
         Self {
-            boards: (0..site.nodes).map(board).collect(),
+            tables: (0..site.nodes).map(table).collect(),
             random: Pcg64Mcg::seed_from_u64(1),
             steps: BinaryHeap::new(),
             order: 0,
@@ -184,7 +188,7 @@
             owned,
             waits: Vec::new(),
             site,
-            way,
+            strategy,
             calls,
         }
     }
@@ -217,23 +221,23 @@
                 Step::Report => {}
             }
         }
-        // The first third warms up.
+        // The first third of the calls is warm-up.
         self.waits.split_off(self.calls.len() / 3)
     }
 
     fn arrive(&mut self, call: usize, now: Duration) {
         let entry = self.calls[call].entry;
-        match self.way {
-            Way::Shares => {
+        match self.strategy {
+            Strategy::Shares => {
                 self.queues[entry].push_back(call);
                 self.fill_share(entry, now);
             }
-            Way::Direct => self.send_direct(call, entry, now),
-            Way::Owner(_) => {
+            Strategy::Direct => self.send_direct(call, entry, now),
+            Strategy::Owner(_) => {
                 let spec = spec();
-                let owner = self.boards[entry].choose(&spec, &[], now, &mut self.random);
+                let owner = self.tables[entry].choose(&spec, &[], now, &mut self.random);
                 let owner = owner.expect("every node lives");
-                self.boards[entry].offered(spec.pool, owner);
+                self.tables[entry].record_offer(spec.pool, owner);
                 let owner = (0..self.site.nodes).find(|node| node_id(*node) == owner);
                 self.plan(now + HOP, Step::Reach(call, owner.expect("a node")));
             }
@@ -287,7 +291,7 @@
         let engine = if seen(two) < seen(one) { two } else { one };
         *self.open.entry((entry, engine)).or_default() += 1;
         self.held[engine] += 1;
-        // The engine's own queue is modelled by the call that leaves first.
+        // The engine's queue is modelled by the call that leaves it first.
         if self.held[engine] <= self.site.slots {
             self.waits.push(now.saturating_sub(self.calls[call].at));
             self.plan(
@@ -307,12 +311,12 @@
     }
 
     fn done(&mut self, call: usize, engine: usize, at: usize, now: Duration) {
-        match self.way {
-            Way::Shares => {
+        match self.strategy {
+            Strategy::Shares => {
                 *self.open.entry((at, engine)).or_default() -= 1;
                 self.fill_share(at, now);
             }
-            Way::Direct => {
+            Strategy::Direct => {
                 *self.open.entry((at, engine)).or_default() -= 1;
                 self.held[engine] -= 1;
                 if let Some(next) = self.engine_queue(engine).pop_front() {
@@ -321,7 +325,7 @@
                     self.plan(now + service, Step::Done(next, engine, entry));
                 }
             }
-            Way::Owner(_) => {
+            Strategy::Owner(_) => {
                 self.held[engine] -= 1;
                 self.fill(at, now);
                 let load = LoadSummary {
@@ -329,16 +333,17 @@
                     running: self.owned[at].iter().map(|engine| self.held[*engine]).sum(),
                     waiting: [0, 0, self.queues[at].len() as u32],
                 };
-                // The hop back is left out: news 1 ms old changes nothing at these rates.
-                let board = &mut self.boards[self.calls[call].entry];
-                board.closed(spec().pool, node_id(at));
-                board.learn(spec().pool, node_id(at), load, now);
+                // The delay of the reply is not simulated: a load summary that is 1 ms old makes no
+                // difference at these rates.
+                let table = &mut self.tables[self.calls[call].entry];
+                table.record_close(spec().pool, node_id(at));
+                table.update(spec().pool, node_id(at), load, now);
             }
         }
     }
 }
 
-/// Prints the time that one choice takes among the owners of 10,000 engines at 980 nodes.
+/// Prints the time taken by one choice among the owners of 10,000 engines at 980 nodes.
 fn print_cost() {
     let site = Site {
         nodes: 980,
@@ -348,15 +353,15 @@
     };
     let (config, view) = (config(site), members(site));
     let owners = assign(&config, &view);
-    let mut board = OwnerBoard::new(OwnerPolicy::Mixed);
-    board.rebuild(&config, &owners, &view, ZoneId::named("z0"));
+    let mut table = OwnerTable::new(OwnerPolicy::Mixed);
+    table.rebuild(&config, &owners, &view, ZoneId::named("z0"));
     let mut random = Pcg64Mcg::seed_from_u64(1);
     for prefix in [0, 7] {
         let spec = CallSpec { prefix, ..spec() };
         let start = Instant::now();
         for _ in 0..CHOICES {
-            let owner = board.choose(&spec, &[], Duration::ZERO, &mut random);
-            board.offered(spec.pool, owner.expect("every node lives"));
+            let owner = table.choose(&spec, &[], Duration::ZERO, &mut random);
+            table.record_offer(spec.pool, owner.expect("every node lives"));
         }
         let each = start.elapsed() / CHOICES;
         println!("980 nodes, prefix {prefix}: {each:?} a choice");
@@ -377,24 +382,24 @@
         slots: 10,
         calls: 400_000,
     };
-    let ways = [
-        ("owner/mixed", Way::Owner(OwnerPolicy::Mixed)),
-        ("owner/least", Way::Owner(OwnerPolicy::LeastLoaded)),
-        ("owner/two", Way::Owner(OwnerPolicy::BestOf(2))),
-        ("owner/shares", Way::Owner(OwnerPolicy::EqualShares)),
-        ("direct", Way::Direct),
-        ("shares", Way::Shares),
+    let strategies = [
+        ("owner/mixed", Strategy::Owner(OwnerPolicy::Mixed)),
+        ("owner/least", Strategy::Owner(OwnerPolicy::LeastLoaded)),
+        ("owner/two", Strategy::Owner(OwnerPolicy::BestOf(2))),
+        ("owner/shares", Strategy::Owner(OwnerPolicy::EqualShares)),
+        ("direct", Strategy::Direct),
+        ("shares", Strategy::Shares),
     ];
     let chosen = std::env::args().nth(1).unwrap_or_default();
     println!("nodes load  way           p50 ms  p99 ms  max ms  (worst p99 of 3 seeds)");
     for site in [small, large] {
         for load in [0.8, 0.95] {
-            for (name, way) in ways {
+            for (name, strategy) in strategies {
                 if !name.contains(&chosen) {
                     continue;
                 }
                 let runs = (1..=3).map(|seed| {
-                    let mut waits = Bench::new(site, way, arrivals(site, load, seed)).run();
+                    let mut waits = Bench::new(site, strategy, arrivals(site, load, seed)).run();
                     waits.sort_unstable();
                     let at = |share: f64| waits[(waits.len() as f64 * share) as usize].as_millis();
                     (at(0.99), at(0.5), at(0.999_999))
--- a/kernel/src/config/check.rs
+++ b/kernel/src/config/check.rs
@@ -1,4 +1,5 @@
-//! Checking documents: what the log's fold refuses, and what `monsoon check` tells.
+//! Validates documents. Folding the log refuses changes that fail; `monsoon check` reports the
+//! errors.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,26 +16,26 @@
 };
 use crate::ids::{ClassId, PoolId, UpstreamId, WorkspaceId};
 
-/// The longest name, in bytes.
+/// Maximum length of a name, in bytes.
 const MAX_NAME: usize = 128;
 
-/// The most tiers.
+/// Maximum number of tiers.
 const MAX_TIERS: usize = 8;
 
-/// Something that is wrong with a field.
+/// A validation error.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{path}: {message}")]
 pub struct ConfigFault {
-    /// The field.
+    /// Path of the field; empty for an error of the whole document.
     pub path: FieldPath,
-    /// What was found and what was expected.
+    /// Description of the found and the expected value.
     pub message: Box<str>,
 }
 
 impl ConfigFault {
     pub(crate) fn under(self, path: &FieldPath) -> Self {
         Self {
-            path: path.clone().then(&self.path),
+            path: path.clone().join(&self.path),
             message: self.message,
         }
     }
@@ -56,7 +57,7 @@
     }
 }
 
-fn known<'a>(names: impl Iterator<Item = &'a str>) -> String {
+fn expected_names<'a>(names: impl Iterator<Item = &'a str>) -> String {
     let mut names: Vec<&str> = names.collect();
     names.sort_unstable();
     match names.len() {
@@ -66,8 +67,8 @@
     }
 }
 
-fn unknown<'a>(what: &str, name: &str, names: impl Iterator<Item = &'a str>) -> String {
-    format!("unknown {what} `{name}`; {}", known(names))
+fn unknown_name<'a>(what: &str, name: &str, names: impl Iterator<Item = &'a str>) -> String {
+    format!("unknown {what} `{name}`; {}", expected_names(names))
 }
 
 fn check_name(name: &str, faults: &mut FaultList) {
@@ -109,7 +110,7 @@
 
 fn unknown_tier(config: &Config, tier: Tier) -> String {
     let names: Vec<String> = config.tiers.keys().map(ToString::to_string).collect();
-    unknown("tier", &tier.to_string(), names.iter().map(String::as_str))
+    unknown_name("tier", &tier.to_string(), names.iter().map(String::as_str))
 }
 
 fn check_class(config: &Config, class: &ClassSpec, faults: &mut FaultList) {
@@ -194,7 +195,7 @@
             .upstreams
             .values()
             .map(|upstream| &*upstream.spec.name);
-        unknown("upstream", &placement.upstream, names)
+        unknown_name("upstream", &placement.upstream, names)
     });
     let allowed = upstream.is_some_and(|upstream| {
         upstream.spec.pool == placement.pool || upstream.spec.also.contains(&placement.pool)
@@ -206,7 +207,7 @@
 }
 
 fn unknown_pool(config: &Config, name: &str) -> String {
-    unknown("pool", name, config.pools.values().map(|pool| &*pool.name))
+    unknown_name("pool", name, config.pools.values().map(|pool| &*pool.name))
 }
 
 fn check_match(config: &Config, rule: &RuleSpec, faults: &mut FaultList) {
@@ -215,7 +216,7 @@
     for (position, name) in when.workspaces.iter().enumerate() {
         if !config.workspaces.contains_key(&WorkspaceId::named(name)) {
             let names = config.workspaces.values().map(|workspace| &*workspace.name);
-            let message = unknown("workspace", name, names);
+            let message = unknown_name("workspace", name, names);
             faults.add(path.clone().field("workspaces").item(position), message);
         }
     }
@@ -264,7 +265,7 @@
         .contains_key(&ClassId::named(&rule.then.class))
     {
         let names = config.classes.values().map(|class| &*class.name);
-        let message = unknown("class", &rule.then.class, names);
+        let message = unknown_name("class", &rule.then.class, names);
         faults.add(path.clone().field("class"), message);
     }
     if let Some(tier) = rule.then.tier
@@ -299,7 +300,8 @@
     check_name(&pool.name, faults);
 }
 
-/// What is wrong with one document of a configuration, names that it refers to included.
+/// Validates one document of a configuration, including the names that it refers to; returns all
+/// errors found.
 pub fn check_document(config: &Config, document: &Document) -> Vec<ConfigFault> {
     let mut faults = FaultList::default();
     match document {
@@ -314,7 +316,7 @@
     faults.0
 }
 
-/// What is wrong with the documents that refer to one that was set or removed.
+/// Validates the documents that refer to one that was set or removed; returns all errors found.
 pub fn check_dependents(config: &Config, key: &DocumentKey, removed: bool) -> Vec<ConfigFault> {
     let mut faults = FaultList::default();
     let tiers = *key == DocumentKey::Tiers;
--- a/kernel/src/config/locate.rs
+++ b/kernel/src/config/locate.rs
@@ -1,41 +1,41 @@
-//! Where in a YAML text a field stands.
+//! Finds the position of a field in a YAML text.
 
 use std::fmt;
 
 use derive_more::Display;
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 
-/// One step on the way to a field.
+/// One step of a field path.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PathStep {
-    /// A field of a mapping.
+    /// A field of a mapping, by name.
     Field(Box<str>),
-    /// An item of a list, from 0.
+    /// An item of a list, by position from 0.
     Item(usize),
 }
 
-/// The way to a field from the top of a document; shown as `rules[3].then.class`.
+/// Path of a field from the top of a document; displayed as `rules[3].then.class`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FieldPath(pub Vec<PathStep>);
 
 impl FieldPath {
-    /// This path with a field behind it.
+    /// Appends a field to the path.
     #[must_use]
     pub fn field(mut self, name: &str) -> Self {
         self.0.push(PathStep::Field(name.into()));
         self
     }
 
-    /// This path with an item behind it.
+    /// Appends a list item to the path.
     #[must_use]
     pub fn item(mut self, position: usize) -> Self {
         self.0.push(PathStep::Item(position));
         self
     }
 
-    /// This path with another behind it.
+    /// Appends another path to this one.
     #[must_use]
-    pub fn then(mut self, rest: &Self) -> Self {
+    pub fn join(mut self, rest: &Self) -> Self {
         self.0.extend(rest.0.iter().cloned());
         self
     }
@@ -54,17 +54,18 @@
     }
 }
 
-/// A place in a text; lines and columns count from 1.
+/// A position in a text. Both parts are 0 if the position is unknown.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord)]
 #[display("{line}:{column}")]
 pub struct TextPosition {
-    /// The line.
+    /// Line number, from 1.
     pub line: usize,
-    /// The column.
+    /// Column number, from 1.
     pub column: usize,
 }
 
-/// The place of a field, or of the innermost part of its path that the text has.
+/// Position of a field, or of the innermost part of its path that exists in the text; `None` if the
+/// text cannot be parsed up to there.
 pub fn locate(text: &str, path: &FieldPath) -> Option<TextPosition> {
     let mut steps = path.0.as_slice();
     loop {
@@ -76,20 +77,24 @@
     }
 }
 
-/// The parser knows places only in its errors, so the walk ends in one at the field looked for.
+/// Position of the field at exactly this path. The parser reports positions only in its errors, so
+/// the visitor fails on purpose at the target field.
 fn locate_exactly(text: &str, steps: &[PathStep]) -> Option<TextPosition> {
     let walk = PathWalk { steps };
     let error = walk
         .deserialize(serde_yaml_ng::Deserializer::from_str(text))
         .err()?;
     let location = error.location()?;
-    error.to_string().contains(FOUND).then_some(TextPosition {
-        line: location.line(),
-        column: location.column(),
-    })
+    error
+        .to_string()
+        .contains(TARGET_FOUND)
+        .then_some(TextPosition {
+            line: location.line(),
+            column: location.column(),
+        })
 }
 
-const FOUND: &str = "the field that is looked for";
+const TARGET_FOUND: &str = "target field reached";
 
 struct PathWalk<'a> {
     steps: &'a [PathStep],
@@ -104,9 +109,9 @@
 }
 
 impl PathWalk<'_> {
-    fn leaf<E: Error>(&self) -> Result<(), E> {
+    fn check_target<E: Error>(&self) -> Result<(), E> {
         if self.steps.is_empty() {
-            return Err(E::custom(FOUND));
+            return Err(E::custom(TARGET_FOUND));
         }
         Ok(())
     }
@@ -120,31 +125,31 @@
     }
 
     fn visit_bool<E: Error>(self, _: bool) -> Result<(), E> {
-        self.leaf()
+        self.check_target()
     }
 
     fn visit_i64<E: Error>(self, _: i64) -> Result<(), E> {
-        self.leaf()
+        self.check_target()
     }
 
     fn visit_u64<E: Error>(self, _: u64) -> Result<(), E> {
-        self.leaf()
+        self.check_target()
     }
 
     fn visit_f64<E: Error>(self, _: f64) -> Result<(), E> {
-        self.leaf()
+        self.check_target()
     }
 
     fn visit_str<E: Error>(self, _: &str) -> Result<(), E> {
-        self.leaf()
+        self.check_target()
     }
 
     fn visit_unit<E: Error>(self) -> Result<(), E> {
-        self.leaf()
+        self.check_target()
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut items: A) -> Result<(), A::Error> {
-        self.leaf()?;
+        self.check_target()?;
         let Some((PathStep::Item(wanted), rest)) = self.steps.split_first() else {
             while items.next_element::<IgnoredAny>()?.is_some() {}
             return Ok(());
@@ -160,7 +165,7 @@
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut fields: A) -> Result<(), A::Error> {
-        self.leaf()?;
+        self.check_target()?;
         let wanted = match self.steps.split_first() {
             Some((PathStep::Field(name), rest)) => Some((&**name, rest)),
             _ => None,
--- a/kernel/src/config/text.rs
+++ b/kernel/src/config/text.rs
@@ -1,28 +1,28 @@
-//! Reading and checking configuration texts; faults name the place in the text.
+//! Parses and validates configuration texts. Errors state the position in the text.
 
 use thiserror::Error;
 
 use crate::config::check::ConfigFault;
+use crate::config::file_check::check_file;
 use crate::config::locate::{PathStep, TextPosition, locate};
 use crate::config::spec::ConfigFile;
-use crate::config::whole::check_file;
 
-/// Something that is wrong in a file.
+/// An error in a configuration file.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{file}:{position}: {field}: {message}")]
 pub struct FileFault {
-    /// The file.
+    /// Name of the file.
     pub file: Box<str>,
-    /// The place in the file.
+    /// Position in the file.
     pub position: TextPosition,
-    /// The field.
+    /// Path of the field.
     pub field: Box<str>,
-    /// What was found and what was expected.
+    /// Description of the found and the expected value.
     pub message: Box<str>,
 }
 
-/// Reads a configuration from a YAML text; an error names the place, the field and what was
-/// expected.
+/// Parses a configuration from a YAML text without validating it. An error states the position, the
+/// field and the expected value.
 pub fn parse(file: &str, text: &str) -> Result<ConfigFile, FileFault> {
     let deserializer = serde_yaml_ng::Deserializer::from_str(text);
     serde_path_to_error::deserialize(deserializer).map_err(|error| {
@@ -38,15 +38,15 @@
             file: file.into(),
             position,
             field: field.into(),
-            message: without_place(&error.inner().to_string())
+            message: strip_location(&error.inner().to_string())
                 .replace("expected a duration", "expected a duration such as `650ms`")
                 .into(),
         }
     })
 }
 
-/// The parser's message without the place and path, which are told apart.
-fn without_place(message: &str) -> &str {
+/// Strips the position and the path from the parser's message; both are reported separately.
+fn strip_location(message: &str) -> &str {
     let message = message
         .rsplit_once(" at line ")
         .map_or(message, |(before, _)| before);
@@ -56,12 +56,12 @@
     }
 }
 
-/// Reads and checks a configuration that is given as one YAML text.
+/// Parses and validates a configuration given as one YAML text.
 pub fn check_text(file: &str, text: &str) -> Result<ConfigFile, Vec<FileFault>> {
     check_texts(&[(file, text)])
 }
 
-/// Reads and checks a configuration that is given as several YAML texts, each with part of it.
+/// Parses and validates a configuration given as several YAML texts, each with a part of it.
 pub fn check_texts(texts: &[(&str, &str)]) -> Result<ConfigFile, Vec<FileFault>> {
     let mut faults = Vec::new();
     let mut files = Vec::new();
@@ -78,7 +78,7 @@
     faults.extend(
         check_file(&merged)
             .into_iter()
-            .map(|fault| place(&fault, &files)),
+            .map(|fault| locate_fault(&fault, &files)),
     );
     if faults.is_empty() {
         return Ok(merged);
@@ -111,10 +111,10 @@
     }
 }
 
-/// Names the file, and the place in it, of a fault in the merged configuration.
-fn place(fault: &ConfigFault, files: &[(&str, &str, ConfigFile)]) -> FileFault {
+/// Maps an error in the merged configuration to its file and the position in it.
+fn locate_fault(fault: &ConfigFault, files: &[(&str, &str, ConfigFile)]) -> FileFault {
     let mut path = fault.path.clone();
-    let mut home = files.first();
+    let mut source = files.first();
     if let [PathStep::Field(section), rest @ ..] = path.0.as_mut_slice() {
         let mut before = 0;
         let wanted = match rest.first() {
@@ -124,7 +124,7 @@
         for file in files {
             let count = section_len(&file.2, section);
             if wanted < before + count {
-                home = Some(file);
+                source = Some(file);
                 break;
             }
             before += count;
@@ -133,7 +133,7 @@
             *position -= before;
         }
     }
-    let (file, text) = home.map_or(("", ""), |(file, text, _)| (*file, *text));
+    let (file, text) = source.map_or(("", ""), |(file, text, _)| (*file, *text));
     FileFault {
         file: file.into(),
         position: locate(text, &path).unwrap_or_default(),
--- a/kernel/src/configuration/duty.rs
+++ b/kernel/src/configuration/duty.rs
@@ -1,4 +1,4 @@
-//! When to append a checkpoint: seldom, and by one node if all goes well.
+//! Decides when to append a checkpoint: rarely, and normally by one node only.
 
 use std::time::Duration;
 
@@ -15,25 +15,25 @@
 use crate::plugin::Context;
 use crate::record::{AppendOwner, AppendResult, AppendTicket, CheckpointRecord, Record};
 
-/// Changes since the last checkpoint, in bytes of JSON, that are worth a new one however small the
-/// configuration is.
-const LEAST_BYTES: usize = 64 * 1024;
+/// Minimum size of the changes since the last checkpoint, in bytes of JSON, before a new one is
+/// appended. A larger configuration raises the threshold to its own size.
+const MIN_CHANGED_BYTES: usize = 64 * 1024;
 
-/// A checkpoint is repeated after this long, so that the log's retention never takes the last one.
-/// The log must keep records for at least twice this long.
-const REPEAT_AFTER: Duration = Duration::from_hours(6);
+/// Age at which a checkpoint is repeated, so that the log's retention never removes the last one.
+/// The log must retain records for at least twice this time.
+const MAX_CHECKPOINT_AGE: Duration = Duration::from_hours(6);
 
-/// How long an appended checkpoint has to be read back before it is repeated.
-const READ_BACK: Duration = Duration::from_secs(30);
+/// Timeout for reading back an appended checkpoint, after which it is appended again.
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How much longer each further node waits for the one before it.
+/// Additional delay per rank: each node waits this much longer than the one before it.
 const RANK_DELAY: Duration = Duration::from_secs(2);
 
-/// The most nodes that are waited for.
+/// Highest rank that the delay takes into account.
 const MAX_RANK: u32 = 30;
 
-/// Where a node stands among the live nodes for one occasion: 0 for the one that acts first.
-/// Rendezvous hashing spreads the occasions over the nodes.
+/// Rank of a node among the live nodes for one occasion; rank 0 acts first. Rendezvous hashing
+/// spreads the occasions over the nodes.
 pub fn rank(view: &MemberView, node: NodeId, occasion: u64) -> u32 {
     let weight = |node: NodeId| xxh3_64_with_seed(&node.0.to_le_bytes(), occasion);
     let own = weight(node);
@@ -42,59 +42,59 @@
         .count() as u32
 }
 
-/// Decides when this node appends a checkpoint, and appends its parts one after another.
+/// Decides when this node appends a checkpoint, and appends its parts in sequence.
 #[derive(Clone, Debug, Default)]
 pub struct CheckpointDuty {
     covered: u64,
     covered_at: Duration,
-    bytes: usize,
+    changed_bytes: usize,
     state_bytes: usize,
     log_first: u64,
     due: Option<Duration>,
     parts: Vec<CheckpointRecord>,
     ticket: Option<AppendTicket>,
-    tickets: u64,
+    last_ticket: u64,
     failures: u32,
     not_before: Duration,
 }
 
 impl CheckpointDuty {
-    /// The newest checkpoint seen whole on the log holds every record before this offset.
+    /// Offset before which the newest complete checkpoint on the log covers every record.
     pub fn covered(&self) -> u64 {
         self.covered
     }
 
-    /// A change of this size was folded.
-    pub fn grown(&mut self, bytes: usize) {
-        self.bytes += bytes;
+    /// Records that a change of this size, in bytes of JSON, was folded.
+    pub fn record_change(&mut self, bytes: usize) {
+        self.changed_bytes += bytes;
     }
 
-    /// A whole checkpoint was seen on the log.
-    pub fn seen(&mut self, through: u64, now: Duration) {
+    /// Records that a complete checkpoint up to this offset was read from the log.
+    pub fn record_checkpoint(&mut self, through: u64, now: Duration) {
         if through < self.covered {
             return;
         }
         self.covered = through;
         self.covered_at = now;
-        self.bytes = 0;
+        self.changed_bytes = 0;
         self.due = None;
         self.parts.clear();
         self.ticket = None;
     }
 
-    /// The log told its oldest offset.
+    /// Records the oldest offset that the log retains.
     pub fn truncated(&mut self, first: u64) {
         self.log_first = self.log_first.max(first);
     }
 
     fn is_needed(&self, fold: &ConfigFold, now: Duration) -> bool {
-        let grown = self.bytes > LEAST_BYTES.max(self.state_bytes);
-        let old = now.saturating_sub(self.covered_at) > REPEAT_AFTER;
+        let grown = self.changed_bytes > MIN_CHANGED_BYTES.max(self.state_bytes);
+        let old = now.saturating_sub(self.covered_at) > MAX_CHECKPOINT_AGE;
         let lost = self.covered < self.log_first;
         fold.next() > self.covered && fold.config().version > 0 && (grown || old || lost)
     }
 
-    /// Does what is due.
+    /// Appends the next part of an open checkpoint, or starts a checkpoint that is due.
     pub fn tick(&mut self, fold: &ConfigFold, view: &MemberView, context: &mut Context<'_>) {
         if !self.parts.is_empty() {
             self.append(context);
@@ -126,14 +126,14 @@
         let Some(part) = self.parts.last() else {
             return;
         };
-        self.tickets += 1;
-        let ticket = AppendTicket::new(AppendOwner::Checkpoint, self.tickets);
+        self.last_ticket += 1;
+        let ticket = AppendTicket::new(AppendOwner::Checkpoint, self.last_ticket);
         self.ticket = Some(ticket);
         let record = Record::Checkpoint(part.clone());
         context.act(Action::Append { ticket, record });
     }
 
-    /// An append was answered. A part may stand on the log twice: that does no harm.
+    /// Handles the result of an append. A part that is on the log twice is harmless.
     pub fn appended(
         &mut self,
         ticket: AppendTicket,
@@ -148,8 +148,8 @@
             self.failures = 0;
             self.parts.pop();
             if self.parts.is_empty() {
-                self.bytes = 0;
-                self.due = Some(context.now + READ_BACK);
+                self.changed_bytes = 0;
+                self.due = Some(context.now + READ_BACK_TIMEOUT);
             }
             self.append(context);
             return;
--- a/kernel/src/configuration/reach.rs
+++ b/kernel/src/configuration/rollout.rs
@@ -1,5 +1,5 @@
-//! Counting the nodes on which a version is in force: one message to a node of each availability
-//! zone, which counts its own zone.
+//! Counts the nodes on which a version is in force. One node of each availability zone is asked and
+//! counts its own zone.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,30 +14,30 @@
 use crate::membership::MemberView;
 use crate::plugin::Context;
 
-/// How long a count goes on.
-const COUNT_FOR: Duration = Duration::from_secs(30);
+/// Time after which a count ends even if it is incomplete.
+const COUNT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two questions to nodes that have not reached the version.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
+/// Time between two requests to nodes that have not reached the version.
+const REQUEST_PERIOD: Duration = Duration::from_secs(1);
 
-/// Counts that a node takes part in at a time.
+/// Maximum number of counts that a node takes part in at a time.
 const MAX_COUNTS: usize = 64;
 
-/// Names a count.
+/// Identifies a count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CountId {
-    /// The node that counts.
+    /// The node that started the count.
     pub node: NodeId,
-    /// Numbers that node's counts.
+    /// Sequence number among the counts of that node.
     pub sequence: u64,
 }
 
-/// How far an accepted change has come.
+/// Rollout progress of an accepted change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishProgress {
-    /// Nodes on which it is known to be in force.
+    /// Number of nodes on which the change is known to be in force.
     pub in_force: u32,
-    /// Nodes known to live.
+    /// Number of nodes that were live when the count started.
     pub of: u32,
 }
 
@@ -55,19 +55,19 @@
     asked: BTreeMap<NodeId, Vec<NodeId>>,
     reached: BTreeMap<NodeId, u32>,
     of: u32,
-    told: Option<u32>,
-    ask_at: Duration,
+    reported: Option<u32>,
+    next_request: Duration,
     expires: Duration,
 }
 
-/// Counts under way.
+/// The counts that this node takes part in.
 #[derive(Clone, Debug, Default)]
-pub struct ReachCounter {
+pub struct RolloutCounter {
     counts: BTreeMap<CountId, NodeCount>,
     sequence: u64,
 }
 
-fn by_zone(view: &MemberView, own: NodeId) -> BTreeMap<NodeId, Vec<NodeId>> {
+fn nodes_by_zone(view: &MemberView, own: NodeId) -> BTreeMap<NodeId, Vec<NodeId>> {
     let mut zones: BTreeMap<ZoneId, Vec<NodeId>> = BTreeMap::new();
     for node in live_nodes(view).filter(|node| *node != own) {
         zones
@@ -84,8 +84,8 @@
         .collect()
 }
 
-impl ReachCounter {
-    /// Counts the nodes at or past a version for a publisher.
+impl RolloutCounter {
+    /// Starts a count of the nodes at or past a version for a publisher.
     pub fn start(
         &mut self,
         request: RequestTicket,
@@ -98,7 +98,7 @@
             node: context.profile.node,
             sequence: self.sequence,
         };
-        let asked = by_zone(view, context.profile.node);
+        let asked = nodes_by_zone(view, context.profile.node);
         let of = asked
             .values()
             .map(|nodes| nodes.len() as u32 + 1)
@@ -114,7 +114,7 @@
         );
     }
 
-    /// Another node counts.
+    /// Handles the request of another node to take part in its count.
     pub fn asked(
         &mut self,
         id: CountId,
@@ -124,7 +124,7 @@
         context: &mut Context<'_>,
     ) {
         if let Some(count) = self.counts.get_mut(&id) {
-            count.told = None;
+            count.reported = None;
             return;
         }
         let asked: BTreeMap<NodeId, Vec<NodeId>> =
@@ -151,14 +151,14 @@
             asked,
             reached: BTreeMap::new(),
             of,
-            told: None,
-            ask_at: Duration::ZERO,
-            expires: context.now + COUNT_FOR,
+            reported: None,
+            next_request: Duration::ZERO,
+            expires: context.now + COUNT_TIMEOUT,
         };
         self.counts.insert(id, count);
     }
 
-    /// A node that was asked has counted.
+    /// Records the count that an asked node reported.
     pub fn reached(&mut self, id: CountId, from: NodeId, nodes: u32) {
         let Some(count) = self.counts.get_mut(&id) else {
             return;
@@ -169,15 +169,15 @@
         }
     }
 
-    /// Asks what is due, tells news, and ends what is complete or old. `version` is the one in
-    /// force here.
+    /// Sends due requests, reports changed counts, and ends counts that are complete or expired.
+    /// `version` is the one in force here.
     pub fn tick(&mut self, version: u64, context: &mut Context<'_>) {
         let mut done = BTreeSet::new();
         for (id, count) in &mut self.counts {
-            count.ask(*id, context);
+            count.send_requests(*id, context);
             let own = u32::from(version >= count.version);
             let reached = own + count.reached.values().sum::<u32>();
-            count.tell(*id, reached, context);
+            count.report(*id, reached, context);
             if reached >= count.of || context.now >= count.expires {
                 done.insert(*id);
             }
@@ -187,14 +187,14 @@
 }
 
 impl NodeCount {
-    fn ask(&mut self, id: CountId, context: &mut Context<'_>) {
-        if context.now < self.ask_at {
+    fn send_requests(&mut self, id: CountId, context: &mut Context<'_>) {
+        if context.now < self.next_request {
             return;
         }
-        if self.ask_at > Duration::ZERO {
-            self.replace_silent();
+        if self.next_request > Duration::ZERO {
+            self.replace_unresponsive();
         }
-        self.ask_at = context.now + ASK_AGAIN;
+        self.next_request = context.now + REQUEST_PERIOD;
         for (node, nodes) in &self.asked {
             let counted = self.reached.get(node).copied().unwrap_or_default();
             if counted <= nodes.len() as u32 {
@@ -208,15 +208,15 @@
         }
     }
 
-    /// Asks another node of a group in place of one that has not answered at all.
-    fn replace_silent(&mut self) {
-        let silent: Vec<NodeId> = self
+    /// Replaces each asked node that has not answered at all by another one of its zone.
+    fn replace_unresponsive(&mut self) {
+        let unresponsive: Vec<NodeId> = self
             .asked
             .iter()
             .filter(|(node, nodes)| !nodes.is_empty() && !self.reached.contains_key(node))
             .map(|(node, _)| *node)
             .collect();
-        for node in silent {
+        for node in unresponsive {
             let Some(mut nodes) = self.asked.remove(&node) else {
                 continue;
             };
@@ -226,12 +226,12 @@
         }
     }
 
-    fn tell(&mut self, id: CountId, reached: u32, context: &mut Context<'_>) {
-        let news = self.told != Some(reached) && (reached > 0 || self.told.is_some());
-        if !news {
+    fn report(&mut self, id: CountId, reached: u32, context: &mut Context<'_>) {
+        let changed = self.reported != Some(reached) && (reached > 0 || self.reported.is_some());
+        if !changed {
             return;
         }
-        self.told = Some(reached);
+        self.reported = Some(reached);
         match self.parent {
             CountParent::Request(request) => context.act(Action::PublishProgressed {
                 request,
--- a/kernel/src/dispatch.rs
+++ b/kernel/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! The plug-in of the owner node: queues work and hands it to the upstreams that the node owns.
+//! The owner node's plug-in: queues work and dispatches it to the upstreams that the node owns.
 
 pub mod admission;
 pub mod arena;
@@ -6,17 +6,17 @@
 pub mod engine;
 pub mod estimate;
 pub mod fair;
+pub mod finished;
 pub mod floors;
 pub mod health;
-pub mod held;
-pub mod news;
-pub mod past;
+pub mod notifier;
 pub mod pool;
 pub mod preemption;
 pub mod replies;
 pub mod runs;
 pub mod state;
 pub mod tier;
+pub mod work;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -27,28 +27,28 @@
 use crate::call::{AttemptEnd, AttemptStart, LoadSummary, RefusalReason, ReturnReason, WorkSpec};
 use crate::config::{Config, PoolKind};
 use crate::dispatch::estimate::cost_of;
-use crate::dispatch::health::HealthSign;
-use crate::dispatch::held::{HeldWork, StopCause, WorkArena, WorkKey};
-use crate::dispatch::news::LoadNews;
-use crate::dispatch::past::PastAttempts;
+use crate::dispatch::finished::FinishedAttempts;
+use crate::dispatch::health::FailureSeverity;
+use crate::dispatch::notifier::LoadNotifier;
 use crate::dispatch::pool::{Decision, DispatchSettings, PoolState};
 use crate::dispatch::runs::RunEnd;
+use crate::dispatch::work::{StopCause, WorkArena, WorkItem, WorkKey};
 use crate::event::{Action, Event};
 use crate::ids::{AttemptId, NodeId, PoolId, UpstreamId};
 use crate::ownership::OwnerMap;
 use crate::plugin::{Context, GaugeSample, NodeProfile, Plugin, Registration};
 use crate::wire::{Message, WorkMessage};
 
-/// Work that this node holds as an owner.
+/// The owner's side of dispatch: every piece of work accepted by this node, by pool.
 #[derive(Debug, Default)]
 pub struct WorkDispatcher {
     config: Arc<Config>,
     owners: Arc<OwnerMap>,
     arena: WorkArena,
     attempts: BTreeMap<AttemptId, WorkKey>,
-    past: PastAttempts,
+    finished: FinishedAttempts,
     pools: BTreeMap<PoolId, PoolState>,
-    news: LoadNews,
+    notifier: LoadNotifier,
     leaving: bool,
     leaving_upstreams: BTreeSet<UpstreamId>,
     decisions: Vec<Decision>,
@@ -57,7 +57,7 @@
 }
 
 impl WorkDispatcher {
-    /// A dispatcher with other choices than those that ship, to measure them.
+    /// A dispatcher with the given settings instead of the defaults, for benchmarks and tests.
     pub fn new(settings: DispatchSettings) -> Self {
         Self {
             settings,
@@ -78,9 +78,9 @@
 
     fn reconfigure(&mut self, context: &mut Context<'_>) {
         let node = context.profile.node;
-        let known = &self.config.upstreams;
+        let configured = &self.config.upstreams;
         self.leaving_upstreams
-            .retain(|upstream| known.contains_key(upstream));
+            .retain(|upstream| configured.contains_key(upstream));
         for (pool, spec) in self.config.pools.iter() {
             let owned = self.owned(*pool, node);
             if owned.is_empty() && !self.pools.contains_key(pool) {
@@ -95,16 +95,16 @@
                 .iter()
                 .filter(|id| owned.contains_key(id))
             {
-                state.upstream_leaves(*upstream);
+                state.mark_leaving(*upstream);
             }
         }
-        let gone: Vec<PoolId> = self
+        let removed: Vec<PoolId> = self
             .pools
             .keys()
             .filter(|pool| !self.config.pools.contains_key(pool))
             .copied()
             .collect();
-        for pool in gone {
+        for pool in removed {
             if let Some(state) = self.pools.get_mut(&pool) {
                 state.configure(context.now, &self.config, false, &BTreeMap::new());
             }
@@ -116,7 +116,7 @@
             .map(|(pool, _)| *pool)
             .collect();
         for pool in lost {
-            self.hand_back(pool, ReturnReason::NotOwner, context);
+            self.return_queued(pool, ReturnReason::NotOwner, context);
         }
         self.pools.retain(|_, state| !state.is_idle());
         self.fill_all(context);
@@ -124,35 +124,35 @@
 
     fn offer(&mut self, entry: NodeId, work: WorkSpec, context: &mut Context<'_>) {
         let attempt = work.attempt;
-        if self.attempts.contains_key(&attempt) || self.past.contains(attempt) {
+        if self.attempts.contains_key(&attempt) || self.finished.contains(attempt) {
             return;
         }
         let pool = work.spec.pool;
         let Some(state) = self.pools.get_mut(&pool).filter(|state| state.is_owned()) else {
-            self.give_back(entry, work, ReturnReason::NotOwner, context);
+            self.return_offer(entry, work, ReturnReason::NotOwner, context);
             return;
         };
         if self.leaving {
-            self.give_back(entry, work, ReturnReason::Leaving, context);
+            self.return_offer(entry, work, ReturnReason::Leaving, context);
             return;
         }
-        self.news.heard(context.now, pool, entry);
+        self.notifier.record_offer(context.now, pool, entry);
         let deadline = context.now + work.spec.time_left;
         let prompt = work.spec.prompt_tokens + work.resume_from;
         let expected = state.outputs.tokens(&work.spec);
-        let first_token = state.pace.first_token.expect_at_most(prompt);
-        let held = HeldWork {
+        let first_token = state.timing.first_token.estimate_high(prompt);
+        let item = WorkItem {
             work,
             entry,
             deadline,
             latest_start: deadline.saturating_sub(first_token),
             cost: cost_of(work.spec.prompt_tokens, expected),
-            passed: 0,
+            forwarded: 0,
             requeues: 0,
             ran: false,
             run: None,
         };
-        let key = self.arena.insert(held);
+        let key = self.arena.insert(item);
         self.attempts.insert(attempt, key);
         state.offer(context.now, key, &self.arena, &mut self.decisions);
         self.fill(pool, context);
@@ -165,7 +165,7 @@
         state.fill(context.now, &mut self.arena, &mut self.decisions);
         let mut decisions = std::mem::take(&mut self.decisions);
         for decision in decisions.drain(..) {
-            self.carry_out(decision, context);
+            self.execute(decision, context);
         }
         self.decisions = decisions;
     }
@@ -177,30 +177,30 @@
         }
     }
 
-    fn carry_out(&mut self, decision: Decision, context: &mut Context<'_>) {
+    fn execute(&mut self, decision: Decision, context: &mut Context<'_>) {
         match decision {
             Decision::Start(key) => {
-                let held = &self.arena[key];
-                let Some(run) = held.run else {
+                let item = &self.arena[key];
+                let Some(run) = item.run else {
                     return;
                 };
                 self.counts.started += 1;
                 context.act(Action::StartAttempt(AttemptStart {
-                    work: held.work,
+                    work: item.work,
                     upstream: run.upstream,
                 }));
             }
             Decision::Stop(key) => {
-                let held = &self.arena[key];
-                match held.run.and_then(|run| run.stop) {
+                let item = &self.arena[key];
+                match item.run.and_then(|run| run.stop) {
                     Some(StopCause::Preempted) => self.counts.preempted += 1,
                     Some(StopCause::Moved) => self.counts.moved += 1,
                     _ => {}
                 }
-                context.act(Action::CancelAttempt(held.work.attempt));
+                context.act(Action::CancelAttempt(item.work.attempt));
             }
             Decision::Refuse(key, refusal) => {
-                let Some(held) = self.drop_work(key, context.now) else {
+                let Some(item) = self.drop_work(key, context.now) else {
                     return;
                 };
                 match refusal.reason {
@@ -211,23 +211,23 @@
                     reason: refusal.reason,
                     retry_after: Some(refusal.retry_after),
                 };
-                self.answer_returned(held.entry, &held.work, reason, context);
+                self.send_returned(item.entry, &item.work, reason, context);
             }
         }
     }
 
-    /// Forgets held work, but remembers that its attempt is over.
-    fn drop_work(&mut self, key: WorkKey, now: Duration) -> Option<HeldWork> {
-        let held = self.arena.remove(key)?;
-        self.attempts.remove(&held.work.attempt);
-        self.past.add(now, held.work.attempt);
-        Some(held)
+    /// Removes a piece of work and records its attempt as finished.
+    fn drop_work(&mut self, key: WorkKey, now: Duration) -> Option<WorkItem> {
+        let item = self.arena.remove(key)?;
+        self.attempts.remove(&item.work.attempt);
+        self.finished.add(now, item.work.attempt);
+        Some(item)
     }
 
-    fn withdraw(&mut self, key: WorkKey) {
-        let held = &self.arena[key];
-        if let Some(state) = self.pools.get_mut(&held.work.spec.pool) {
-            state.dequeue(key, held);
+    fn dequeue(&mut self, key: WorkKey) {
+        let item = &self.arena[key];
+        if let Some(state) = self.pools.get_mut(&item.work.spec.pool) {
+            state.dequeue(key, item);
         }
     }
 
@@ -235,14 +235,14 @@
         let Some(key) = self.attempts.get(&attempt) else {
             return;
         };
-        let held = &mut self.arena[*key];
-        let Some(run) = &mut held.run else {
+        let item = &mut self.arena[*key];
+        let Some(run) = &mut item.run else {
             return;
         };
-        let first = !run.sent && !held.ran;
+        let first = !run.sent && !item.ran;
         run.sent = true;
         if first {
-            let entry = held.entry;
+            let entry = item.entry;
             context.send(entry, WorkMessage::Started(attempt));
         }
     }
@@ -277,14 +277,14 @@
                 state.enqueue(context.now, key, &self.arena[key]);
             }
             RunEnd::Requeued => {
-                if let Some(held) = self.drop_work(key, context.now) {
-                    let tokens = held.passed;
-                    self.answer_ended(&held, AttemptEnd::Cancelled { tokens }, context);
+                if let Some(item) = self.drop_work(key, context.now) {
+                    let tokens = item.forwarded;
+                    self.send_ended(&item, AttemptEnd::Cancelled { tokens }, context);
                 }
             }
-            RunEnd::Over(end) => {
-                if let Some(held) = self.drop_work(key, context.now) {
-                    self.answer_ended(&held, end, context);
+            RunEnd::Ended(end) => {
+                if let Some(item) = self.drop_work(key, context.now) {
+                    self.send_ended(&item, end, context);
                 }
             }
         }
@@ -294,43 +294,43 @@
 
     fn cancel(&mut self, attempt: AttemptId, context: &mut Context<'_>) {
         let Some(key) = self.attempts.get(&attempt).copied() else {
-            self.past.add(context.now, attempt);
+            self.finished.add(context.now, attempt);
             return;
         };
-        let held = self.arena[key];
+        let item = self.arena[key];
         self.abandon(key, context);
-        if held.run.is_none() {
+        if item.run.is_none() {
             let reason = ReturnReason::Refused {
                 reason: RefusalReason::Cancelled,
                 retry_after: None,
             };
-            self.answer_waiting(&held, reason, context);
+            self.send_dequeued(&item, reason, context);
         }
     }
 
-    /// Drops waiting work, or asks a run to stop for good.
+    /// Removes queued work, or requests cancellation of its run.
     fn abandon(&mut self, key: WorkKey, context: &mut Context<'_>) {
-        let held = &self.arena[key];
-        let attempt = held.work.attempt;
-        if held.run.is_none() {
-            self.withdraw(key);
+        let item = &self.arena[key];
+        let attempt = item.work.attempt;
+        if item.run.is_none() {
+            self.dequeue(key);
             self.drop_work(key, context.now);
             return;
         }
-        if let Some(state) = self.pools.get_mut(&held.work.spec.pool)
-            && state.stop(key, StopCause::Unwanted, &mut self.arena)
+        if let Some(state) = self.pools.get_mut(&item.work.spec.pool)
+            && state.stop(key, StopCause::Cancelled, &mut self.arena)
         {
             context.act(Action::CancelAttempt(attempt));
         }
     }
 
     fn link_down(&mut self, node: NodeId, context: &mut Context<'_>) {
-        self.news.forget(node);
+        self.notifier.remove_node(node);
         let orphans: Vec<WorkKey> = self
             .arena
             .iter()
-            .filter(|(_, held)| held.entry == node && node != context.profile.node)
-            .filter(|(_, held)| held.run.is_none() || held.work.spec.repeatable)
+            .filter(|(_, item)| item.entry == node && node != context.profile.node)
+            .filter(|(_, item)| item.run.is_none() || item.work.spec.repeatable)
             .map(|(key, _)| key)
             .collect();
         for key in orphans {
@@ -342,12 +342,12 @@
         self.leaving = true;
         let pools: Vec<PoolId> = self.pools.keys().copied().collect();
         for pool in pools {
-            self.hand_back(pool, ReturnReason::Leaving, context);
+            self.return_queued(pool, ReturnReason::Leaving, context);
         }
     }
 
     fn tick(&mut self, context: &mut Context<'_>) {
-        self.past.forget(context.now);
+        self.finished.expire(context.now);
         for state in self.pools.values_mut() {
             state.tick(context.now);
         }
@@ -357,7 +357,7 @@
             .iter()
             .map(|(pool, state)| (*pool, state.summary()))
             .collect();
-        for (pool, node, load) in self.news.due(context.now, &loads) {
+        for (pool, node, load) in self.notifier.due(context.now, &loads) {
             context.send(node, WorkMessage::Load { pool, load });
         }
     }
@@ -368,7 +368,7 @@
             return;
         };
         if let Some(state) = self.pools.get_mut(&pool) {
-            state.upstream_returns(upstream);
+            state.clear_leaving(upstream);
             self.fill(pool, context);
         }
     }
@@ -392,13 +392,13 @@
                 state.reported(context.now, upstream, report);
             }
             Event::UpstreamUnreachable(_) => {
-                state.strike(context.now, upstream, HealthSign::Grave);
+                state.record_failure(context.now, upstream, FailureSeverity::Major);
             }
             Event::CacheChanged { prefix, held, .. } => {
                 state.cache_changed(upstream, *prefix, *held);
                 return;
             }
-            Event::UpstreamLeaving(_) => state.upstream_leaves(upstream),
+            Event::UpstreamLeaving(_) => state.mark_leaving(upstream),
             Event::UpstreamPaused { pause, .. } => state.pause(context.now, upstream, *pause),
             _ => {}
         }
@@ -428,7 +428,7 @@
             Event::PeerMessage {
                 from,
                 message: Message::Work(WorkMessage::Ask(attempts)),
-            } => self.asked(*from, attempts, context),
+            } => self.answer_query(*from, attempts, context),
             Event::AttemptSent(attempt) => self.sent(*attempt, context),
             Event::AttemptProgress { attempt, tokens } => {
                 self.progress(*attempt, *tokens, context);
--- a/kernel/src/dispatch/state.rs
+++ b/kernel/src/dispatch/state.rs
@@ -8,18 +8,18 @@
 use crate::dispatch::pool::PoolState;
 use crate::plugin::GaugeSample;
 
-/// Decisions since the process started.
+/// Number of decisions since the process started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DispatchCounts {
     /// Runs started.
     pub started: u64,
     /// Runs stopped for work of a higher tier.
     pub preempted: u64,
-    /// Runs stopped to move them off a bad upstream.
+    /// Runs stopped to move them off a slow or failing upstream.
     pub moved: u64,
-    /// Calls refused because their time had passed.
+    /// Calls rejected because they could not start before their deadline.
     pub refused_deadline: u64,
-    /// Calls refused because their queue was too long.
+    /// Calls rejected because the queue was too long.
     pub refused_overloaded: u64,
 }
 
@@ -66,14 +66,14 @@
     json!({
         "tiers": tiers,
         "upstreams": upstreams,
-        "slot_hold_seconds": pool.pace.hold.get(),
+        "slot_hold_seconds": pool.timing.run_time.get(),
     })
 }
 
 impl WorkDispatcher {
-    /// Calls waiting and calls running.
-    pub fn held(&self) -> (usize, usize) {
-        let running = self.arena.iter().filter(|(_, held)| held.run.is_some());
+    /// Number of queued calls and number of running calls.
+    pub fn call_counts(&self) -> (usize, usize) {
+        let running = self.arena.iter().filter(|(_, item)| item.run.is_some());
         let running = running.count();
         (self.arena.len() - running, running)
     }
@@ -94,11 +94,11 @@
                 (pool, pool_value(state, name))
             })
             .collect();
-        let (queued, running) = self.held();
+        let (queued, running) = self.call_counts();
         json!({
             "queued": queued,
             "running": running,
-            "attempts_remembered": self.past.len(),
+            "attempts_remembered": self.finished.len(),
             "leaving": self.leaving,
             "started": self.counts.started,
             "preempted": self.counts.preempted,
--- a/kernel/src/leaving.rs
+++ b/kernel/src/leaving.rs
@@ -1,8 +1,8 @@
-//! Planned stops: a node takes nothing new, finishes what it has, and exits.
+//! Planned shutdown: the node accepts nothing new, finishes its open work, and exits.
 //!
-//! A stop begins with an operator's word or a signal ([`Event::DrainNode`]), or with the platform's
-//! host list. What is open is asked of the plug-ins themselves ([`Plugin::open_work`]); a count
-//! kept here could drift from theirs.
+//! An operator's request or a signal ([`Event::DrainNode`]) starts it, or the leaving flag in the
+//! platform's host list. The amount of open work is queried from the plug-ins
+//! ([`Plugin::open_work`]), because a separate count here could diverge from theirs.
 
 use std::time::Duration;
 
@@ -12,58 +12,60 @@
 use crate::membership::{HostEntry, HostRole};
 use crate::plugin::{Context, NodeProfile, Plugin, Registration};
 
-/// How long a leaving node stays after its last work, so that callers with an old answer about
-/// addresses are told where to go in place of meeting a closed port.
-pub const LINGER: Duration = Duration::from_secs(6);
+/// Minimum time between the start of leaving and the exit, so that callers with cached addresses
+/// are redirected instead of finding a closed port.
+pub const DRAIN_GRACE: Duration = Duration::from_secs(6);
 
-/// A "leaving" that the host list showed when this run began may be meant for an earlier run; it
-/// is believed when it still stands after this time.
-pub const STALE_LIST_TIME: Duration = Duration::from_secs(30);
+/// Time after which a leaving flag that was already set in the first host list takes effect. Such a
+/// flag may have been set for an earlier run of this node.
+pub const STALE_LEAVING_TIME: Duration = Duration::from_secs(30);
 
-/// Whether this node is leaving, and how far it is.
+/// State of this node's planned shutdown.
 #[derive(Debug, Default)]
 pub struct NodeDrain {
-    listed: bool,
-    first_list: Option<Duration>,
-    flag_since_start: bool,
+    listed_leaving: bool,
+    first_list_at: Option<Duration>,
+    leaving_since_first_list: bool,
     leaving_since: Option<Duration>,
     open_work: usize,
     exited: bool,
 }
 
 impl NodeDrain {
-    fn begin(&mut self, context: &mut Context<'_>) {
+    fn begin_leaving(&mut self, context: &mut Context<'_>) {
         if self.leaving_since.is_none() {
             self.leaving_since = Some(context.now);
             context.raise(Event::NodeLeaving);
         }
     }
 
-    fn list(&mut self, hosts: &[HostEntry], context: &mut Context<'_>) {
+    fn apply_host_list(&mut self, hosts: &[HostEntry], context: &mut Context<'_>) {
         let name = &context.profile.name;
         let own = hosts
             .iter()
             .find(|host| host.role == HostRole::Node && host.name == *name);
         let leaving = own.is_some_and(|host| host.leaving);
-        let first = self.first_list.is_none();
-        self.first_list.get_or_insert(context.now);
-        self.flag_since_start = leaving && (first || self.flag_since_start);
-        self.listed = leaving;
+        let first = self.first_list_at.is_none();
+        self.first_list_at.get_or_insert(context.now);
+        self.leaving_since_first_list = leaving && (first || self.leaving_since_first_list);
+        self.listed_leaving = leaving;
     }
 
     fn tick(&mut self, context: &mut Context<'_>) {
         self.open_work = context.open_work;
-        let listed_for = self
-            .first_list
+        let since_first_list = self
+            .first_list_at
             .map_or(Duration::ZERO, |first| context.now.saturating_sub(first));
-        if self.listed && (!self.flag_since_start || listed_for >= STALE_LIST_TIME) {
-            self.begin(context);
+        if self.listed_leaving
+            && (!self.leaving_since_first_list || since_first_list >= STALE_LEAVING_TIME)
+        {
+            self.begin_leaving(context);
         }
         let Some(since) = self.leaving_since else {
             return;
         };
-        let lingered = context.now >= since + LINGER;
-        if lingered && self.open_work == 0 && !self.exited {
+        let grace_elapsed = context.now >= since + DRAIN_GRACE;
+        if grace_elapsed && self.open_work == 0 && !self.exited {
             self.exited = true;
             context.act(Action::Exit);
         }
@@ -73,8 +75,8 @@
 impl Plugin for NodeDrain {
     fn handle(&mut self, event: &Event, context: &mut Context<'_>) {
         match event {
-            Event::DrainNode => self.begin(context),
-            Event::HostList(hosts) => self.list(hosts, context),
+            Event::DrainNode => self.begin_leaving(context),
+            Event::HostList(hosts) => self.apply_host_list(hosts, context),
             Event::Tick => self.tick(context),
             _ => {}
         }
--- a/kernel/src/limits/allowance.rs
+++ b/kernel/src/limits/allowance.rs
@@ -1,4 +1,4 @@
-//! What one node may let in of a limited workspace, and what it asks for.
+//! Admission of one workspace's calls at one node, and the demand that the node reports.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,81 +12,83 @@
 /// How long a call waits for the first share of its workspace.
 const FIRST_WAIT: Duration = Duration::from_millis(200);
 
-/// Least time between two messages about demand.
-const LEAST_GAP: Duration = Duration::from_secs(1);
+/// Shortest time between two demand messages.
+const MIN_DEMAND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Share of its time that a call above the rate may wait for its turn, and the longest such wait.
+/// Fraction of its time left that a call above the rate may wait for its turn, and the longest such
+/// wait.
 const PACE_SHARE: f64 = 0.25;
 const LONGEST_PACE: Duration = Duration::from_secs(5);
 
-/// Least time between two messages while calls wait for a greater share.
-const URGENT_GAP: Duration = Duration::from_millis(100);
+/// Shortest time between two demand messages while calls wait for a larger share.
+const MIN_GROWTH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a call waits for a greater share: the limiter may have to take it from another node
+/// How long a call waits for a larger share: the limiter may have to reclaim it from another node
 /// first.
 const GROWTH_WAIT: Duration = Duration::from_millis(100);
 
-/// Time after which demand that did not change is told again.
-const RENEWAL: Duration = Duration::from_secs(8);
+/// Time after which unchanged demand is sent again.
+const DEMAND_RENEWAL: Duration = Duration::from_secs(8);
 
-/// Time without calls after which a workspace is forgotten.
-const IDLE: Duration = Duration::from_secs(30);
+/// Time without calls after which a workspace's state is dropped.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time over which the rate of arrivals is averaged, in seconds.
+/// Averaging time of the arrival rate, in seconds.
 const RATE_WINDOW: f64 = 2.0;
 
-/// Asked beyond the demand seen, so that small growth needs no message.
+/// Factor by which the requested share exceeds the measured demand, so that small growth needs no
+/// message.
 const HEADROOM: f64 = 1.25;
 
-/// A call that waits for the first share of its workspace.
+/// A call that waits for a share of its workspace's limits.
 #[derive(Clone, Debug)]
 pub struct WaitingCall {
-    /// The call.
+    /// The call as it arrived.
     pub spec: CallSpec,
-    /// Its idempotency key.
+    /// Idempotency key; `None` if the caller sent none.
     pub key: Option<RequestKey>,
     /// When it arrived.
     pub since: Duration,
 }
 
-/// What the limits say of a call.
+/// The decision of a workspace's limits on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LimitVerdict {
+pub enum LimitDecision {
     /// The workspace has no limits.
     Unlimited,
-    /// It is within them, and counts from now on.
+    /// The call is within the limits and is counted as running.
     Admitted,
-    /// The share is being asked for.
+    /// The call waits for a share or for its turn.
     Wait,
-    /// It is above them.
+    /// The call is above the limits.
     Limited {
-        /// When a retry makes sense.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
 }
 
 #[derive(Clone, Copy, Debug)]
-struct HeldShare {
+struct ShareLease {
     share: LimitShare,
     until: Duration,
 }
 
-/// What one node may let in of a limited workspace.
+/// One node's share of a workspace's limits, and its use of it.
 #[derive(Debug, Default)]
 pub struct LocalAllowance {
-    /// Calls that wait for the first share.
+    /// Calls that wait for a share or for their turn.
     pub waiting: VecDeque<WaitingCall>,
-    held: Option<HeldShare>,
-    /// Until then the whole limit is thought to be in use.
-    denied: Duration,
+    lease: Option<ShareLease>,
+    /// Until this time the limit is assumed to be fully used.
+    saturated_until: Duration,
     running: u32,
     limited: u32,
     tokens: f64,
-    filled: Duration,
+    refilled: Duration,
     rate: f64,
     last_arrival: Duration,
-    first_ask: Option<Duration>,
-    asked: Duration,
+    first_demand: Option<Duration>,
+    demand_sent: Duration,
     wanted: LimitShare,
 }
 
@@ -103,57 +105,57 @@
         self.rate * (-gap / RATE_WINDOW).exp()
     }
 
-    fn share(&self, now: Duration) -> Option<LimitShare> {
-        self.held
-            .filter(|held| now < held.until)
-            .map(|held| held.share)
+    fn leased_share(&self, now: Duration) -> Option<LimitShare> {
+        self.lease
+            .filter(|lease| now < lease.until)
+            .map(|lease| lease.share)
     }
 
-    /// What is held by a lease that has not run out.
-    pub fn held(&self, now: Duration) -> LimitShare {
-        self.share(now).unwrap_or_default()
+    /// The share of an unexpired lease; zero without one.
+    pub fn current_share(&self, now: Duration) -> LimitShare {
+        self.leased_share(now).unwrap_or_default()
     }
 
-    /// Decides on one call; `even` is the share of a node that cannot reach
-    /// the limiter, `limits` are the whole fleet's.
+    /// Decides on one call. `even` is the share of a node that cannot reach the limiter, and
+    /// `limits` are those of the whole fleet.
     pub fn admit(
         &mut self,
         now: Duration,
         call: &WaitingCall,
         even: LimitShare,
         limits: LimitShare,
-    ) -> LimitVerdict {
-        let answer_due = self.first_ask.map_or(now, |asked| asked + FIRST_WAIT);
-        let share = match self.share(now) {
+    ) -> LimitDecision {
+        let answer_due = self.first_demand.map_or(now, |sent| sent + FIRST_WAIT);
+        let share = match self.leased_share(now) {
             Some(share) => share,
-            None if now < answer_due => return LimitVerdict::Wait,
+            None if now < answer_due => return LimitDecision::Wait,
             None => even,
         };
         self.refill(now, share.rate);
         if self.running < share.concurrent && self.tokens >= 1.0 {
             self.tokens -= 1.0;
             self.running += 1;
-            return LimitVerdict::Admitted;
+            return LimitDecision::Admitted;
         }
         if now < answer_due || self.may_grow(now, call.since, share, limits) {
-            return LimitVerdict::Wait;
+            return LimitDecision::Wait;
         }
         if self.running < share.concurrent && self.can_pace(now, call, share.rate) {
-            return LimitVerdict::Wait;
+            return LimitDecision::Wait;
         }
         self.limited += 1;
-        self.denied = now + LEAST_GAP;
+        self.saturated_until = now + MIN_DEMAND_INTERVAL;
         if self.running >= share.concurrent {
-            return LimitVerdict::Limited {
-                retry_after: LEAST_GAP,
+            return LimitDecision::Limited {
+                retry_after: MIN_DEMAND_INTERVAL,
             };
         }
         let missing = (1.0 - self.tokens) / share.rate.max(0.001);
         let retry_after = Duration::from_secs_f64(missing.clamp(0.05, 60.0));
-        LimitVerdict::Limited { retry_after }
+        LimitDecision::Limited { retry_after }
     }
 
-    /// Whether a greater share may come in time for a call that is above the one held.
+    /// Whether a larger share may arrive in time for a call that is above the current one.
     fn may_grow(
         &self,
         now: Duration,
@@ -161,17 +163,17 @@
         share: LimitShare,
         limits: LimitShare,
     ) -> bool {
-        let short_of_calls = self.running >= share.concurrent;
-        let whole = if short_of_calls {
+        let concurrency_used_up = self.running >= share.concurrent;
+        let has_whole_limit = if concurrency_used_up {
             share.concurrent >= limits.concurrent
         } else {
             share.rate >= limits.rate
         };
-        let reachable = self.share(now).is_some();
-        reachable && !whole && now >= self.denied && now < since + GROWTH_WAIT
+        let reachable = self.leased_share(now).is_some();
+        reachable && !has_whole_limit && now >= self.saturated_until && now < since + GROWTH_WAIT
     }
 
-    /// Whether a call above the rate may wait for its turn: it must not use up much of its time.
+    /// Whether a call above the rate may wait for its turn without using too much of its time.
     fn can_pace(&self, now: Duration, call: &WaitingCall, rate: f64) -> bool {
         let turn = (self.waiting.len() as f64 + 1.0 - self.tokens) / rate.max(0.001);
         let longest = call.spec.time_left.mul_f64(PACE_SHARE).min(LONGEST_PACE);
@@ -179,15 +181,16 @@
         waited.as_secs_f64() + turn <= longest.as_secs_f64()
     }
 
-    /// A token bucket that holds what comes in during a second, and one call at the least.
+    /// Refills a token bucket that contains at most one second's worth of calls, and at least one
+    /// call.
     fn refill(&mut self, now: Duration, rate: f64) {
-        let time = now.saturating_sub(self.filled).as_secs_f64();
-        self.filled = now;
+        let time = now.saturating_sub(self.refilled).as_secs_f64();
+        self.refilled = now;
         let most = rate.max(1.0);
         self.tokens = (self.tokens + rate * time).min(most);
     }
 
-    /// A call that was let in is over.
+    /// Counts the end of an admitted call.
     pub fn finished(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
@@ -196,32 +199,34 @@
         let waiting = self.waiting.len() as u32;
         let refused = self.limited.min(self.running + 1);
         let concurrent = self.running + refused + waiting;
-        let roomy = (f64::from(concurrent) * HEADROOM).ceil() as u32;
+        let requested = (f64::from(concurrent) * HEADROOM).ceil() as u32;
         LimitShare {
             rate: self.rate_now(now) * HEADROOM + 1.0,
-            concurrent: roomy.max(1),
+            concurrent: requested.max(1),
         }
     }
 
-    /// Whether an arrival must ask at once: nothing is held and nothing was asked lately.
-    pub fn should_ask_now(&self, now: Duration) -> bool {
-        self.share(now).is_none() && (self.first_ask.is_none() || now >= self.asked + LEAST_GAP)
+    /// Whether an arrival must send the demand at once: there is no share, and no demand was sent
+    /// recently.
+    pub fn needs_first_share(&self, now: Duration) -> bool {
+        self.leased_share(now).is_none()
+            && (self.first_demand.is_none() || now >= self.demand_sent + MIN_DEMAND_INTERVAL)
     }
 
-    /// Whether the call that begins to wait must ask: the share held is used up.
-    pub fn should_ask_for_growth(&self, now: Duration) -> bool {
-        self.share(now).is_some() && now >= self.asked + URGENT_GAP
+    /// Whether a call that starts to wait must send the demand: the current share is used up.
+    pub fn needs_larger_share(&self, now: Duration) -> bool {
+        self.leased_share(now).is_some() && now >= self.demand_sent + MIN_GROWTH_INTERVAL
     }
 
-    /// The limiter is another node now: tells it the demand as soon as may be.
+    /// Has the demand sent to the new limiter at the next opportunity.
     pub fn limiter_changed(&mut self) {
-        self.asked = Duration::ZERO;
+        self.demand_sent = Duration::ZERO;
         self.wanted = LimitShare::default();
     }
 
-    /// Whether it is time to tell the demand again.
+    /// Whether the demand is due to be sent again.
     pub fn should_renew(&self, now: Duration) -> bool {
-        if now < self.asked + LEAST_GAP || self.first_ask.is_none() {
+        if now < self.demand_sent + MIN_DEMAND_INTERVAL || self.first_demand.is_none() {
             return false;
         }
         let demand = self.demand(now);
@@ -229,48 +234,48 @@
             || demand.concurrent > self.wanted.concurrent.saturating_mul(2);
         let fallen = demand.rate * 2.0 < self.wanted.rate
             || demand.concurrent.saturating_mul(2) < self.wanted.concurrent;
-        let fallen = fallen && now >= self.asked + LEAST_GAP * 2;
-        grown || fallen || now >= self.asked + RENEWAL
+        let fallen = fallen && now >= self.demand_sent + MIN_DEMAND_INTERVAL * 2;
+        grown || fallen || now >= self.demand_sent + DEMAND_RENEWAL
     }
 
-    /// When the demand was told last.
-    pub fn asked_at(&self) -> Duration {
-        self.asked
+    /// When the demand was last sent.
+    pub fn demand_sent_at(&self) -> Duration {
+        self.demand_sent
     }
 
-    /// Notes that the demand is told now, and says what it is.
-    pub fn ask(&mut self, now: Duration) -> LimitShare {
+    /// Records that the demand is sent now, and returns it.
+    pub fn record_demand(&mut self, now: Duration) -> LimitShare {
         self.wanted = self.demand(now);
         self.limited = 0;
-        self.asked = now;
-        self.first_ask.get_or_insert(now);
+        self.demand_sent = now;
+        self.first_demand.get_or_insert(now);
         self.wanted
     }
 
-    /// Takes in a share.
+    /// Applies a granted share with a lease of this length.
     pub fn granted(&mut self, now: Duration, share: LimitShare, length: Duration) {
-        if self.share(now).is_none() {
+        if self.leased_share(now).is_none() {
             self.tokens = self.tokens.max(1.0);
-            self.filled = now;
+            self.refilled = now;
         }
-        self.held = Some(HeldShare {
+        self.lease = Some(ShareLease {
             share,
             until: now + length,
         });
     }
 
-    /// Whether nothing is left to remember.
+    /// Whether the state may be dropped: no calls run or wait, and none arrived recently.
     pub fn is_idle(&self, now: Duration) -> bool {
-        self.running == 0 && self.waiting.is_empty() && now > self.last_arrival + IDLE
+        self.running == 0 && self.waiting.is_empty() && now > self.last_arrival + IDLE_TIMEOUT
     }
 
-    /// The state dump.
+    /// The workspace's entry in the state dump.
     pub fn dump(&self) -> Value {
         json!({
             "running": self.running,
             "waiting": self.waiting.len(),
-            "share_rate": self.held.map(|held| held.share.rate),
-            "share_concurrent": self.held.map(|held| held.share.concurrent),
+            "share_rate": self.lease.map(|lease| lease.share.rate),
+            "share_concurrent": self.lease.map(|lease| lease.share.concurrent),
         })
     }
 }
--- a/kernel/src/membership/outbox.rs
+++ b/kernel/src/membership/outbox.rs
@@ -1,158 +1,160 @@
-//! News that is still to be told: at once to a group or to other zones, and along with probes.
+//! Updates to be sent: at once to the group or to other zones, and piggybacked on probes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::ids::{NodeId, UpstreamId, ZoneId};
 
-/// How often a piece of news rides along with a probe or its answer.
-const RIDES: u8 = 4;
-/// Most pieces of news in one probe.
-const RIDES_PER_PROBE: usize = 6;
-/// Most pieces of news in one message.
-const NEWS_PER_MESSAGE: usize = 32;
-/// Messages that may be sent at once after a quiet time.
+/// Number of probes and acknowledgements that carry each update.
+const PIGGYBACK_COUNT: u8 = 4;
+/// Maximum number of updates in one probe or acknowledgement.
+const UPDATES_PER_PROBE: usize = 6;
+/// Maximum number of updates in one separate message.
+const UPDATES_PER_MESSAGE: usize = 32;
+/// Capacity of the token bucket, in messages.
 const BURST_MESSAGES: f64 = 128.0;
-/// Messages a second that may be sent in the long run.
+/// Refill rate of the token bucket, in messages per second.
 const MESSAGES_PER_SECOND: f64 = 10.0;
 
-/// What a piece of news is about; its content is looked up when it is sent.
+/// Subject of an update. Its content is looked up when it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum NewsKey {
-    /// A node.
+pub enum UpdateKey {
+    /// The record of a node.
     Node(NodeId),
-    /// An upstream.
+    /// The mark on an upstream.
     Upstream(UpstreamId),
-    /// A zone.
+    /// The mark on a zone.
     Zone(ZoneId),
 }
 
-/// Who is told at once.
+/// Receivers of an update that is sent at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct NewsAudience {
-    /// The nodes that probe each other with this one.
+pub struct UpdateAudience {
+    /// All nodes of this node's group.
     pub group: bool,
-    /// A bridge in every other zone.
-    pub world: bool,
+    /// One bridge of every other zone.
+    pub other_zones: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct PendingNews {
-    rides: u8,
-    audience: NewsAudience,
+struct PendingUpdate {
+    piggybacks_left: u8,
+    audience: UpdateAudience,
     group_after: Duration,
 }
 
-/// News that is still to be told.
+/// Queue of updates to be sent, with a rate limit on separate messages.
 #[derive(Debug)]
-pub struct NewsOutbox {
-    pending: BTreeMap<NewsKey, PendingNews>,
+pub struct UpdateOutbox {
+    pending: BTreeMap<UpdateKey, PendingUpdate>,
     tokens: f64,
-    filled: Duration,
+    refilled_at: Duration,
 }
 
-impl Default for NewsOutbox {
+impl Default for UpdateOutbox {
     fn default() -> Self {
         Self {
             pending: BTreeMap::new(),
             tokens: BURST_MESSAGES,
-            filled: Duration::ZERO,
+            refilled_at: Duration::ZERO,
         }
     }
 }
 
-impl NewsOutbox {
-    /// Pieces of news that are still to be told.
+impl UpdateOutbox {
+    /// Number of updates that are not fully sent.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether everything is told.
+    /// Whether all updates are fully sent.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Notes news; the group is told of it at `group_after` or later.
-    pub fn add(&mut self, key: NewsKey, audience: NewsAudience, group_after: Duration) {
-        let entry = self.pending.entry(key).or_insert(PendingNews {
-            rides: RIDES,
+    /// Queues an update; it is sent to the group at `group_after` or later.
+    pub fn add(&mut self, key: UpdateKey, audience: UpdateAudience, group_after: Duration) {
+        let entry = self.pending.entry(key).or_insert(PendingUpdate {
+            piggybacks_left: PIGGYBACK_COUNT,
             audience,
             group_after,
         });
-        entry.rides = RIDES;
+        entry.piggybacks_left = PIGGYBACK_COUNT;
         entry.group_after = group_after;
         entry.audience.group |= audience.group;
-        entry.audience.world |= audience.world;
+        entry.audience.other_zones |= audience.other_zones;
     }
 
-    /// Notes that another node told the group.
-    pub fn told(&mut self, key: NewsKey) {
-        if let Some(news) = self.pending.get_mut(&key) {
-            news.audience.group = false;
+    /// Records that another node sent this update to the group.
+    pub fn mark_group_informed(&mut self, key: UpdateKey) {
+        if let Some(update) = self.pending.get_mut(&key) {
+            update.audience.group = false;
         }
     }
 
-    /// News to go along with a probe.
-    pub fn ride(&mut self) -> Vec<NewsKey> {
-        let keys: Vec<NewsKey> = self
+    /// Takes updates to piggyback on one probe or acknowledgement.
+    pub fn take_piggyback(&mut self) -> Vec<UpdateKey> {
+        let keys: Vec<UpdateKey> = self
             .pending
             .iter()
-            .filter(|(_, news)| news.rides > 0)
+            .filter(|(_, update)| update.piggybacks_left > 0)
             .map(|(key, _)| *key)
-            .take(RIDES_PER_PROBE)
+            .take(UPDATES_PER_PROBE)
             .collect();
         for key in &keys {
-            if let Some(news) = self.pending.get_mut(key) {
-                news.rides -= 1;
+            if let Some(update) = self.pending.get_mut(key) {
+                update.piggybacks_left -= 1;
             }
         }
-        self.drop_told();
+        self.drop_sent();
         keys
     }
 
-    /// News for the group, if `receivers` messages may be sent now.
-    pub fn take_group(&mut self, receivers: usize, now: Duration) -> Vec<NewsKey> {
-        self.take(receivers, now, |news| {
-            let due = now >= news.group_after;
-            due.then_some(&mut news.audience.group)
+    /// Takes updates for the group, if the rate limit permits `receivers` messages now.
+    pub fn take_group(&mut self, receivers: usize, now: Duration) -> Vec<UpdateKey> {
+        self.take(receivers, now, |update| {
+            let due = now >= update.group_after;
+            due.then_some(&mut update.audience.group)
         })
     }
 
-    /// News for other zones, if `receivers` messages may be sent now.
-    pub fn take_world(&mut self, receivers: usize, now: Duration) -> Vec<NewsKey> {
-        self.take(receivers, now, |news| Some(&mut news.audience.world))
+    /// Takes updates for other zones, if the rate limit permits `receivers` messages now.
+    pub fn take_other_zones(&mut self, receivers: usize, now: Duration) -> Vec<UpdateKey> {
+        self.take(receivers, now, |update| {
+            Some(&mut update.audience.other_zones)
+        })
     }
 
     fn take(
         &mut self,
         receivers: usize,
         now: Duration,
-        flag: impl Fn(&mut PendingNews) -> Option<&mut bool>,
-    ) -> Vec<NewsKey> {
-        let wanted = self
+        flag: impl Fn(&mut PendingUpdate) -> Option<&mut bool>,
+    ) -> Vec<UpdateKey> {
+        let pending = self
             .pending
             .values_mut()
-            .any(|news| flag(news).is_some_and(|wanted| *wanted));
-        if !wanted || !self.spend(receivers, now) {
+            .any(|update| flag(update).is_some_and(|pending| *pending));
+        if !pending || !self.take_tokens(receivers, now) {
             return Vec::new();
         }
         let mut keys = Vec::new();
-        for (key, news) in &mut self.pending {
-            let Some(wanted) = flag(news) else {
+        for (key, update) in &mut self.pending {
+            let Some(pending) = flag(update) else {
                 continue;
             };
-            if *wanted && keys.len() < NEWS_PER_MESSAGE {
-                *wanted = false;
+            if *pending && keys.len() < UPDATES_PER_MESSAGE {
+                *pending = false;
                 keys.push(*key);
             }
         }
-        self.drop_told();
+        self.drop_sent();
         keys
     }
 
-    fn spend(&mut self, messages: usize, now: Duration) -> bool {
-        let elapsed = now.saturating_sub(self.filled).as_secs_f64();
-        self.filled = now;
+    fn take_tokens(&mut self, messages: usize, now: Duration) -> bool {
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
         self.tokens = (self.tokens + elapsed * MESSAGES_PER_SECOND).min(BURST_MESSAGES);
         if self.tokens < (messages as f64).min(BURST_MESSAGES) {
             return false;
@@ -161,8 +163,9 @@
         true
     }
 
-    fn drop_told(&mut self) {
-        self.pending
-            .retain(|_, news| news.rides > 0 || news.audience != NewsAudience::default());
+    fn drop_sent(&mut self) {
+        self.pending.retain(|_, update| {
+            update.piggybacks_left > 0 || update.audience != UpdateAudience::default()
+        });
     }
 }
--- a/kernel/src/membership/sync.rs
+++ b/kernel/src/membership/sync.rs
@@ -1,4 +1,5 @@
-//! Repair: nodes whose digests differ compare digests of zones and send the records of those.
+//! Anti-entropy: nodes whose digests differ compare their digests per zone and exchange the records
+//! of the zones that differ.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,55 +8,56 @@
 
 use crate::ids::NodeId;
 use crate::membership::MembershipTable;
-use crate::membership::message::{MembershipMessage, NewsBatch};
+use crate::membership::message::{MembershipMessage, UpdateBatch};
 use crate::membership::probe::jitter;
-use crate::membership::record::{NodeNews, NodeRecord};
+use crate::membership::record::{NodeRecord, NodeUpdate};
 use crate::membership::zone::zone_tag;
 use crate::plugin::Context;
 
-/// A difference must stand for so long before it is repaired; news on its way settles most.
+/// Time without new updates before a difference is repaired; updates in transit resolve most
+/// differences.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
-/// Least time between two repairs that a node asks for.
+/// Minimum time between two repairs that a node requests.
 const MIN_REPAIR_GAP: Duration = Duration::from_millis(500);
-/// The same, after repairs that brought nothing new.
+/// Upper limit of that time, which doubles after each repair that yields nothing new.
 const MAX_REPAIR_GAP: Duration = Duration::from_secs(30);
-/// Most records in one answer.
+/// Maximum number of records in one answer.
 const RECORDS_PER_REPAIR: usize = 64;
-/// Stands for the marks on upstreams among the zones' tags.
+/// Tag of the digest of upstream marks, in place of a zone tag.
 const UPSTREAM_TAG: u32 = 0;
-/// Stands for the marks on zones among the zones' tags.
+/// Tag of the digest of zone marks, in place of a zone tag.
 const ZONE_MARK_TAG: u32 = 1;
 
-/// When this node may ask for a repair again.
+/// Determines when this node may request the next repair.
 #[derive(Debug, Default)]
 pub struct RepairTimer {
     next: Duration,
     gap: Duration,
-    changed: Duration,
-    started: bool,
-    asked: bool,
+    last_update: Duration,
+    synced: bool,
+    requested: bool,
 }
 
 impl RepairTimer {
-    /// Notes that something new was learned.
-    pub fn learn(&mut self, now: Duration) {
-        self.changed = now;
+    /// Records that new information arrived.
+    pub fn record_update(&mut self, now: Duration) {
+        self.last_update = now;
         self.gap = MIN_REPAIR_GAP;
         self.next = self.next.min(now + MIN_REPAIR_GAP);
     }
 
     fn is_due(&self, now: Duration) -> bool {
-        let settled = !self.started || now >= self.changed + SETTLE_TIME;
+        let settled = !self.synced || now >= self.last_update + SETTLE_TIME;
         settled && now >= self.next
     }
 }
 
-fn fold(digest: u64) -> u32 {
+fn fold_digest(digest: u64) -> u32 {
     (digest >> 32) as u32 ^ digest as u32
 }
 
 impl MembershipTable {
-    /// Digest of what this node knows and `peer` should know as well.
+    /// Digest of all records that this node and `peer` share.
     pub(super) fn digest_for(&self, peer: NodeId) -> u32 {
         let digests = self.shared_digests(peer);
         digests
@@ -63,53 +65,54 @@
             .fold(0, |all, (tag, digest)| all ^ digest.rotate_left(tag % 32))
     }
 
-    fn is_neighbour(&self, peer: NodeId) -> bool {
+    fn is_in_own_zone(&self, peer: NodeId) -> bool {
         self.rows.get(peer).is_some_and(|row| row.zone == self.zone)
     }
 
-    /// Digests by tag of what this node and `peer` should both know; without those that are 0.
+    /// Digests by tag of the records that this node and `peer` share; digests that are 0 are left
+    /// out.
     fn shared_digests(&self, peer: NodeId) -> BTreeMap<u32, u32> {
-        let neighbour = self.is_neighbour(peer);
+        let same_zone = self.is_in_own_zone(peer);
         let mut digests: BTreeMap<u32, u32> = BTreeMap::new();
         for (zone, digest) in self.rows.digests() {
-            let full = !self.group.zoned || (neighbour && *zone == self.zone);
-            let digest = if full { digest.full } else { digest.notable };
-            digests.insert(zone_tag(*zone), fold(digest));
+            let full = !self.group.zoned || (same_zone && *zone == self.zone);
+            let digest = if full { digest.full } else { digest.fleet_wide };
+            digests.insert(zone_tag(*zone), fold_digest(digest));
         }
-        digests.insert(UPSTREAM_TAG, fold(self.upstreams.digest()));
-        if neighbour {
-            digests.insert(ZONE_MARK_TAG, fold(self.zones.digest()));
+        digests.insert(UPSTREAM_TAG, fold_digest(self.upstreams.digest()));
+        if same_zone {
+            digests.insert(ZONE_MARK_TAG, fold_digest(self.zones.digest()));
         }
         digests.retain(|_, digest| *digest != 0);
         digests
     }
 
-    /// Asks for what this node lacks, if the peer's digest differs from its own for long enough.
+    /// Requests a repair if the peer's digest differs from this node's and no update is in transit.
     pub(super) fn compare(&mut self, from: NodeId, digest: u32, context: &mut Context<'_>) {
         if digest == self.digest_for(from) {
-            self.repair.started = true;
+            self.repair.synced = true;
             self.repair.gap = MIN_REPAIR_GAP;
             return;
         }
         if self.repair.is_due(context.now) {
-            self.ask_repair(from, context);
+            self.request_repair(from, context);
         }
     }
 
-    /// A run that has just begun asks a neighbour at its first tick: before that the edges do not
-    /// know any address.
+    /// Requests a repair from a peer at the first tick of a run. Before that the edges have no
+    /// addresses.
     pub(super) fn tick_repair(&mut self, context: &mut Context<'_>) {
-        if self.repair.asked {
+        if self.repair.requested {
             return;
         }
-        self.repair.asked = true;
+        self.repair.requested = true;
         if let Some(peer) = self.group.successor(self.node) {
-            self.ask_repair(peer, context);
+            self.request_repair(peer, context);
         }
     }
 
-    /// Asks a peer for what this node lacks.
-    pub(super) fn ask_repair(&mut self, peer: NodeId, context: &mut Context<'_>) {
+    /// Requests the records that this node lacks from a peer.
+    pub(super) fn request_repair(&mut self, peer: NodeId, context: &mut Context<'_>) {
         let pairs: Vec<u32> = self
             .shared_digests(peer)
             .into_iter()
@@ -121,8 +124,8 @@
         context.send(peer, MembershipMessage::Compare(pairs));
     }
 
-    /// Answers with the records of the zones whose digests differ. A long answer is cut at a random
-    /// place; the asker asks again.
+    /// Answers with the records of the zones whose digests differ. A long answer is limited to a
+    /// random section; the requesting node repeats its request.
     pub(super) fn answer_compare(
         &mut self,
         from: NodeId,
@@ -142,30 +145,34 @@
             .collect();
         let mut batch = self.records_of(&differing, context);
         if differing.contains(&UPSTREAM_TAG) {
-            batch.1 = self.upstreams.all_news().take(RECORDS_PER_REPAIR).collect();
+            batch.1 = self
+                .upstreams
+                .all_updates()
+                .take(RECORDS_PER_REPAIR)
+                .collect();
         }
         if differing.contains(&ZONE_MARK_TAG) {
-            batch.2 = self.zones.all_news();
+            batch.2 = self.zones.all_updates();
         }
         if !batch.is_empty() {
-            context.send(from, MembershipMessage::News(batch));
+            context.send(from, MembershipMessage::Updates(batch));
         }
     }
 
-    fn records_of(&self, differing: &BTreeSet<u32>, context: &mut Context<'_>) -> NewsBatch {
-        let mut news: Vec<NodeNews> = self
+    fn records_of(&self, differing: &BTreeSet<u32>, context: &mut Context<'_>) -> UpdateBatch {
+        let mut updates: Vec<NodeUpdate> = self
             .rows
             .rows()
             .iter()
-            .filter(|(_, row)| row.record != NodeRecord::UNHEARD)
+            .filter(|(_, row)| row.record != NodeRecord::UNKNOWN)
             .filter(|(_, row)| differing.contains(&zone_tag(row.zone)))
-            .map(|(node, row)| NodeNews::new(*node, &row.record))
+            .map(|(node, row)| NodeUpdate::new(*node, &row.record))
             .collect();
-        if news.len() > RECORDS_PER_REPAIR {
-            let start = context.random.random_range(0..news.len());
-            news.rotate_left(start);
-            news.truncate(RECORDS_PER_REPAIR);
+        if updates.len() > RECORDS_PER_REPAIR {
+            let start = context.random.random_range(0..updates.len());
+            updates.rotate_left(start);
+            updates.truncate(RECORDS_PER_REPAIR);
         }
-        NewsBatch(news, Vec::new(), Vec::new())
+        UpdateBatch(updates, Vec::new(), Vec::new())
     }
 }
--- a/kernel/src/membership/upstream.rs
+++ b/kernel/src/membership/upstream.rs
@@ -1,4 +1,4 @@
-//! Which upstreams are leaving: told once, believed until the upstream is registered anew.
+//! Marks on leaving upstreams. A mark stands until the upstream is back in service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,11 +6,12 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::ids::UpstreamId;
-use crate::membership::message::UpstreamNews;
+use crate::membership::message::UpstreamUpdate;
 use crate::membership::{HostEntry, HostRole};
 
-/// How long an upstream that said itself that it leaves must say the contrary to be believed.
-const RETURN_AFTER: Duration = Duration::from_secs(10);
+/// Time for which an upstream that reported itself as leaving must report the contrary before its
+/// mark is cleared.
+const RETURN_DELAY: Duration = Duration::from_secs(10);
 
 const LEAVING: u8 = 1;
 const BY_REPORT: u8 = 2;
@@ -19,22 +20,22 @@
 struct UpstreamMark {
     version: u32,
     flags: u8,
-    /// The host list showed it leaving, or no longer showed it, since the mark was made.
-    seen_gone: bool,
-    /// Since when its own reports say that it stays.
-    staying_since: Option<Duration>,
+    /// Whether the host list showed the upstream as leaving, or not at all, since it was marked.
+    gone_since_mark: bool,
+    /// Kernel time since which its own reports say that it is not leaving.
+    serving_since: Option<Duration>,
 }
 
-/// A change that other plug-ins must hear of.
+/// A change to raise as an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamChange {
-    /// No new work.
+    /// The upstream is leaving and receives no new work.
     Leaving(UpstreamId),
-    /// It was registered anew.
+    /// The upstream is back in service.
     Returned(UpstreamId),
 }
 
-/// Marks on upstreams. A mark is a register with a version: the greater version wins.
+/// Marks on upstreams. A mark is a versioned register; on a merge the greater version wins.
 #[derive(Debug, Default)]
 pub struct UpstreamTable {
     marks: BTreeMap<UpstreamId, UpstreamMark>,
@@ -52,7 +53,7 @@
             .fold(0, |all, one| all ^ one)
     }
 
-    /// The upstreams that are leaving.
+    /// The upstreams marked as leaving.
     pub fn leaving(&self) -> impl Iterator<Item = UpstreamId> + '_ {
         self.marks
             .iter()
@@ -60,17 +61,17 @@
             .map(|(id, _)| *id)
     }
 
-    /// The news of a mark.
-    pub fn news(&self, id: UpstreamId) -> Option<UpstreamNews> {
+    /// The mark on an upstream as an update; `None` if there is no mark.
+    pub fn update(&self, id: UpstreamId) -> Option<UpstreamUpdate> {
         let mark = self.marks.get(&id)?;
-        Some(UpstreamNews(id, mark.version, mark.flags))
+        Some(UpstreamUpdate(id, mark.version, mark.flags))
     }
 
-    /// All marks.
-    pub fn all_news(&self) -> impl Iterator<Item = UpstreamNews> + '_ {
+    /// All marks as updates.
+    pub fn all_updates(&self) -> impl Iterator<Item = UpstreamUpdate> + '_ {
         self.marks
             .iter()
-            .map(|(id, mark)| UpstreamNews(*id, mark.version, mark.flags))
+            .map(|(id, mark)| UpstreamUpdate(*id, mark.version, mark.flags))
     }
 
     fn is_leaving(&self, id: UpstreamId) -> bool {
@@ -88,12 +89,12 @@
         };
     }
 
-    /// Marks an upstream as leaving.
+    /// Marks an upstream as leaving; `None` if it already was.
     pub fn drain(&mut self, id: UpstreamId) -> Option<UpstreamChange> {
-        self.leave(id, LEAVING)
+        self.mark_leaving(id, LEAVING)
     }
 
-    fn leave(&mut self, id: UpstreamId, flags: u8) -> Option<UpstreamChange> {
+    fn mark_leaving(&mut self, id: UpstreamId, flags: u8) -> Option<UpstreamChange> {
         if self.is_leaving(id) {
             return None;
         }
@@ -101,7 +102,7 @@
         Some(UpstreamChange::Leaving(id))
     }
 
-    /// Takes in an upstream's own word.
+    /// Applies an upstream's own report whether it is leaving; returns the resulting change.
     pub fn report(
         &mut self,
         id: UpstreamId,
@@ -110,24 +111,25 @@
     ) -> Option<UpstreamChange> {
         if leaving {
             if let Some(mark) = self.marks.get_mut(&id) {
-                mark.staying_since = None;
+                mark.serving_since = None;
             }
-            return self.leave(id, LEAVING | BY_REPORT);
+            return self.mark_leaving(id, LEAVING | BY_REPORT);
         }
         let mark = self.marks.get_mut(&id)?;
         if mark.flags != LEAVING | BY_REPORT {
             return None;
         }
-        let since = *mark.staying_since.get_or_insert(now);
-        if now.saturating_sub(since) < RETURN_AFTER {
+        let since = *mark.serving_since.get_or_insert(now);
+        if now.saturating_sub(since) < RETURN_DELAY {
             return None;
         }
         self.set(id, 0);
         Some(UpstreamChange::Returned(id))
     }
 
-    /// Takes in the host list; one without a single upstream is taken for a fault of the platform.
-    pub fn list(&mut self, hosts: &[HostEntry]) -> Vec<UpstreamChange> {
+    /// Applies the host list; returns the resulting changes. A list without any upstream is ignored
+    /// as a fault of the platform.
+    pub fn apply_host_list(&mut self, hosts: &[HostEntry]) -> Vec<UpstreamChange> {
         let listed: BTreeMap<UpstreamId, bool> = hosts
             .iter()
             .filter(|host| host.role == HostRole::Upstream)
@@ -138,31 +140,31 @@
         }
         let leaving = listed.iter().filter(|(_, leaving)| **leaving);
         let mut changes: Vec<UpstreamChange> = leaving
-            .filter_map(|(id, _)| self.leave(*id, LEAVING))
+            .filter_map(|(id, _)| self.mark_leaving(*id, LEAVING))
             .collect();
         let marked: Vec<UpstreamId> = self.leaving().collect();
         for id in marked {
-            changes.extend(self.compare(id, listed.get(&id).copied()));
+            changes.extend(self.reconcile(id, listed.get(&id).copied()));
         }
         changes
     }
 
-    fn compare(&mut self, id: UpstreamId, listed: Option<bool>) -> Option<UpstreamChange> {
+    fn reconcile(&mut self, id: UpstreamId, listed: Option<bool>) -> Option<UpstreamChange> {
         let mark = self.marks.get_mut(&id)?;
         if listed != Some(false) {
-            mark.seen_gone = true;
+            mark.gone_since_mark = true;
             return None;
         }
-        if !mark.seen_gone {
+        if !mark.gone_since_mark {
             return None;
         }
         self.set(id, 0);
         Some(UpstreamChange::Returned(id))
     }
 
-    /// Takes in another node's news; tells whether it was news, and what changed.
-    pub fn merge(&mut self, news: UpstreamNews) -> (bool, Option<UpstreamChange>) {
-        let UpstreamNews(id, version, flags) = news;
+    /// Merges another node's mark; returns whether it was newer, and the resulting change.
+    pub fn merge(&mut self, update: UpstreamUpdate) -> (bool, Option<UpstreamChange>) {
+        let UpstreamUpdate(id, version, flags) = update;
         let known = self.marks.get(&id).copied().unwrap_or_default();
         if (version, flags) <= (known.version, known.flags) {
             return (false, None);
--- a/kernel/src/membership/zone.rs
+++ b/kernel/src/membership/zone.rs
@@ -1,7 +1,7 @@
-//! Talk between zones: bridges compare digests and pass on a heartbeat of each zone.
+//! Gossip between zones: bridges compare digests and propagate a heartbeat counter of each zone.
 //!
-//! A zone that cannot be reached is marked as a whole. Records of its nodes stay as they are, so
-//! that its return costs one mark and not a refutation a node.
+//! An unreachable zone is marked as lost as a whole. The records of its nodes stay unchanged, so
+//! that its return costs one mark instead of one refutation per node.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,23 +10,23 @@
 
 use crate::ids::{NodeId, ZoneId};
 use crate::membership::MembershipTable;
-use crate::membership::message::{MembershipMessage, ZoneNews};
-use crate::membership::outbox::{NewsAudience, NewsKey};
+use crate::membership::message::{MembershipMessage, ZoneUpdate};
+use crate::membership::outbox::{UpdateAudience, UpdateKey};
 use crate::membership::probe::jitter;
 use crate::plugin::Context;
 
-/// Time between two rounds of a bridge, each with one bridge of another zone.
+/// Time between two gossip rounds of a bridge, each with one bridge of another zone.
 pub const BRIDGE_PERIOD: Duration = Duration::from_secs(1);
-/// A zone whose heartbeat stands still for so long is given up.
+/// Time without a new heartbeat after which a zone is marked as lost.
 pub const ZONE_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Share of a bridge's rounds that goes to zones that are given up.
+/// Share of a bridge's rounds that goes to lost zones.
 const LOST_ZONE_SHARE: f64 = 0.25;
 
 #[derive(Clone, Copy, Debug)]
-struct ZoneBeat {
+struct ZoneHeartbeat {
     beat: u32,
-    heard: Duration,
+    received_at: Duration,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -35,28 +35,28 @@
     lost: bool,
 }
 
-/// Heartbeats of zones, as bridges see them, and this zone's marks on other zones.
+/// Heartbeats of all zones as received by bridges, and this zone's marks on other zones.
 #[derive(Debug, Default)]
 pub struct ZoneTable {
-    beats: BTreeMap<ZoneId, ZoneBeat>,
+    beats: BTreeMap<ZoneId, ZoneHeartbeat>,
     marks: BTreeMap<ZoneId, ZoneMark>,
     tags: BTreeMap<u32, ZoneId>,
     next_round: Duration,
     bridge_since: Option<Duration>,
 }
 
-/// Short name of a zone in messages.
+/// Short identifier of a zone in messages.
 pub fn zone_tag(zone: ZoneId) -> u32 {
     zone.0 as u32
 }
 
 impl ZoneTable {
-    /// Whether the zone is given up.
+    /// Whether the zone is marked as lost.
     pub fn is_lost(&self, zone: ZoneId) -> bool {
         self.marks.get(&zone).is_some_and(|mark| mark.lost)
     }
 
-    /// The zones that are given up.
+    /// The zones marked as lost.
     pub fn lost(&self) -> impl Iterator<Item = ZoneId> + '_ {
         self.marks
             .iter()
@@ -64,26 +64,26 @@
             .map(|(zone, _)| *zone)
     }
 
-    /// Names the zones that exist.
-    pub fn name(&mut self, zones: impl Iterator<Item = ZoneId>) {
+    /// Sets the zones that exist; heartbeats of others are ignored.
+    pub fn set_zones(&mut self, zones: impl Iterator<Item = ZoneId>) {
         self.tags = zones.map(|zone| (zone_tag(zone), zone)).collect();
     }
 
-    /// The news of a mark.
-    pub fn news(&self, zone: ZoneId) -> Option<ZoneNews> {
+    /// The current mark on a zone as an update; `None` if there is no mark.
+    pub fn update(&self, zone: ZoneId) -> Option<ZoneUpdate> {
         let mark = self.marks.get(&zone)?;
-        Some(ZoneNews(zone, mark.version, mark.lost))
+        Some(ZoneUpdate(zone, mark.version, mark.lost))
     }
 
-    /// All marks.
-    pub fn all_news(&self) -> Vec<ZoneNews> {
+    /// All marks as updates.
+    pub fn all_updates(&self) -> Vec<ZoneUpdate> {
         self.marks
             .iter()
-            .map(|(zone, mark)| ZoneNews(*zone, mark.version, mark.lost))
+            .map(|(zone, mark)| ZoneUpdate(*zone, mark.version, mark.lost))
             .collect()
     }
 
-    /// Digest of the marks.
+    /// Digest of all marks.
     pub fn digest(&self) -> u64 {
         self.marks.iter().fold(0, |all, (zone, mark)| {
             let word = u64::from(mark.version) << 1 | u64::from(mark.lost);
@@ -91,9 +91,9 @@
         })
     }
 
-    /// Takes in another node's mark; tells whether it was news.
-    pub fn merge(&mut self, news: ZoneNews) -> bool {
-        let ZoneNews(zone, version, lost) = news;
+    /// Merges another node's mark; returns whether it was newer.
+    pub fn merge(&mut self, update: ZoneUpdate) -> bool {
+        let ZoneUpdate(zone, version, lost) = update;
         let mark = self.marks.entry(zone).or_default();
         if (version, lost) <= (mark.version, mark.lost) {
             return false;
@@ -108,42 +108,48 @@
         mark.lost = lost;
     }
 
-    fn hear(&mut self, zone: ZoneId, beat: u32, now: Duration) {
-        let known = self
-            .beats
-            .entry(zone)
-            .or_insert(ZoneBeat { beat, heard: now });
+    fn record_beat(&mut self, zone: ZoneId, beat: u32, now: Duration) {
+        let known = self.beats.entry(zone).or_insert(ZoneHeartbeat {
+            beat,
+            received_at: now,
+        });
         if beat > known.beat {
-            *known = ZoneBeat { beat, heard: now };
+            *known = ZoneHeartbeat {
+                beat,
+                received_at: now,
+            };
         }
     }
 
-    fn advance(&mut self, zone: ZoneId, now: Duration) {
+    fn advance_own_beat(&mut self, zone: ZoneId, now: Duration) {
         let beat = self
             .beats
             .get(&zone)
             .map_or(1, |known| known.beat.saturating_add(1));
-        self.hear(zone, beat, now);
+        self.record_beat(zone, beat, now);
     }
 
-    fn pairs(&self) -> Vec<u32> {
+    fn beat_pairs(&self) -> Vec<u32> {
         self.beats
             .iter()
             .flat_map(|(zone, known)| [zone_tag(*zone), known.beat])
             .collect()
     }
 
-    fn verdict(&self, zone: ZoneId, now: Duration) -> Option<bool> {
+    fn detect_loss(&self, zone: ZoneId, now: Duration) -> Option<bool> {
         let since = self.bridge_since?;
-        let heard = self.beats.get(&zone).map_or(since, |known| known.heard);
-        let lost = now.saturating_sub(heard.max(since)) > ZONE_TIMEOUT;
-        let known_since = heard > since;
-        (lost || known_since).then_some(lost)
+        let last_beat = self
+            .beats
+            .get(&zone)
+            .map_or(since, |known| known.received_at);
+        let lost = now.saturating_sub(last_beat.max(since)) > ZONE_TIMEOUT;
+        let renewed = last_beat > since;
+        (lost || renewed).then_some(lost)
     }
 }
 
 impl MembershipTable {
-    /// Does what is due between zones, if this node is a bridge.
+    /// Runs the periodic gossip between zones if this node is a bridge.
     pub(super) fn tick_zones(&mut self, context: &mut Context<'_>) {
         if self.group.rank.is_none() {
             self.zones.bridge_since = None;
@@ -155,26 +161,27 @@
         }
         self.zones.next_round = context.now + jitter(BRIDGE_PERIOD, context);
         if self.group.rank == Some(0) {
-            self.zones.advance(context.profile.zone, context.now);
-            self.judge_zones(context);
+            self.zones
+                .advance_own_beat(context.profile.zone, context.now);
+            self.update_marks(context);
         }
         if let Some(peer) = self.random_bridge(context) {
             self.send_bridge(peer, true, context);
         }
     }
 
-    /// A bridge of another zone. Zones that are given up get a share of the rounds only, so that
-    /// the zones on this side of a cut still hear of each other often.
+    /// A random bridge of another zone. Lost zones receive only a share of the rounds, so that the
+    /// zones on this side of a network partition still exchange heartbeats often.
     fn random_bridge(&self, context: &mut Context<'_>) -> Option<NodeId> {
         let own = context.profile.zone;
         let others = self.group.bridges.iter().filter(|(zone, _)| **zone != own);
-        let (lost, heard): (Vec<_>, Vec<_>) =
+        let (lost, reachable): (Vec<_>, Vec<_>) =
             others.partition(|(zone, _)| self.zones.is_lost(**zone));
         let try_lost = context.random.random_bool(LOST_ZONE_SHARE);
-        let zones = if heard.is_empty() || (try_lost && !lost.is_empty()) {
+        let zones = if reachable.is_empty() || (try_lost && !lost.is_empty()) {
             lost
         } else {
-            heard
+            reachable
         };
         if zones.is_empty() {
             return None;
@@ -186,33 +193,34 @@
 
     fn send_bridge(&mut self, to: NodeId, answer: bool, context: &mut Context<'_>) {
         let digest = self.digest_for(to);
-        let message = MembershipMessage::Bridge(answer, digest, self.zones.pairs());
+        let message = MembershipMessage::Bridge(answer, digest, self.zones.beat_pairs());
         context.send(to, message);
     }
 
-    fn judge_zones(&mut self, context: &mut Context<'_>) {
+    fn update_marks(&mut self, context: &mut Context<'_>) {
         let zones: Vec<ZoneId> = self.zones.tags.values().copied().collect();
         for zone in zones {
             if zone == context.profile.zone {
                 continue;
             }
-            let Some(lost) = self.zones.verdict(zone, context.now) else {
+            let Some(lost) = self.zones.detect_loss(zone, context.now) else {
                 continue;
             };
             if lost != self.zones.is_lost(zone) {
                 self.zones.set(zone, lost);
-                let audience = NewsAudience {
+                let audience = UpdateAudience {
                     group: true,
-                    world: false,
+                    other_zones: false,
                 };
-                self.outbox.add(NewsKey::Zone(zone), audience, context.now);
+                self.outbox
+                    .add(UpdateKey::Zone(zone), audience, context.now);
                 self.dirty = true;
             }
         }
     }
 
-    /// Takes in another zone's heartbeats, and answers if that is wanted.
-    pub(super) fn take_bridge(
+    /// Merges the heartbeats from another zone's bridge, and answers if requested.
+    pub(super) fn handle_bridge(
         &mut self,
         from: NodeId,
         answer: bool,
@@ -221,7 +229,7 @@
     ) {
         for pair in beats.chunks_exact(2) {
             if let Some(zone) = self.zones.tags.get(&pair[0]).copied() {
-                self.zones.hear(zone, pair[1], context.now);
+                self.zones.record_beat(zone, pair[1], context.now);
             }
         }
         if answer {
--- a/kernel/src/placement.rs
+++ b/kernel/src/placement.rs
@@ -1,9 +1,11 @@
-//! The plug-in that places engines: when one pool's demand stays high and another's low, an engine
-//! that may serve both is ordered to load the first one's model, and then serves it.
+//! The plug-in that moves engines between pools: while one pool's demand stays high and another's
+//! stays low, an engine that may serve both is ordered to load the first pool's model and then
+//! serves that pool.
 //!
-//! Demand is taken from the queue summaries on the owners' answers. Hysteresis: a pool must be
-//! high, or low, for a while; one engine moves at a time, and stays where it is for a while. The
-//! move itself is a document on the log, so every node routes alike.
+//! Demand is computed from the queue summaries in the owners' responses. Hysteresis prevents
+//! flapping: demand must stay high or low for a minimum time, one engine moves at a time, and an
+//! engine stays in its pool for a minimum time. The move itself is a document on the log, so that
+//! all nodes route alike.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,85 +26,85 @@
 use crate::record::{ChangeRecord, DocumentChange};
 use crate::wire::{Message, WorkMessage};
 
-/// Work running and waiting, as a share of the slots, from which a pool's demand is high.
-const HIGH: f64 = 1.2;
+/// A pool's demand is high from this ratio of running and queued work to slots.
+const HIGH_PRESSURE: f64 = 1.2;
 
-/// The share up to which it is low.
-const LOW: f64 = 0.5;
+/// A pool's demand is low up to this ratio of running and queued work to slots.
+const LOW_PRESSURE: f64 = 0.5;
 
-/// How long demand must stay high before an engine moves there.
-const HIGH_FOR: Duration = Duration::from_mins(1);
+/// Time for which a pool's demand must stay high before an engine moves to it.
+const MIN_HIGH_TIME: Duration = Duration::from_mins(1);
 
-/// How long demand must stay low before an engine moves away.
-const LOW_FOR: Duration = Duration::from_mins(2);
+/// Time for which a pool's demand must stay low before an engine moves away from it.
+const MIN_LOW_TIME: Duration = Duration::from_mins(2);
 
-/// Least time between two moves of one engine.
-const STAY: Duration = Duration::from_mins(10);
+/// Minimum time between two moves of one engine.
+const MOVE_COOLDOWN: Duration = Duration::from_mins(10);
 
-/// How long a move may take.
-const MOVE_WAIT: Duration = Duration::from_mins(5);
+/// Time after which a move without a result is abandoned.
+const MOVE_TIMEOUT: Duration = Duration::from_mins(5);
 
-/// A queue summary is used for this long.
-const FRESH: Duration = Duration::from_secs(10);
+/// Age at which a queue summary expires.
+const LOAD_TTL: Duration = Duration::from_secs(10);
 
-/// Time between two looks at the demand.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+/// Time between two evaluations of demand.
+const EVALUATION_PERIOD: Duration = Duration::from_secs(1);
 
-/// Open calls whose pool is remembered.
-const MAX_CALLS: usize = 65_536;
+/// Maximum number of open calls whose pool is retained.
+const MAX_OPEN_CALLS: usize = 65_536;
 
-/// The version that an engine is asked to load: whichever the weight store has as newest.
-const NEWEST: &str = "newest";
+/// Version in the load order: the newest in the weight store.
+const NEWEST_VERSION: &str = "newest";
 
-/// Since when a pool's demand has been high or low.
+/// How long a pool's demand has been high or low.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolDemand {
-    /// High since.
+    /// Kernel time since which demand has been high; `None` if it is not high.
     pub high_since: Option<Duration>,
-    /// Low since.
+    /// Kernel time since which demand has been low; `None` if it is not low.
     pub low_since: Option<Duration>,
 }
 
 impl PoolDemand {
-    /// Takes the newest share of work running and waiting to slots.
-    pub fn see(&mut self, pressure: f64, now: Duration) {
-        self.high_since = (pressure >= HIGH).then(|| self.high_since.unwrap_or(now));
-        self.low_since = (pressure <= LOW).then(|| self.low_since.unwrap_or(now));
+    /// Records the current ratio of running and queued work to slots.
+    pub fn update(&mut self, pressure: f64, now: Duration) {
+        self.high_since = (pressure >= HIGH_PRESSURE).then(|| self.high_since.unwrap_or(now));
+        self.low_since = (pressure <= LOW_PRESSURE).then(|| self.low_since.unwrap_or(now));
     }
 
     fn is_high(&self, now: Duration) -> bool {
         self.high_since
-            .is_some_and(|since| now.saturating_sub(since) >= HIGH_FOR)
+            .is_some_and(|since| now.saturating_sub(since) >= MIN_HIGH_TIME)
     }
 
     fn is_low(&self, now: Duration) -> bool {
         self.low_since
-            .is_some_and(|since| now.saturating_sub(since) >= LOW_FOR)
+            .is_some_and(|since| now.saturating_sub(since) >= MIN_LOW_TIME)
     }
 }
 
-/// An engine on its way to another pool.
+/// The move of an engine to another pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementMove {
-    /// The engine.
+    /// The engine that moves.
     pub upstream: UpstreamId,
-    /// The pool's name.
+    /// Name of the pool that it moves to.
     pub to: Box<str>,
 }
 
-/// The move to make now, if any. A pool is never left without an engine.
+/// Selects the move to start now; `None` if there is none. Never takes the last engine of a pool.
 pub fn decide(
     config: &Config,
     demand: &BTreeMap<PoolId, PoolDemand>,
-    moved: &BTreeMap<UpstreamId, Duration>,
+    moved_at: &BTreeMap<UpstreamId, Duration>,
     now: Duration,
 ) -> Option<PlacementMove> {
-    let rested = |id: &UpstreamId| {
-        moved
+    let has_cooled_down = |id: &UpstreamId| {
+        moved_at
             .get(id)
-            .is_none_or(|since| now.saturating_sub(*since) >= STAY)
+            .is_none_or(|since| now.saturating_sub(*since) >= MOVE_COOLDOWN)
     };
-    let spare = |upstream: &Upstream| {
+    let may_leave = |upstream: &Upstream| {
         let low = demand
             .get(&upstream.pool)
             .is_some_and(|demand| demand.is_low(now));
@@ -111,7 +113,7 @@
             .get(&upstream.pool)
             .is_some_and(|all| all.len() > 1)
     };
-    let wanted = |upstream: &Upstream| {
+    let target_pool = |upstream: &Upstream| {
         let spec = &upstream.spec;
         let mut pools = std::iter::once(&spec.pool).chain(&spec.also);
         pools
@@ -125,16 +127,18 @@
     config
         .upstreams
         .iter()
-        .filter(|(id, upstream)| !upstream.spec.also.is_empty() && rested(id) && spare(upstream))
+        .filter(|(id, upstream)| {
+            !upstream.spec.also.is_empty() && has_cooled_down(id) && may_leave(upstream)
+        })
         .find_map(|(id, upstream)| {
             Some(PlacementMove {
                 upstream: *id,
-                to: wanted(upstream)?,
+                to: target_pool(upstream)?,
             })
         })
 }
 
-/// Watches demand, and moves one engine at a time.
+/// Monitors the demand of all pools and moves one engine at a time.
 #[derive(Debug, Default)]
 pub struct EnginePlacer {
     config: Arc<Config>,
@@ -142,14 +146,14 @@
     calls: BTreeMap<CallId, PoolId>,
     loads: BTreeMap<(PoolId, NodeId), (LoadSummary, Duration)>,
     demand: BTreeMap<PoolId, PoolDemand>,
-    moved: BTreeMap<UpstreamId, Duration>,
+    moved_at: BTreeMap<UpstreamId, Duration>,
     moving: Option<(PlacementMove, Duration)>,
-    look_at: Duration,
+    evaluate_at: Duration,
     published: u64,
 }
 
 impl EnginePlacer {
-    fn learn(&mut self, pool: PoolId, from: NodeId, load: LoadSummary, now: Duration) {
+    fn set_load(&mut self, pool: PoolId, from: NodeId, load: LoadSummary, now: Duration) {
         self.loads.insert((pool, from), (load, now));
     }
 
@@ -165,41 +169,42 @@
         f64::from(work) / f64::from(slots.max(1))
     }
 
-    fn look(&mut self, now: Duration) {
+    fn evaluate_demand(&mut self, now: Duration) {
         self.loads
-            .retain(|_, (_, seen)| now.saturating_sub(*seen) < FRESH);
+            .retain(|_, (_, seen)| now.saturating_sub(*seen) < LOAD_TTL);
         let pools: Vec<PoolId> = self.config.pools.keys().copied().collect();
         self.demand.retain(|pool, _| pools.contains(pool));
         for pool in pools {
             let pressure = self.pressure(pool);
-            self.demand.entry(pool).or_default().see(pressure, now);
+            self.demand.entry(pool).or_default().update(pressure, now);
         }
     }
 
     fn tick(&mut self, context: &mut Context<'_>) {
         let now = context.now;
-        if now < self.look_at {
+        if now < self.evaluate_at {
             return;
         }
-        self.look_at = now + LOOK_EVERY;
-        self.look(now);
-        let late = |(_, since): &(PlacementMove, Duration)| now.saturating_sub(*since) > MOVE_WAIT;
-        if self.moving.as_ref().is_some_and(late) {
+        self.evaluate_at = now + EVALUATION_PERIOD;
+        self.evaluate_demand(now);
+        let timed_out =
+            |(_, since): &(PlacementMove, Duration)| now.saturating_sub(*since) > MOVE_TIMEOUT;
+        if self.moving.as_ref().is_some_and(timed_out) {
             self.moving = None;
         }
-        let first = rank(&self.view, context.profile.node, CLAIM_OCCASION) == 0;
-        if !first || self.moving.is_some() {
+        let is_first = rank(&self.view, context.profile.node, CLAIM_OCCASION) == 0;
+        if !is_first || self.moving.is_some() {
             return;
         }
-        let Some(chosen) = decide(&self.config, &self.demand, &self.moved, now) else {
+        let Some(chosen) = decide(&self.config, &self.demand, &self.moved_at, now) else {
             return;
         };
         context.raise(Event::OrderRequested(order_for(&chosen)));
-        self.moved.insert(chosen.upstream, now);
+        self.moved_at.insert(chosen.upstream, now);
         self.moving = Some((chosen, now));
     }
 
-    fn order_ended(
+    fn finish_move(
         &mut self,
         request: &OrderRequest,
         outcome: OrderOutcome,
@@ -242,7 +247,7 @@
         upstream: chosen.upstream,
         order: EngineOrder::LoadModel {
             model: chosen.to.clone(),
-            version: NEWEST.into(),
+            version: NEWEST_VERSION.into(),
         },
     }
 }
@@ -254,7 +259,7 @@
             Event::MembersChanged(view) => self.view = Arc::clone(view),
             Event::CallAdmitted { spec, .. } => {
                 self.calls.insert(spec.call, spec.pool);
-                if self.calls.len() > MAX_CALLS {
+                if self.calls.len() > MAX_OPEN_CALLS {
                     self.calls.pop_first();
                 }
             }
@@ -268,16 +273,16 @@
                 WorkMessage::Ended { attempt, load, .. }
                 | WorkMessage::Returned { attempt, load, .. } => {
                     if let Some(pool) = self.calls.get(&attempt.call).copied() {
-                        self.learn(pool, *from, *load, context.now);
+                        self.set_load(pool, *from, *load, context.now);
                     }
                 }
-                WorkMessage::Load { pool, load } => self.learn(*pool, *from, *load, context.now),
+                WorkMessage::Load { pool, load } => self.set_load(*pool, *from, *load, context.now),
                 _ => {}
             },
             Event::PeerMessage {
                 message: Message::Order(OrderMessage::Ended { request, outcome }),
                 ..
-            } => self.order_ended(request, *outcome, context),
+            } => self.finish_move(request, *outcome, context),
             Event::Tick => self.tick(context),
             _ => {}
         }
@@ -290,12 +295,12 @@
             .iter()
             .map(|(id, pool)| {
                 let demand = self.demand.get(id).copied().unwrap_or_default();
-                let told = json!({
+                let section = json!({
                     "pressure": self.pressure(*id),
                     "high_since": demand.high_since,
                     "low_since": demand.low_since,
                 });
-                (pool.name.to_string(), told)
+                (pool.name.to_string(), section)
             })
             .collect();
         let moving = self.moving.as_ref().map(|(chosen, _)| &chosen.to);
--- a/kernel/src/routing.rs
+++ b/kernel/src/routing.rs
@@ -1,18 +1,20 @@
-//! The plug-in of the entry node: chooses the owner that a call goes to and ends each call once.
+//! The entry node's plug-in: chooses the owner that each call is offered to, and reports exactly
+//! one outcome per call.
 //!
-//! A call ends in exactly one of: the whole answer; `not_run`, only if nothing of it ran; `unknown`.
-//! A call that may not be repeated is offered to another owner only while nothing of it can have
-//! run. Any other call goes on elsewhere from the tokens that its caller has.
+//!
+//! The outcome is one of: the whole response; `not_run`, only if no part of the call ran;
+//! `unknown`. A call that is not repeatable is offered to another owner only while no part of it
+//! can have run. Any other call is resumed elsewhere after the tokens that its caller already has.
 
-mod answers;
 pub mod attempt;
+mod checks;
 mod keyed;
 mod load;
 mod offers;
 pub mod open;
 pub mod owners;
 pub mod retry;
-mod watch;
+mod updates;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -25,24 +27,24 @@
 use crate::event::{Action, Event};
 use crate::ids::{CallId, NodeId};
 use crate::keys::KeyChecker;
-use crate::keys::memory::{CallOrigin, KeyMemory};
+use crate::keys::outcomes::{CallOrigin, KeyOutcomes};
 use crate::membership::{MemberView, NodeState};
 use crate::ownership::OwnerMap;
 use crate::plugin::{Context, GaugeSample, NodeProfile, Plugin, Registration};
 use crate::routing::open::{OpenCall, RelayedCall};
-use crate::routing::owners::OwnerBoard;
+use crate::routing::owners::OwnerTable;
 use crate::routing::retry::RetryBudget;
 use crate::wire::{Message, RelayMessage};
 
-/// What is done with an urgent call that waits long at its owner while another seems to have room.
+/// What happens to an urgent call that waits long at its owner while another owner has capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WaitPolicy {
-    /// Nothing.
+    /// It keeps waiting.
     Stay,
-    /// It is taken back and offered to the other.
+    /// It is withdrawn and offered to the other owner.
     #[default]
     Move,
-    /// It is offered to the other as well; the first to start answers (hedging).
+    /// It is offered to the other owner as well, and the first to start responds (hedging).
     Hedge,
 }
 
@@ -55,40 +57,40 @@
     hedges: u64,
 }
 
-/// Calls that entered at this node and are not over.
+/// Routes the calls that entered at this node and have not ended.
 pub struct CallRouter {
     waiting: WaitPolicy,
     config: Arc<Config>,
     owners: Arc<OwnerMap>,
     view: Arc<MemberView>,
-    board: OwnerBoard,
+    table: OwnerTable,
     budget: RetryBudget,
     calls: BTreeMap<CallId, OpenCall>,
     relayed: BTreeMap<CallId, RelayedCall>,
     joined: BTreeSet<CallId>,
-    wakes: BTreeSet<(Duration, CallId)>,
+    checks: BTreeSet<(Duration, CallId)>,
     checker: KeyChecker,
-    memory: KeyMemory,
+    outcomes: KeyOutcomes,
     leaving: bool,
     totals: RouterTotals,
 }
 
 impl CallRouter {
-    /// A router for a node's run.
+    /// A router for a node's run, with the given policy for waiting calls.
     pub fn new(profile: &NodeProfile, waiting: WaitPolicy) -> Self {
         Self {
             waiting,
             config: Arc::default(),
             owners: Arc::default(),
             view: Arc::default(),
-            board: OwnerBoard::default(),
+            table: OwnerTable::default(),
             budget: RetryBudget::default(),
             calls: BTreeMap::new(),
             relayed: BTreeMap::new(),
             joined: BTreeSet::new(),
-            wakes: BTreeSet::new(),
+            checks: BTreeSet::new(),
             checker: KeyChecker::new(profile),
-            memory: KeyMemory::default(),
+            outcomes: KeyOutcomes::default(),
             leaving: false,
             totals: RouterTotals::default(),
         }
@@ -96,34 +98,35 @@
 
     fn rebuild(&mut self, context: &Context<'_>) {
         let zone = context.profile.zone;
-        self.board
+        self.table
             .rebuild(&self.config, &self.owners, &self.view, zone);
     }
 
-    /// Ends a call that this node holds.
+    /// Ends a call that this node is responsible for, together with its repeats.
     fn finish(&mut self, call: CallId, outcome: CallOutcome, context: &mut Context<'_>) {
         let Some(open) = self.calls.remove(&call) else {
             return;
         };
-        self.wakes.remove(&(open.wake, call));
+        self.checks.remove(&(open.next_check, call));
         for attempt in open.attempts() {
-            self.board.closed(open.spec.pool, attempt.owner);
+            self.table.record_close(open.spec.pool, attempt.owner);
         }
-        self.settle(call, open.origin, outcome, context);
+        self.send_outcome(call, open.origin, outcome, context);
         let Some(sequence) = open.key else {
             return;
         };
-        for (repeat, origin) in self.memory.end(sequence, outcome, context.now) {
+        for (repeat, origin) in self.outcomes.record_outcome(sequence, outcome, context.now) {
             self.joined.remove(&repeat);
-            self.settle(repeat, origin, outcome, context);
+            self.send_outcome(repeat, origin, outcome, context);
         }
         if !matches!(outcome, CallOutcome::Whole { .. }) {
-            context.act(Action::ForgetAnswer(call));
+            context.act(Action::DiscardAnswer(call));
         }
     }
 
-    /// Tells everyone concerned that a call is over.
-    fn settle(
+    /// Reports the outcome of a call to its caller, the node that relayed it and the other
+    /// plug-ins.
+    fn send_outcome(
         &mut self,
         call: CallId,
         origin: CallOrigin,
@@ -142,7 +145,7 @@
         context.raise(Event::CallFinished(call));
     }
 
-    /// Nodes whose run that was known before is over.
+    /// Nodes whose last known run has ended.
     fn ended_runs(&self, view: &MemberView, own: NodeId) -> Vec<NodeId> {
         let over = |node: &NodeId, run: u64| {
             view.members.get(node).is_none_or(|member| {
@@ -163,7 +166,7 @@
         self.view = Arc::clone(view);
         self.rebuild(context);
         for node in ended {
-            self.node_gone(node, context);
+            self.withdraw_from_node(node, context);
         }
     }
 }
@@ -184,10 +187,10 @@
                 sent,
             } => self.attempt_lost(*attempt, *tokens, *sent, context),
             Event::LinkDown(node) => {
-                self.board.link_down(*node, context.now);
-                self.minter_gone(*node, context);
+                self.table.link_down(*node, context.now);
+                self.end_relayed_to(*node, context);
             }
-            Event::LinkUp(node) => self.board.link_up(*node),
+            Event::LinkUp(node) => self.table.link_up(*node),
             Event::Tick => self.tick(context),
             Event::ConfigApplied(config) => {
                 self.config = Arc::clone(config);
@@ -210,11 +213,11 @@
     fn dump(&self) -> Value {
         json!({
             "open_calls": self.calls.len(),
-            "open_offers": self.board.open(),
+            "open_offers": self.table.open(),
             "relayed_calls": self.relayed.len(),
-            "timers": self.wakes.len(),
-            "keys_remembered": self.memory.len(),
-            "answers_kept": self.memory.answers(),
+            "timers": self.checks.len(),
+            "keys_remembered": self.outcomes.len(),
+            "answers_kept": self.outcomes.answers(),
             "repeats_waiting": self.joined.len(),
             "reduced_retry_budgets": self.budget.len(),
             "retries": self.totals.retries,
@@ -251,7 +254,7 @@
                 "keys_remembered",
                 "Idempotency keys whose outcome is remembered.",
                 "",
-                self.memory.len() as f64,
+                self.outcomes.len() as f64,
             ),
         ]
     }
--- a/kernel/src/routing/watch.rs
+++ b/kernel/src/routing/checks.rs
@@ -1,4 +1,4 @@
-//! Looking at open calls again when their time has come.
+//! Periodic checks of open calls: queries to owners, moving and hedging of waiting calls.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,56 +13,56 @@
 use crate::routing::{CallRouter, WaitPolicy};
 use crate::wire::WorkMessage;
 
-/// Time between two questions when the first found no answer.
-const ASK_AGAIN: Duration = Duration::from_secs(2);
-/// Questions without an answer after which an owner is given up.
+/// Time between queries while the owner does not reply.
+const QUERY_RETRY: Duration = Duration::from_secs(2);
+/// Unanswered queries after which an attempt is withdrawn or a relayed call is given up.
 pub(super) const MAX_UNANSWERED: u32 = 3;
-/// Longest time between two questions.
-const MAX_PATIENCE: Duration = Duration::from_mins(5);
-/// Time that an owner has to confirm that it dropped a cancelled call.
+/// Longest time between two queries.
+const MAX_QUERY_INTERVAL: Duration = Duration::from_mins(5);
+/// Time for an owner to confirm that it dropped a cancelled call.
 const CANCEL_TIME: Duration = Duration::from_secs(5);
 /// The most urgent tier, whose calls are moved when they wait long at an owner.
 const MOVED_TIER: Tier = Tier(0);
-/// Share of the time left at the offer after which such a call is moved.
+/// Fraction of the time left at the offer after which such a call is moved.
 const MOVE_SHARE: f64 = 0.5;
 
-type Questions = BTreeMap<NodeId, Vec<AttemptId>>;
+type QueryBatch = BTreeMap<NodeId, Vec<AttemptId>>;
 
 impl CallRouter {
-    /// Looks at each call whose time has come.
+    /// Checks each call that is due.
     pub(super) fn tick(&mut self, context: &mut Context<'_>) {
-        let mut questions = Questions::new();
-        while let Some(&(due, call)) = self.wakes.first() {
+        let mut queries = QueryBatch::new();
+        while let Some(&(due, call)) = self.checks.first() {
             if due > context.now {
                 break;
             }
-            self.wakes.pop_first();
+            self.checks.pop_first();
             if self.calls.contains_key(&call) {
-                self.look_at(call, &mut questions, context);
+                self.check_call(call, &mut queries, context);
             } else {
-                self.look_at_relayed(call, context);
+                self.check_relayed(call, context);
             }
         }
-        for (owner, attempts) in questions {
+        for (owner, attempts) in queries {
             context.send(owner, WorkMessage::Ask(attempts));
         }
-        for call in self.memory.forget(context.now) {
-            context.act(Action::ForgetAnswer(call));
+        for call in self.outcomes.expire(context.now) {
+            context.act(Action::DiscardAnswer(call));
         }
     }
 
-    /// Sets the next time at which a call without an open try is looked at.
-    pub(super) fn wake_at(&mut self, call: CallId, due: Duration) {
+    /// Schedules the next check of a call without an open attempt.
+    pub(super) fn check_at(&mut self, call: CallId, due: Duration) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
         };
-        self.wakes.remove(&(open.wake, call));
-        open.wake = due;
-        self.wakes.insert((due, call));
+        self.checks.remove(&(open.next_check, call));
+        open.next_check = due;
+        self.checks.insert((due, call));
     }
 
-    /// Sets the next time at which a call with an open try is looked at.
-    pub(super) fn watch(&mut self, call: CallId, now: Duration) {
+    /// Schedules the next check of a call with an open attempt.
+    pub(super) fn schedule_check(&mut self, call: CallId, now: Duration) {
         let Some(open) = self.calls.get(&call) else {
             return;
         };
@@ -74,11 +74,11 @@
                 .min()
                 .unwrap_or(now)
         };
-        // Never within the same tick, which would look at it for ever.
-        self.wake_at(call, due.max(now + Duration::from_millis(1)));
+        // A check within the same tick would repeat without end.
+        self.check_at(call, due.max(now + Duration::from_millis(1)));
     }
 
-    fn look_at(&mut self, call: CallId, questions: &mut Questions, context: &mut Context<'_>) {
+    fn check_call(&mut self, call: CallId, queries: &mut QueryBatch, context: &mut Context<'_>) {
         let Some(open) = self.calls.get(&call) else {
             return;
         };
@@ -93,16 +93,17 @@
         let attempt_id = open.attempt_id(attempt.number);
         if matches!(attempt.phase, AttemptPhase::Withdrawn { .. }) {
             context.act(Action::WithdrawAttempt(attempt_id));
-            self.watch(call, context.now);
+            self.schedule_check(call, context.now);
         } else if self.may_move(open, &attempt, context.now) {
-            self.move_on(call, attempt, context);
+            self.move_or_hedge(call, attempt, context);
         } else {
-            self.ask(call, questions, context);
+            self.query_owners(call, queries, context);
         }
     }
 
-    /// Notes a question to the owner of each open try, or gives up one that answers none.
-    fn ask(&mut self, call: CallId, questions: &mut Questions, context: &mut Context<'_>) {
+    /// Adds a query to the owner of each open attempt, or withdraws an attempt whose owner does not
+    /// reply.
+    fn query_owners(&mut self, call: CallId, queries: &mut QueryBatch, context: &mut Context<'_>) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
         };
@@ -117,16 +118,16 @@
                 continue;
             }
             attempt.unanswered += 1;
-            questions.entry(attempt.owner).or_default().push(id);
+            queries.entry(attempt.owner).or_default().push(id);
         }
         for attempt in silent {
             self.withdraw(attempt, context);
         }
-        self.watch(call, context.now);
+        self.schedule_check(call, context.now);
     }
 
-    /// Takes in which tries an owner holds.
-    pub(super) fn told_held(
+    /// Applies an owner's reply to a query. Attempts that the owner does not have are withdrawn.
+    pub(super) fn update_held(
         &mut self,
         held: &[AttemptId],
         missing: &[AttemptId],
@@ -138,8 +139,8 @@
             };
             if let Some(found) = open.find(attempt.number) {
                 found.unanswered = 0;
-                found.patience = (found.patience * 2).min(MAX_PATIENCE);
-                self.watch(attempt.call, context.now);
+                found.query_interval = (found.query_interval * 2).min(MAX_QUERY_INTERVAL);
+                self.schedule_check(attempt.call, context.now);
             }
         }
         for attempt in missing {
@@ -147,19 +148,19 @@
         }
     }
 
-    /// An urgent call waits long at its owner: tries another that seems to have room.
-    fn move_on(&mut self, call: CallId, attempt: OpenAttempt, context: &mut Context<'_>) {
+    /// Moves or hedges an urgent call that waits long at its owner, if another owner has capacity.
+    fn move_or_hedge(&mut self, call: CallId, attempt: OpenAttempt, context: &mut Context<'_>) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
         };
-        // One move a call: from here on it is watched like any other.
+        // A call is moved once; after that it is checked like any other.
         open.tried.push(attempt.owner);
         let (spec, tried) = (open.spec, open.tried.clone());
         let room = self
-            .board
-            .has_room(&spec, &tried, context.now, context.random);
+            .table
+            .has_capacity(&spec, &tried, context.now, context.random);
         if !room || !self.budget.spend(spec.workspace, spec.class) {
-            self.watch(call, context.now);
+            self.schedule_check(call, context.now);
         } else if self.waiting == WaitPolicy::Hedge {
             self.hedge(call, context);
         } else {
@@ -177,15 +178,15 @@
         };
         let spec = open.offer_spec(context.now);
         let owner = self
-            .board
+            .table
             .choose(&spec, &open.tried, context.now, context.random);
         if let Some(owner) = owner {
             let attempt = send_offer(open, owner, context);
             open.hedge = Some(attempt);
-            self.board.offered(spec.pool, owner);
+            self.table.record_offer(spec.pool, owner);
             self.totals.hedges += 1;
         }
-        self.watch(call, context.now);
+        self.schedule_check(call, context.now);
     }
 
     fn may_move(&self, open: &OpenCall, attempt: &OpenAttempt, now: Duration) -> bool {
@@ -203,16 +204,16 @@
 
     fn wait_time(&self, open: &OpenCall, attempt: &OpenAttempt, now: Duration) -> Duration {
         let withdrawn = matches!(attempt.phase, AttemptPhase::Withdrawn { .. });
-        let question = if attempt.unanswered > 0 || withdrawn {
-            ASK_AGAIN
+        let query = if attempt.unanswered > 0 || withdrawn {
+            QUERY_RETRY
         } else {
-            attempt.patience
+            attempt.query_interval
         };
         if !self.movable(open, attempt) {
-            return question;
+            return query;
         }
         let moved = (attempt.offered + move_time(open)).saturating_sub(now);
-        question.min(moved)
+        query.min(moved)
     }
 }
 
--- a/kernel/src/routing/offers.rs
+++ b/kernel/src/routing/offers.rs
@@ -1,4 +1,4 @@
-//! Offering a call to an owner, first or again, and giving it up.
+//! Offers of a call to an owner, first or repeated, and the end of a call that no owner accepts.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use crate::event::Action;
 use crate::ids::{CallId, NodeId};
 use crate::keys::RequestKey;
-use crate::keys::memory::CallOrigin;
+use crate::keys::outcomes::CallOrigin;
 use crate::plugin::Context;
 use crate::routing::CallRouter;
 use crate::routing::attempt::{AttemptPhase, NotRunCause, OpenAttempt};
@@ -14,28 +14,30 @@
 use crate::routing::retry::backoff;
 use crate::wire::WorkMessage;
 
-/// Tries of one call before it is given up.
+/// Attempts of one call before it is given up.
 const MAX_ATTEMPTS: u32 = 10;
-/// Time for which a call waits for some owner of its pool to appear.
+/// Time for which a call waits until its pool has a reachable owner.
 const SEARCH_TIME: Duration = Duration::from_secs(5);
-/// When the caller should come back, if nothing better is known.
+/// `retry_after` of a call that did not run, unless a better value is known.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Shortest and longest time without news after which an owner is first asked for a try.
-const PATIENCE: [Duration; 2] = [Duration::from_secs(2), Duration::from_secs(30)];
+/// Shortest and longest time without a message after which an owner is first queried about an
+/// attempt.
+const QUERY_INTERVALS: [Duration; 2] = [Duration::from_secs(2), Duration::from_secs(30)];
 
-/// How soon and at what cost a call is tried again.
+/// When a call is retried, and whether the retry budget pays for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RetryKind {
-    /// The owner was the wrong one; no work was done.
+    /// The owner was the wrong one and did no work: free, and without delay the first time.
     Reroute,
-    /// The caller has a part of the answer and cannot repeat the call without losing it.
+    /// The caller has part of the response, which a retry of its own would lose: free, and without
+    /// delay the first time.
     Resume,
-    /// Anything else: paid from the budget.
+    /// Any other retry: paid from the budget and delayed.
     Paid,
 }
 
 impl CallRouter {
-    /// Takes in a call that is within its workspace's limits.
+    /// Admits a call that is within its workspace's limits.
     pub(super) fn admit(
         &mut self,
         spec: CallSpec,
@@ -51,13 +53,13 @@
             self.admit_keyed(spec, key, CallOrigin::Caller, context);
         } else if self.leaving {
             let outcome = not_run(RefusalReason::Leaving, Some(Duration::ZERO));
-            self.settle(spec.call, CallOrigin::Caller, outcome, context);
+            self.send_outcome(spec.call, CallOrigin::Caller, outcome, context);
         } else {
             self.open(spec, CallOrigin::Caller, None, context);
         }
     }
 
-    /// Opens a call and offers it.
+    /// Registers a call and offers it to an owner.
     pub(super) fn open(
         &mut self,
         spec: CallSpec,
@@ -71,7 +73,7 @@
         self.offer(spec.call, context);
     }
 
-    /// Offers a call that has no open try to the owner that suits best.
+    /// Offers a call without an open attempt to the best owner.
     pub(super) fn offer(&mut self, call: CallId, context: &mut Context<'_>) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
@@ -83,12 +85,12 @@
         }
         let offered = open.offer_spec(context.now);
         let mut owner = self
-            .board
+            .table
             .choose(&offered, &open.tried, context.now, context.random);
         if owner.is_none() && !open.tried.is_empty() {
             open.tried.clear();
             owner = self
-                .board
+                .table
                 .choose(&offered, &[], context.now, context.random);
         }
         let Some(owner) = owner else {
@@ -98,17 +100,17 @@
         open.searching = None;
         let attempt = send_offer(open, owner, context);
         open.attempt = Some(attempt);
-        self.board.offered(offered.pool, owner);
-        self.watch(call, context.now);
+        self.table.record_offer(offered.pool, owner);
+        self.schedule_check(call, context.now);
     }
 
-    /// No owner can be reached: waits a little for one.
+    /// Delays a call while no owner can be reached, and gives it up after [`SEARCH_TIME`].
     fn search(&mut self, call: CallId, context: &mut Context<'_>) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
         };
         let since = *open.searching.get_or_insert(context.now);
-        let hopeless = !self.board.knows(open.spec.pool);
+        let hopeless = !self.table.has_pool(open.spec.pool);
         if hopeless || context.now.saturating_sub(since) >= SEARCH_TIME {
             let reason = if self.config.version == 0 {
                 RefusalReason::NoConfiguration
@@ -122,7 +124,7 @@
         self.wait(call, delay, context);
     }
 
-    /// Looks at the call again after `delay`, unless it cannot start in time then.
+    /// Schedules the call after `delay`, or gives it up if it can no longer start in time.
     fn wait(&mut self, call: CallId, delay: Duration, context: &mut Context<'_>) {
         let Some(open) = self.calls.get(&call) else {
             return;
@@ -131,11 +133,11 @@
         if due >= open.deadline && !open.may_have_run() {
             self.give_up(call, RefusalReason::Deadline, None, context);
         } else {
-            self.wake_at(call, due);
+            self.check_at(call, due);
         }
     }
 
-    /// Decides on a call whose try did not run at all.
+    /// Retries or gives up a call whose attempt did not run at all.
     pub(super) fn not_run(
         &mut self,
         call: CallId,
@@ -154,7 +156,7 @@
             NotRunCause::Returned(ReturnReason::Leaving) => {
                 (RetryKind::Reroute, RefusalReason::Leaving, None)
             }
-            // Its caller has not left: this node took it back from the owner.
+            // The caller has not left: this node withdrew the call from the owner.
             NotRunCause::Returned(ReturnReason::Refused {
                 reason: RefusalReason::Cancelled,
                 ..
@@ -168,15 +170,15 @@
         };
         open.refusal = reason;
         let refused = matches!(cause, NotRunCause::Returned(ReturnReason::Refused { .. }));
-        if refused && kind == RetryKind::Paid && !self.worth_another(call, reason, context) {
+        if refused && kind == RetryKind::Paid && !self.is_worth_retrying(call, reason, context) {
             self.give_up(call, reason, retry_after, context);
         } else {
             self.retry(call, kind, context);
         }
     }
 
-    /// Whether another owner may take what one has refused.
-    fn worth_another(
+    /// Whether another owner may accept a call that one has rejected.
+    fn is_worth_retrying(
         &mut self,
         call: CallId,
         reason: RefusalReason,
@@ -191,10 +193,10 @@
             | RefusalReason::Deadline
             | RefusalReason::NoUpstream
             | RefusalReason::UpstreamRefused => {
-                open.tainted
+                open.possibly_run
                     || self
-                        .board
-                        .has_room(&open.spec, &open.tried, context.now, context.random)
+                        .table
+                        .has_capacity(&open.spec, &open.tried, context.now, context.random)
             }
             RefusalReason::Limit
             | RefusalReason::Key
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Goes on elsewhere with a call that may run more than once.
+    /// Continues a repeatable call at another owner.
     pub(super) fn resume(
         &mut self,
         call: CallId,
@@ -245,7 +247,7 @@
         self.wait(call, delay, context);
     }
 
-    /// Ends a call without an answer, by what is known of its tries.
+    /// Ends a call without a response: as `unknown` if it may have run, as `not_run` otherwise.
     pub(super) fn give_up(
         &mut self,
         call: CallId,
@@ -264,7 +266,8 @@
         self.finish(call, outcome, context);
     }
 
-    /// The caller left. A call with a key goes on: its caller may collect the answer.
+    /// Cancels a call whose caller left. A call with an idempotency key continues, since its caller
+    /// may fetch the response later.
     pub(super) fn cancel(&mut self, call: CallId, context: &mut Context<'_>) {
         self.cancel_relayed(call, context);
         let Some(open) = self.calls.get_mut(&call) else {
@@ -281,12 +284,12 @@
         if open.attempts().next().is_none() {
             self.give_up(call, RefusalReason::Cancelled, None, context);
         } else {
-            self.watch(call, context.now);
+            self.schedule_check(call, context.now);
         }
     }
 }
 
-/// Sends a call to an owner as its next try.
+/// Sends a call to an owner as its next attempt.
 pub(super) fn send_offer(
     open: &mut OpenCall,
     owner: NodeId,
@@ -308,14 +311,14 @@
         resume_from,
     };
     context.send(owner, WorkMessage::Offer(work));
-    let [least, most] = PATIENCE;
+    let [least, most] = QUERY_INTERVALS;
     OpenAttempt {
         number: open.number,
         owner,
         phase: AttemptPhase::Offered,
         offered: context.now,
         unanswered: 0,
-        patience: spec.time_left.clamp(least, most),
+        query_interval: spec.time_left.clamp(least, most),
     }
 }
 
--- a/kernel/tests/calls/attempts.rs
+++ b/kernel/tests/calls/attempts.rs
@@ -1,4 +1,4 @@
-//! What each piece of news means for a try, and when a call is tried again.
+//! What each update means for an attempt, and when a call is retried.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use monsoonbank_kernel::event::Event;
 use monsoonbank_kernel::ids::{AttemptId, ClassId, WorkspaceId};
 use monsoonbank_kernel::routing::attempt::{
-    AttemptNews, AttemptPhase, AttemptVerdict, NotRunCause, OpenAttempt,
+    AttemptPhase, AttemptStatus, AttemptUpdate, NotRunCause, OpenAttempt,
 };
 use monsoonbank_kernel::routing::retry::{RETRY_BURST, RetryBudget, backoff};
 use monsoonbank_kernel::wire::WorkMessage;
@@ -16,18 +16,18 @@
 use crate::fleet::{Fleet, node_id};
 
 const WITHDRAWN: AttemptPhase = AttemptPhase::Withdrawn { started: false };
-const NOT_OWNER: AttemptNews = AttemptNews::Returned(ReturnReason::NotOwner);
-const RETURNED: AttemptVerdict =
-    AttemptVerdict::NotRun(NotRunCause::Returned(ReturnReason::NotOwner));
-const UNSENT: AttemptVerdict = AttemptVerdict::NotRun(NotRunCause::Unsent);
-const LOST: AttemptNews = AttemptNews::Lost {
+const NOT_OWNER: AttemptUpdate = AttemptUpdate::Returned(ReturnReason::NotOwner);
+const RETURNED: AttemptStatus =
+    AttemptStatus::NotRun(NotRunCause::Returned(ReturnReason::NotOwner));
+const UNSENT: AttemptStatus = AttemptStatus::NotRun(NotRunCause::Unsent);
+const LOST: AttemptUpdate = AttemptUpdate::Lost {
     tokens: 2,
     sent: true,
 };
-const MAY_HAVE_RUN: AttemptVerdict = AttemptVerdict::MayHaveRun { tokens: 2 };
+const MAY_HAVE_RUN: AttemptStatus = AttemptStatus::MayHaveRun { tokens: 2 };
 
-macro_rules! verdicts {
-    ($($name:ident: $phase:expr, $news:expr => $verdict:expr;)*) => {
+macro_rules! statuses {
+    ($($name:ident: $phase:expr, $update:expr => $status:expr;)*) => {
         $(
             #[test]
             fn $name() {
@@ -37,31 +37,31 @@
                     phase: $phase,
                     offered: Duration::ZERO,
                     unanswered: 0,
-                    patience: Duration::ZERO,
+                    query_interval: Duration::ZERO,
                 };
-                assert_eq!(attempt.hear($news), $verdict);
+                assert_eq!(attempt.apply($update), $status);
             }
         )*
     };
 }
 
-verdicts! {
-    offered_starts: AttemptPhase::Offered, AttemptNews::Started => AttemptVerdict::Open;
+statuses! {
+    offered_starts: AttemptPhase::Offered, AttemptUpdate::Started => AttemptStatus::Open;
     offered_is_returned: AttemptPhase::Offered, NOT_OWNER => RETURNED;
     offered_is_lost: AttemptPhase::Offered, LOST => MAY_HAVE_RUN;
-    offered_never_left: AttemptPhase::Offered, AttemptNews::Lost { tokens: 0, sent: false } => UNSENT;
+    offered_never_left: AttemptPhase::Offered, AttemptUpdate::Lost { tokens: 0, sent: false } => UNSENT;
     started_is_lost: AttemptPhase::Started, LOST => MAY_HAVE_RUN;
     started_completes: AttemptPhase::Started,
-        AttemptNews::Ended(AttemptEnd::Complete { tokens: 3 }) => AttemptVerdict::Whole { tokens: 3 };
+        AttemptUpdate::Ended(AttemptEnd::Complete { tokens: 3 }) => AttemptStatus::Whole { tokens: 3 };
     started_breaks: AttemptPhase::Started,
-        AttemptNews::Ended(AttemptEnd::Broken { tokens: 2 }) => MAY_HAVE_RUN;
+        AttemptUpdate::Ended(AttemptEnd::Broken { tokens: 2 }) => MAY_HAVE_RUN;
     started_is_cancelled: AttemptPhase::Started,
-        AttemptNews::Ended(AttemptEnd::Cancelled { tokens: 2 }) => MAY_HAVE_RUN;
-    upstream_refuses: AttemptPhase::Started, AttemptNews::Ended(AttemptEnd::Refused)
-        => AttemptVerdict::NotRun(NotRunCause::UpstreamRefused);
-    nothing_is_sent: AttemptPhase::Offered, AttemptNews::Ended(AttemptEnd::Unsent) => UNSENT;
+        AttemptUpdate::Ended(AttemptEnd::Cancelled { tokens: 2 }) => MAY_HAVE_RUN;
+    upstream_refuses: AttemptPhase::Started, AttemptUpdate::Ended(AttemptEnd::Refused)
+        => AttemptStatus::NotRun(NotRunCause::UpstreamRefused);
+    nothing_is_sent: AttemptPhase::Offered, AttemptUpdate::Ended(AttemptEnd::Unsent) => UNSENT;
     withdrawn_completes: WITHDRAWN,
-        AttemptNews::Ended(AttemptEnd::Complete { tokens: 3 }) => AttemptVerdict::Open;
+        AttemptUpdate::Ended(AttemptEnd::Complete { tokens: 3 }) => AttemptStatus::Open;
     withdrawn_is_counted: WITHDRAWN, LOST => MAY_HAVE_RUN;
     withdrawn_is_returned: WITHDRAWN, NOT_OWNER => RETURNED;
 }
@@ -100,7 +100,8 @@
     }
 }
 
-/// A refusal by an owner: with room elsewhere the call goes there, without it ends at once.
+/// A refusal by an owner: the call moves to another owner with capacity, or ends at once without
+/// one.
 fn refused(reason: RefusalReason, full: bool) -> (Fleet, Option<CallOutcome>) {
     let mut fleet = Fleet::new(2, 1);
     let load = LoadSummary {
@@ -126,13 +127,13 @@
     };
     let message = returned.into();
     let from = node_id(usize::from(full));
-    fleet.tell(0, Event::PeerMessage { from, message });
+    fleet.handle(0, Event::PeerMessage { from, message });
     let outcome = fleet.outcomes.get(&call).map(|outcomes| outcomes[0]);
     (fleet, outcome)
 }
 
 #[test]
-fn refused_call_goes_where_there_is_room() {
+fn refused_call_moves_to_an_owner_with_capacity() {
     let (mut fleet, outcome) = refused(RefusalReason::Overloaded, false);
     assert_eq!(outcome, None);
     fleet.pass(Duration::from_millis(20));
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn refused_call_ends_at_once_without_room() {
+fn refused_call_ends_at_once_without_capacity() {
     for reason in [RefusalReason::Overloaded, RefusalReason::Limit] {
         let (_, outcome) = refused(reason, true);
         let retry_after = Some(Duration::from_secs(3));
