--- a/kernel/tests/calls/faults.rs
+++ b/kernel/tests/calls/faults.rs
@@ -1,4 +1,4 @@
-//! One fault each, and the outcome that the caller must see.
+//! Single faults, and the outcome that the caller must receive.
 
 use std::time::Duration;
 
@@ -20,12 +20,12 @@
     matches!(outcome, CallOutcome::NotRun { .. })
 }
 
-/// The owner that got the call's first offer, if it is not the entry node.
+/// The owner that received the call's first offer, if it is not the entry node.
 fn offered(fleet: &Fleet) -> usize {
     fleet.wire[0].to
 }
 
-/// Takes every slot of the entry node, so that the next call goes to another owner.
+/// Fills every slot of the entry node, so that the next call is offered to another owner.
 fn busy(fleet: &mut Fleet) {
     while fleet.wire.is_empty() {
         fleet.arrive(0, true, None);
@@ -33,8 +33,8 @@
     fleet.wire.clear();
 }
 
-/// Names each case: what kind of call arrives at node 0 with its offer on the wire, what goes
-/// wrong, what its caller must be told, and how often it has run.
+/// Defines each case: the kind of call that arrives at node 0 with its offer in flight, the fault,
+/// the outcome for the caller, and how often the call runs.
 macro_rules! cases {
     ($($name:ident: $repeatable:ident, $fault:expr => $outcome:path, $runs:expr;)*) => {
         $(
@@ -46,20 +46,20 @@
                 let fault: fn(&mut Fleet) = $fault;
                 fault(&mut fleet);
                 fleet.settle();
-                fleet.assert_at_rest();
+                fleet.assert_no_open_state();
                 let outcomes = &fleet.outcomes[&call];
                 assert_eq!(outcomes.len(), 1, "{outcomes:?}");
                 assert!($outcome(outcomes[0]), "{outcomes:?}");
                 assert_eq!(fleet.ran.get(&call).copied().unwrap_or_default(), $runs);
                 if whole(outcomes[0]) {
-                    assert_eq!(fleet.got[&call], (0..TOKENS).collect::<Vec<_>>());
+                    assert_eq!(fleet.received[&call], (0..TOKENS).collect::<Vec<_>>());
                 }
             }
         )*
     };
 }
 
-/// Delivers the offer; the call's try is the last one at the engines.
+/// Delivers the offer; the call's attempt is the last one at the engines.
 fn queued(fleet: &mut Fleet) -> usize {
     fleet.deliver_all();
     fleet.runs.len() - 1
@@ -76,7 +76,7 @@
 fn kill_owner(fleet: &mut Fleet) {
     let owner = fleet.runs[fleet.runs.len() - 1].owner;
     fleet.kill(owner);
-    fleet.bury();
+    fleet.mark_dead();
 }
 
 fn cut_owner(fleet: &mut Fleet) {
@@ -90,11 +90,11 @@
         let run = streaming(fleet);
         fleet.break_off(run);
     } => whole, 2;
-    confirmation_breaks: unrepeatable, |fleet| {
+    unrepeatable_call_breaks: unrepeatable, |fleet| {
         let run = streaming(fleet);
         fleet.break_off(run);
     } => unknown, 1;
-    upstream_refuses_confirmation: unrepeatable, |fleet| {
+    upstream_refuses_unrepeatable_call: unrepeatable, |fleet| {
         let run = queued(fleet);
         fleet.end(run, AttemptEnd::Refused);
     } => whole, 1;
@@ -106,7 +106,7 @@
         queued(fleet);
         kill_owner(fleet);
     } => whole, 1;
-    owner_dies_with_queued_confirmation: unrepeatable, |fleet| {
+    owner_dies_with_queued_unrepeatable_call: unrepeatable, |fleet| {
         queued(fleet);
         kill_owner(fleet);
     } => unknown, 0;
@@ -125,22 +125,22 @@
         cut_owner(fleet);
     } => unknown, 1;
     offer_lost: repeatable, |fleet| fleet.wire.clear() => whole, 1;
-    confirmation_offer_lost: unrepeatable, |fleet| fleet.wire.clear() => unknown, 0;
+    unrepeatable_offer_lost: unrepeatable, |fleet| fleet.wire.clear() => unknown, 0;
     answer_lost: repeatable, |fleet| {
         let run = queued(fleet);
         fleet.complete(run);
         fleet.wire.clear();
     } => whole, 2;
-    confirmation_answer_lost: unrepeatable, |fleet| {
+    unrepeatable_answer_lost: unrepeatable, |fleet| {
         let run = queued(fleet);
         fleet.complete(run);
         fleet.wire.clear();
     } => unknown, 1;
-    offer_doubled: unrepeatable, |fleet| {
+    offer_duplicated: unrepeatable, |fleet| {
         let again = fleet.wire[0].clone();
         fleet.wire.push(again);
     } => whole, 1;
-    answer_doubled: repeatable, |fleet| {
+    answer_duplicated: repeatable, |fleet| {
         let run = queued(fleet);
         fleet.complete(run);
         fleet.wire.extend(fleet.wire.clone());
@@ -163,16 +163,16 @@
     caller_leaves_stream: unrepeatable, |fleet| {
         let run = streaming(fleet);
         let call = fleet.runs[run].work.attempt.call;
-        fleet.tell(0, Event::CallCancelled(call));
+        fleet.handle(0, Event::CallCancelled(call));
     } => unknown, 1;
     caller_leaves_before_sending: unrepeatable, |fleet| {
         let run = queued(fleet);
         let call = fleet.runs[run].work.attempt.call;
-        fleet.tell(0, Event::CallCancelled(call));
+        fleet.handle(0, Event::CallCancelled(call));
     } => not_run, 0;
 }
 
-/// An offer to a node whose link cannot be made has not left, so it is made to another.
+/// An offer to a node whose link cannot be established was not sent, so another node gets it.
 #[test]
 fn link_cannot_be_made() {
     let mut fleet = Fleet::new(3, 1);
@@ -192,14 +192,14 @@
     }
 }
 
-/// An owner that no longer owns gives its queue back, and the calls go to the new owner.
+/// An owner that loses its upstreams returns its queue, and the calls move to the new owner.
 #[test]
 fn owner_changes_while_queued() {
     let mut fleet = Fleet::new(2, 1);
     let calls: Vec<_> = (0..8).map(|_| fleet.arrive(0, false, None)).collect();
     fleet.deliver_all();
     fleet.kill(1);
-    fleet.bury();
+    fleet.mark_dead();
     fleet.restart(1);
     fleet.settle();
     for call in calls {
@@ -211,11 +211,11 @@
     }
 }
 
-/// With no owner at all a call waits a little, then ends without having run.
+/// Without any owner a call waits for a short time, then ends as not run.
 #[test]
 fn no_owner() {
     let mut fleet = Fleet::new(1, 1);
-    fleet.tell(0, Event::OwnersChanged(std::sync::Arc::default()));
+    fleet.handle(0, Event::OwnersChanged(std::sync::Arc::default()));
     let call = fleet.arrive(0, false, None);
     assert!(!fleet.outcomes.contains_key(&call));
     fleet.settle();
@@ -233,12 +233,12 @@
     assert!(retry_after.is_some());
 }
 
-/// A caller leaves while its call waits at the owner, which confirms that it did not run.
+/// A caller leaves while its call is queued at the owner, which confirms that it did not run.
 #[test]
 fn caller_leaves_queue() {
     let mut fleet = Fleet::new(1, 1);
     let calls: Vec<_> = (0..3).map(|_| fleet.arrive(0, false, None)).collect();
-    fleet.tell(0, Event::CallCancelled(calls[2]));
+    fleet.handle(0, Event::CallCancelled(calls[2]));
     let outcome = CallOutcome::NotRun {
         reason: RefusalReason::Cancelled,
         retry_after: None,
@@ -248,26 +248,26 @@
     assert!(!fleet.ran.contains_key(&calls[2]));
 }
 
-/// A dead node's calls are given up when it is known to be dead, though its link stays open.
+/// The calls of a dead node are given up once it is known to be dead, though its link stays open.
 #[test]
-fn owner_vanishes() {
+fn owner_host_loses_power() {
     for repeatable in [true, false] {
         let mut fleet = Fleet::new(2, 1);
         busy(&mut fleet);
         let call = fleet.arrive(0, repeatable, None);
         streaming(&mut fleet);
-        fleet.vanish(1);
-        fleet.bury();
+        fleet.power_off(1);
+        fleet.mark_dead();
         assert_eq!(fleet.outcomes.contains_key(&call), !repeatable);
         fleet.settle();
-        fleet.assert_at_rest();
+        fleet.assert_no_open_state();
         assert!(!repeatable || whole(fleet.outcomes[&call][0]));
         assert!(repeatable || unknown(fleet.outcomes[&call][0]));
     }
 }
 
-/// An urgent call that this node takes back from its own queue goes elsewhere; its caller is not
-/// told that it was cancelled.
+/// An urgent call that this node withdraws from its own queue moves to another owner; its caller
+/// does not receive a cancellation.
 #[test]
 fn waiting_call_moves() {
     let mut fleet = Fleet::new(2, 1);
@@ -295,9 +295,9 @@
     }
 }
 
-/// A late answer of an older try changes nothing.
+/// A late reply to an earlier attempt is ignored.
 #[test]
-fn older_try_answers_late() {
+fn older_attempt_answers_late() {
     let mut fleet = Fleet::new(3, 1);
     busy(&mut fleet);
     let call = fleet.arrive(0, true, None);
@@ -310,10 +310,10 @@
         let load = LoadSummary::default();
         let message = Message::Work(WorkMessage::Ended { attempt, end, load });
         let from = node_id(owner);
-        fleet.tell(0, Event::PeerMessage { from, message });
+        fleet.handle(0, Event::PeerMessage { from, message });
     }
     assert!(!fleet.outcomes.contains_key(&call));
     fleet.settle();
     assert!(whole(fleet.outcomes[&call][0]));
-    assert_eq!(fleet.got[&call], (0..TOKENS).collect::<Vec<_>>());
+    assert_eq!(fleet.received[&call], (0..TOKENS).collect::<Vec<_>>());
 }
--- a/kernel/tests/calls/owners.rs
+++ b/kernel/tests/calls/owners.rs
@@ -1,4 +1,4 @@
-//! Which owner a call is offered to.
+//! Selection of the owner that a call is offered to.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,15 +8,15 @@
 use monsoonbank_kernel::ids::{NodeId, PoolId, ZoneId};
 use monsoonbank_kernel::membership::{MemberView, NodeState};
 use monsoonbank_kernel::ownership::{OwnerMap, assign};
-use monsoonbank_kernel::routing::owners::OwnerBoard;
+use monsoonbank_kernel::routing::owners::OwnerTable;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
 use crate::fleet::{Fleet, call_spec, node_id};
 
-/// Four nodes, each with one upstream of ten slots; nodes 0 and 1 share the chooser's zone.
+/// Four nodes, each with one upstream of ten slots; nodes 0 and 1 are in the entry node's zone.
 struct Choice {
-    board: OwnerBoard,
+    table: OwnerTable,
     config: Config,
     owners: OwnerMap,
     view: MemberView,
@@ -41,10 +41,10 @@
             *owner = node_id(node);
         }
         let spec = call_spec(0);
-        let board = OwnerBoard::default();
+        let table = OwnerTable::default();
         let tried = Vec::new();
         let mut choice = Self {
-            board,
+            table,
             config,
             owners,
             view,
@@ -57,7 +57,7 @@
 
     fn rebuild(&mut self) {
         let zone = ZoneId::named("near");
-        self.board
+        self.table
             .rebuild(&self.config, &self.owners, &self.view, zone);
     }
 
@@ -66,23 +66,23 @@
         self.rebuild();
     }
 
-    fn told(&mut self, node: usize, running: u32, waiting: [u32; 3]) {
+    fn set_load(&mut self, node: usize, running: u32, waiting: [u32; 3]) {
         let load = LoadSummary {
             slots: 10,
             running,
             waiting,
         };
         let pool = PoolId::named("m");
-        self.board.learn(pool, node_id(node), load, Duration::ZERO);
+        self.table.update(pool, node_id(node), load, Duration::ZERO);
     }
 
-    /// The nodes that are chosen in a hundred choices.
+    /// The nodes selected in a hundred choices.
     fn chosen(&self) -> Vec<usize> {
         let mut random = Pcg64Mcg::seed_from_u64(3);
         let mut chosen: BTreeMap<usize, u32> = BTreeMap::new();
         for _ in 0..100 {
             let owner = self
-                .board
+                .table
                 .choose(&self.spec, &self.tried, Duration::ZERO, &mut random);
             let Some(owner) = owner else { continue };
             let node = (0..4).find(|node| node_id(*node) == owner).unwrap();
@@ -109,21 +109,21 @@
 
 choices! {
     own_zone_shares_idle_work: |_| {} => [0, 1];
-    least_loaded_of_own_zone: |choice| choice.told(0, 5, [0; 3]) => [1];
+    least_loaded_of_own_zone: |choice| choice.set_load(0, 5, [0; 3]) => [1];
     own_zone_with_short_queue: |choice| {
-        choice.told(0, 10, [0, 0, 1]);
-        choice.told(1, 10, [0, 0, 1]);
-        choice.told(2, 9, [0; 3]);
-        choice.told(3, 9, [0; 3]);
+        choice.set_load(0, 10, [0, 0, 1]);
+        choice.set_load(1, 10, [0, 0, 1]);
+        choice.set_load(2, 9, [0; 3]);
+        choice.set_load(3, 9, [0; 3]);
     } => [0, 1];
     own_zone_with_long_queue: |choice| {
-        choice.told(0, 10, [0, 0, 9]);
-        choice.told(1, 10, [0, 0, 9]);
-        choice.told(2, 9, [0; 3]);
+        choice.set_load(0, 10, [0, 0, 9]);
+        choice.set_load(1, 10, [0, 0, 9]);
+        choice.set_load(2, 9, [0; 3]);
     } => [3];
-    lower_tiers_do_not_stand_before_urgent_calls: |choice| {
-        choice.told(0, 3, [0, 0, 90]);
-        choice.told(1, 4, [0; 3]);
+    lower_tiers_do_not_delay_urgent_calls: |choice| {
+        choice.set_load(0, 3, [0, 0, 90]);
+        choice.set_load(1, 4, [0; 3]);
     } => [0];
     leaving_owner: |choice| choice.state(0, NodeState::Leaving) => [1];
     dead_owner: |choice| choice.state(1, NodeState::Dead) => [0];
@@ -133,15 +133,15 @@
     } => [2, 3];
     tried_owner: |choice| choice.tried.push(node_id(1)) => [0];
     all_tried: |choice| choice.tried.extend((0..4).map(node_id)) => [];
-    broken_link: |choice| choice.board.link_down(node_id(0), Duration::ZERO) => [1];
-    mended_link: |choice| {
-        choice.board.link_down(node_id(0), Duration::ZERO);
-        choice.board.link_up(node_id(0));
+    broken_link: |choice| choice.table.link_down(node_id(0), Duration::ZERO) => [1];
+    restored_link: |choice| {
+        choice.table.link_down(node_id(0), Duration::ZERO);
+        choice.table.link_up(node_id(0));
     } => [0, 1];
     prefix_has_one_owner: |choice| choice.spec.prefix = 1 => [0];
     other_prefix_has_another_owner: |choice| choice.spec.prefix = 5 => [1];
     prefix_owner_is_loaded: |choice| {
         choice.spec.prefix = 1;
-        choice.told(0, 10, [4, 0, 0]);
+        choice.set_load(0, 10, [4, 0, 0]);
     } => [1];
 }
--- a/kernel/tests/calls/sessions.rs
+++ b/kernel/tests/calls/sessions.rs
@@ -1,4 +1,4 @@
-//! Whole sessions, action by action.
+//! Golden traces of whole sessions, action by action.
 
 use monsoonbank_kernel::call::{AttemptEnd, LoadSummary, ReturnReason};
 use monsoonbank_kernel::event::Event;
@@ -22,7 +22,7 @@
     };
 }
 
-/// A call of node 0 that is offered to node 1, because node 0's own upstreams are busy.
+/// Offers a call of node 0 to node 1, because node 0's own upstreams are busy.
 fn offer(fleet: &mut Fleet, repeatable: bool) -> AttemptId {
     while fleet.wire.is_empty() {
         fleet.arrive(0, true, None);
@@ -33,7 +33,7 @@
     AttemptId { call, number: 1 }
 }
 
-/// A call of node 0 that node 1 is about to start.
+/// Queues a call of node 0 at node 1, which is about to start it.
 fn remote(fleet: &mut Fleet, repeatable: bool) -> usize {
     offer(fleet, repeatable);
     fleet.deliver_all();
@@ -48,9 +48,9 @@
         fleet.token(run);
         fleet.deliver_all();
         fleet.kill(1);
-        fleet.bury();
+        fleet.mark_dead();
     };
-    confirmation_with_lost_owner_is_unknown: |fleet| {
+    unrepeatable_call_of_lost_owner_is_unknown: |fleet| {
         let run = remote(fleet, false);
         fleet.start(run);
         fleet.kill(1);
@@ -62,9 +62,9 @@
         let load = LoadSummary::default();
         let message = WorkMessage::Returned { attempt, reason, load };
         let from = node_id(1);
-        fleet.tell(0, Event::PeerMessage { from, message: message.into() });
+        fleet.handle(0, Event::PeerMessage { from, message: message.into() });
     };
-    confirmation_refused_by_upstream_runs_elsewhere: |fleet| {
+    unrepeatable_call_refused_by_upstream_runs_elsewhere: |fleet| {
         let run = remote(fleet, false);
         fleet.end(run, AttemptEnd::Refused);
     };
@@ -83,13 +83,13 @@
         fleet.trace();
         fleet.arrive(0, false, Some(key.clone()));
         fleet.kill(1);
-        fleet.bury();
+        fleet.mark_dead();
         fleet.arrive(0, false, Some(key));
     };
     caller_leaves: |fleet| {
         let run = remote(fleet, true);
         fleet.start(run);
         let call = fleet.runs[run].work.attempt.call;
-        fleet.tell(0, Event::CallCancelled(call));
+        fleet.handle(0, Event::CallCancelled(call));
     };
 }
--- a/kernel/tests/gateway/main.rs
+++ b/kernel/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! Decisions of the gateway, each with the failure it is meant for.
+//! Tests of the gateway's decisions, each for the failure that it guards against.
 
 mod budget;
 mod cache;
@@ -7,9 +7,10 @@
 mod crash_fuzz;
 mod crashes;
 mod duty;
+mod eligibility;
 mod engines;
 mod fleet;
-mod gate;
+mod gossip;
 mod health;
 mod lag;
 mod limit_fuzz;
@@ -19,7 +20,6 @@
 mod registry;
 mod rules;
 mod scaling;
-mod spread;
 mod surge;
 mod throttle;
 mod transfers;
--- a/standin/src/weights.rs
+++ b/standin/src/weights.rs
@@ -7,7 +7,7 @@
 
 use crate::server::lock;
 
-/// Hands out bytes at a limited rate, first come first served.
+/// Store with a limited read rate. Reads are served one after another, in order of arrival.
 #[derive(Clone, Debug)]
 pub struct WeightStore {
     bytes_per_second: f64,
@@ -15,7 +15,7 @@
 }
 
 impl WeightStore {
-    /// A store that gives this many bytes a second to all engines together.
+    /// Creates a store with a read rate in bytes per second, shared by all engines.
     pub fn new(bytes_per_second: f64) -> Self {
         Self {
             bytes_per_second,
@@ -24,7 +24,7 @@
     }
 
     /// Waits until `bytes` have been read.
-    pub async fn take(&self, bytes: u64) {
+    pub async fn read(&self, bytes: u64) {
         let length = Duration::from_secs_f64(bytes as f64 / self.bytes_per_second);
         let done_at = {
             let mut free_at = lock(&self.free_at);
