--- a/daemon/src/gateway.rs
+++ b/daemon/src/gateway.rs
@@ -125,7 +125,7 @@
     /// Makes the configuration reader drop its pending read and send a new one.
     pub configuration_notify: tokio::sync::Notify,
     /// Most urgent update that the next heartbeats have to carry.
-    pub news: Cell<GossipUrgency>,
+    pub urgency: Cell<GossipUrgency>,
     /// Starts a round of heartbeats at once.
     pub heartbeat_notify: tokio::sync::Notify,
     /// Whether a fetch from another node is running.
@@ -169,8 +169,8 @@
     }
 
     /// Starts a round of heartbeats at once that propagates updates of this urgency or higher.
-    pub fn propagate(&self, news: GossipUrgency) {
-        self.news.set(self.news.get().max(news));
+    pub fn propagate(&self, urgency: GossipUrgency) {
+        self.urgency.set(self.urgency.get().max(urgency));
         self.heartbeat_notify.notify_one();
     }
 
@@ -320,7 +320,7 @@
         shutdown_notify: tokio::sync::Notify::new(),
         registry_notify: tokio::sync::Notify::new(),
         configuration_notify: tokio::sync::Notify::new(),
-        news: Cell::default(),
+        urgency: Cell::default(),
         heartbeat_notify: tokio::sync::Notify::new(),
         fetching: Cell::new(false),
         transfers: RefCell::default(),
--- a/daemon/src/gateway/peers.rs
+++ b/daemon/src/gateway/peers.rs
@@ -121,10 +121,7 @@
         return;
     }
     if bytes.len() > MAX_BYTES {
-        log::debug!(
-            "a heartbeat of {} bytes may be split on its way",
-            bytes.len()
-        );
+        log::debug!("a heartbeat of {} bytes may be fragmented", bytes.len());
     }
     gateway.metrics.heartbeat_bytes.inc_by(bytes.len() as u64);
     if let Err(error) = socket.send_to(&bytes, to).await {
@@ -187,7 +184,7 @@
         let mut own = own_heartbeat(&gateway);
         let round = GossipRound {
             busy: gateway.open_calls.get() > 0,
-            urgency: gateway.news.take(),
+            urgency: gateway.urgency.take(),
             now,
         };
         let plan = self
@@ -295,11 +292,11 @@
     gateway.capacity_notify.notify_waiters();
     let card = heartbeat.card.clone();
     let (seeking, answers) = (heartbeat.seeking, heartbeat.is_reply);
-    let news = gateway.fleet.borrow_mut().receive_heartbeat(heartbeat, now);
-    if news.left && gateway.is_hub() {
+    let change = gateway.fleet.borrow_mut().receive_heartbeat(heartbeat, now);
+    if change.left && gateway.is_hub() {
         gateway.propagate(GossipUrgency::All);
     }
-    if news.fresh {
+    if change.fresh {
         gateway.heartbeat_notify.notify_one();
         gateway.decisions.record(&Decision::PeerHeard {
             peer: &card.name,
@@ -310,7 +307,7 @@
         return;
     }
     let need = ReplyReason {
-        fresh: news.fresh,
+        fresh: change.fresh,
         seeking,
     };
     let lists = gossip::reply(&gateway.fleet.borrow(), &card, need, now);
--- a/daemon/src/gateway/quarantine.rs
+++ b/daemon/src/gateway/quarantine.rs
@@ -43,7 +43,7 @@
 ///
 /// If the call's content is quarantined.
 pub fn check(gateway: &Gateway, call: &Call) -> Result<(), QuarantineError> {
-    match verdict(gateway, call) {
+    match decide(gateway, call) {
         ContentDecision::Admitted | ContentDecision::Trial => Ok(()),
         ContentDecision::Quarantined { pause } => Err(refuse(gateway, call, pause)),
     }
@@ -56,7 +56,7 @@
 ///
 /// If the call's content is quarantined.
 pub fn begin_send(gateway: &Gateway, call: &Call) -> Result<(), QuarantineError> {
-    match verdict(gateway, call) {
+    match decide(gateway, call) {
         ContentDecision::Admitted => Ok(()),
         ContentDecision::Trial => {
             let now = gateway.now();
@@ -68,7 +68,7 @@
     }
 }
 
-fn verdict(gateway: &Gateway, call: &Call) -> ContentDecision {
+fn decide(gateway: &Gateway, call: &Call) -> ContentDecision {
     let now = gateway.now();
     let may_try = || {
         gateway
@@ -94,11 +94,11 @@
 /// upstream's run.
 pub fn record_crash(gateway: &Gateway, call: &Call, upstream: &str, run: u64) {
     let now = gateway.now();
-    let news = gateway
+    let change = gateway
         .crashes
         .borrow_mut()
         .record_crash(call.content, run, now);
-    if news == CrashChange::Unchanged {
+    if change == CrashChange::Unchanged {
         return;
     }
     gateway.decisions.record(&Decision::UpstreamBroke {
@@ -108,7 +108,7 @@
         crashes: gateway.crashes.borrow().crashes(call.content),
     });
     gateway.propagate(GossipUrgency::Calls);
-    record_change(gateway, call.content, news, OWN_SOURCE);
+    record_change(gateway, call.content, change, OWN_SOURCE);
 }
 
 /// Records a successful answer, which may end the quarantine of the call's content.
@@ -128,14 +128,14 @@
 pub fn merge_reports(gateway: &Gateway, reports: &[CrashReport], source: &str) {
     let now = gateway.now();
     for report in reports {
-        let news = gateway.crashes.borrow_mut().receive(report, now);
-        record_change(gateway, report.content, news, source);
+        let change = gateway.crashes.borrow_mut().receive(report, now);
+        record_change(gateway, report.content, change, source);
     }
 }
 
 /// Records a change of a quarantine, and propagates it at once.
-fn record_change(gateway: &Gateway, content: ContentDigest, news: CrashChange, source: &str) {
-    let is_quarantined = match news {
+fn record_change(gateway: &Gateway, content: ContentDigest, change: CrashChange, source: &str) {
+    let is_quarantined = match change {
         CrashChange::Unchanged | CrashChange::Updated => return,
         CrashChange::Quarantined => true,
         CrashChange::Cleared => false,
--- a/daemon/src/gateway/relay.rs
+++ b/daemon/src/gateway/relay.rs
@@ -192,13 +192,13 @@
 
 /// Returns the upstream for a call; `None` if none has capacity.
 pub fn choose(gateway: &Gateway, call: &Call, progress: &CallProgress) -> Option<UpstreamChoice> {
-    let rivals = gateway.fleet.borrow().sender_hashes();
+    let senders = gateway.fleet.borrow().sender_hashes();
     let silent = gateway.fleet.borrow().silent_senders(gateway.now());
     let input = ChoiceInput {
         pool: &call.pool,
         zone: &gateway.settings.zone,
         node: heartbeat::node_hash(&gateway.settings.name),
-        senders: &rivals,
+        senders: &senders,
         silent_senders: silent,
         prompt: &call.head.prompt,
         target: call.class.target,
--- a/daemon/src/gateway/usage.rs
+++ b/daemon/src/gateway/usage.rs
@@ -72,12 +72,12 @@
         let mut pieces = Vec::new();
         for (window, counts) in ledger.own_after(notice.written) {
             let sent = self.sent.entry(window).or_default();
-            let news: Vec<(Box<str>, u64)> = counts
+            let updates: Vec<(Box<str>, u64)> = counts
                 .iter()
-                .filter(|news| sent.get(news.0) != Some(news.1))
+                .filter(|entry| sent.get(entry.0) != Some(entry.1))
                 .map(|(workspace, count)| (workspace.clone(), *count))
                 .collect();
-            pieces.extend(news.chunks(MAX_WORKSPACES).map(|piece| WindowUsage {
+            pieces.extend(updates.chunks(MAX_WORKSPACES).map(|piece| WindowUsage {
                 window,
                 counts: piece.to_vec(),
             }));
--- a/daemon/src/gateway/waiting.rs
+++ b/daemon/src/gateway/waiting.rs
@@ -117,10 +117,10 @@
 /// longer than leaves its caller's limit for the first event after sending.
 fn waits_until(gateway: &Gateway, call: &Call) -> Duration {
     let now = gateway.now();
-    let part = call.deadline.saturating_sub(now).mul_f64(WAIT_FRACTION);
-    let patience = call.class.event_timeout.unwrap_or(part);
+    let wait_limit = call.deadline.saturating_sub(now).mul_f64(WAIT_FRACTION);
+    let event_timeout = call.class.event_timeout.unwrap_or(wait_limit);
     let first = gateway.pace(call).expected_first_event();
-    now + part.min(patience.saturating_sub(first))
+    now + wait_limit.min(event_timeout.saturating_sub(first))
 }
 
 /// Waits until an upstream has capacity and it is the call's turn, and returns that upstream.
