--- a/cli/src/caller.rs
+++ b/cli/src/caller.rs
@@ -8,9 +8,9 @@
 use serde::Deserialize;
 use tokio::time::{Instant, sleep};
 
-use crate::exchange::{AnswerTimes, ExchangeEnd, ExchangeTarget, RefusalNote, exchange};
+use crate::exchange::{AnswerTimes, ExchangeOutcome, ExchangeTarget, RefusalDetails, exchange};
 use crate::request::RequestBody;
-use crate::verify::AnswerVerdict;
+use crate::verify::AnswerCheck;
 
 /// Pause after no address answered.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
@@ -25,7 +25,7 @@
 
 /// How a call ended, as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// A whole answer.
     Whole,
     /// It did not run.
@@ -46,17 +46,17 @@
 #[derive(Clone, Debug)]
 pub struct CallResult {
     /// How it ended.
-    pub end: CallEnd,
+    pub outcome: CallOutcome,
     /// When the answer came, if it came to its end.
     pub times: Option<AnswerTimes>,
     /// Why it was refused, as the node's constant for programs.
     pub reason: Option<Box<str>>,
 }
 
-impl From<CallEnd> for CallResult {
-    fn from(end: CallEnd) -> Self {
+impl From<CallOutcome> for CallResult {
+    fn from(outcome: CallOutcome) -> Self {
         Self {
-            end,
+            outcome,
             times: None,
             reason: None,
         }
@@ -68,26 +68,26 @@
     pub fn refused(reason: &str) -> Self {
         Self {
             reason: Some(reason.into()),
-            ..CallEnd::Refused.into()
+            ..CallOutcome::Refused.into()
         }
     }
 
     /// An answer that came to its end.
-    pub fn answered(verdict: AnswerVerdict, times: AnswerTimes) -> Self {
+    pub fn answered(verdict: AnswerCheck, times: AnswerTimes) -> Self {
         Self {
             times: Some(times),
-            ..CallEnd::from(verdict).into()
+            ..CallOutcome::from(verdict).into()
         }
     }
 }
 
-impl From<AnswerVerdict> for CallEnd {
-    fn from(verdict: AnswerVerdict) -> Self {
+impl From<AnswerCheck> for CallOutcome {
+    fn from(verdict: AnswerCheck) -> Self {
         match verdict {
-            AnswerVerdict::Whole => Self::Whole,
-            AnswerVerdict::Short => Self::Lost,
-            AnswerVerdict::Doubled => Self::Doubled,
-            AnswerVerdict::Crossed => Self::Crossed,
+            AnswerCheck::Whole => Self::Whole,
+            AnswerCheck::Short => Self::Lost,
+            AnswerCheck::Doubled => Self::Doubled,
+            AnswerCheck::Crossed => Self::Crossed,
         }
     }
 }
@@ -100,7 +100,7 @@
 
 impl KilledNodes {
     /// Notes a node, before it is killed.
-    pub fn note(&self, address: &str) {
+    pub fn record(&self, address: &str) {
         lock(&self.addresses).insert(address.into());
     }
 
@@ -191,7 +191,7 @@
                 NextStep::WithKey(fresh) => key = Some(fresh),
             }
         }
-        CallEnd::Lost.into()
+        CallOutcome::Lost.into()
     }
 
     /// The next address in turn; asks for addresses when the last answer is too old.
@@ -255,17 +255,19 @@
     }
 }
 
-fn next_step(end: ExchangeEnd, body: &RequestBody, killed: bool) -> NextStep {
+fn next_step(end: ExchangeOutcome, body: &RequestBody, killed: bool) -> NextStep {
     match end {
-        ExchangeEnd::Answer(verdict, times) => NextStep::End(CallResult::answered(verdict, times)),
-        ExchangeEnd::NotRun(note) if &*note.code == "leaving" => NextStep::Elsewhere,
-        ExchangeEnd::NotRun(RefusalNote { key: Some(key), .. }) => NextStep::WithKey(key),
-        ExchangeEnd::NotRun(note) => NextStep::End(CallResult::refused(&note.code)),
-        ExchangeEnd::Unknown => NextStep::End(CallEnd::Unknown.into()),
-        ExchangeEnd::Unsent => NextStep::Elsewhere,
+        ExchangeOutcome::Answer(verdict, times) => {
+            NextStep::End(CallResult::answered(verdict, times))
+        }
+        ExchangeOutcome::NotRun(note) if &*note.code == "leaving" => NextStep::Elsewhere,
+        ExchangeOutcome::NotRun(RefusalDetails { key: Some(key), .. }) => NextStep::WithKey(key),
+        ExchangeOutcome::NotRun(note) => NextStep::End(CallResult::refused(&note.code)),
+        ExchangeOutcome::Unknown => NextStep::End(CallOutcome::Unknown.into()),
+        ExchangeOutcome::Unsent => NextStep::Elsewhere,
         // The key's owner knows what became of the call.
-        ExchangeEnd::Broken if killed && body.keyed() => NextStep::Elsewhere,
-        ExchangeEnd::Broken if killed => NextStep::End(CallEnd::Cut.into()),
-        ExchangeEnd::Broken => NextStep::End(CallEnd::Lost.into()),
+        ExchangeOutcome::Broken if killed && body.keyed() => NextStep::Elsewhere,
+        ExchangeOutcome::Broken if killed => NextStep::End(CallOutcome::Cut.into()),
+        ExchangeOutcome::Broken => NextStep::End(CallOutcome::Lost.into()),
     }
 }
--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -173,6 +173,6 @@
     Ok(if valid {
         ExitCode::Success
     } else {
-        ExitCode::Found
+        ExitCode::ProblemFound
     })
 }
--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -147,10 +147,10 @@
         OutputFormat::Json => println!("{:#}", serde_json::json!(report)),
         OutputFormat::Text => report::print(&report),
     }
-    Ok(if report.kept() {
+    Ok(if report.passed() {
         ExitCode::Success
     } else {
-        ExitCode::Found
+        ExitCode::ProblemFound
     })
 }
 
@@ -246,7 +246,7 @@
         nodes: options.nodes,
         rate: options.rate,
         stopped_as_planned: incidents.stopped_as_planned,
-        incidents: incidents.notes,
+        incidents: incidents.records,
         classes: report::rows(fleet, &plan, &calls),
     })
 }
--- a/cli/src/demo/audit.rs
+++ b/cli/src/demo/audit.rs
@@ -6,8 +6,8 @@
 use monsoonbank_standin::engine::EngineHandle;
 use monsoonbank_standin::service::{ServiceHandle, body_hash};
 
-use crate::caller::CallEnd;
-use crate::demo::callers::EndedCall;
+use crate::caller::CallOutcome;
+use crate::demo::callers::FinishedCall;
 use crate::demo::fleet::Fleet;
 use crate::request::RequestBody;
 use crate::tally::ClassTally;
@@ -49,13 +49,13 @@
     }
 
     /// Adds the upstreams' side of a call to its class's sums.
-    pub fn check(&self, call: &EndedCall, tally: &mut ClassTally) {
+    pub fn check(&self, call: &FinishedCall, tally: &mut ClassTally) {
         let work = self.work(&call.body);
         tally.produced += work.units;
         if call.body.keyed() && work.runs > 1 {
             tally.counts.ran_twice += 1;
         }
-        if call.result.end == CallEnd::Refused && work.runs > 0 {
+        if call.result.outcome == CallOutcome::Refused && work.runs > 0 {
             tally.counts.refused_but_ran += 1;
         }
     }
--- a/cli/src/demo/callers.rs
+++ b/cli/src/demo/callers.rs
@@ -9,7 +9,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until, timeout};
 
-use crate::caller::{CallEnd, CallResult, FleetCaller, KilledNodes};
+use crate::caller::{CallOutcome, CallResult, FleetCaller, KilledNodes};
 use crate::demo::fleet::Fleet;
 use crate::request::RequestBody;
 use crate::traffic::{ArrivalSource, TrafficArrival, TrafficPlan};
@@ -19,7 +19,7 @@
 
 /// A call whose end is known.
 #[derive(Clone, Debug)]
-pub struct EndedCall {
+pub struct FinishedCall {
     /// Index of the class.
     pub class: usize,
     /// When it was due.
@@ -47,7 +47,7 @@
     start: Instant,
     killed: Arc<KilledNodes>,
     progress: &ProgressBar,
-) -> Vec<EndedCall> {
+) -> Vec<FinishedCall> {
     let group = Arc::new(CallerGroup {
         callers: callers(fleet, client),
         plan: plan.clone(),
@@ -90,14 +90,14 @@
         number: usize,
         arrival: TrafficArrival,
         start: Instant,
-    ) -> Vec<EndedCall> {
+    ) -> Vec<FinishedCall> {
         let mut ended = Vec::new();
         let mut body = arrival.body;
         let mut due = start + arrival.at;
         loop {
             let result = self.call(number, &arrival.workspace, &body).await;
-            let again = result.end == CallEnd::Cut;
-            ended.push(EndedCall {
+            let again = result.outcome == CallOutcome::Cut;
+            ended.push(FinishedCall {
                 class: arrival.class,
                 due,
                 body,
@@ -117,6 +117,6 @@
         let callers = &self.callers[workspace];
         let call = callers[number % callers.len()].call(body, &self.killed);
         let result = timeout(CALL_LIMIT, call).await;
-        result.unwrap_or_else(|_| CallEnd::Lost.into())
+        result.unwrap_or_else(|_| CallOutcome::Lost.into())
     }
 }
--- a/cli/src/demo/incidents.rs
+++ b/cli/src/demo/incidents.rs
@@ -22,7 +22,7 @@
 
 /// Something that happened.
 #[derive(Clone, Debug, Serialize)]
-pub struct IncidentNote {
+pub struct IncidentRecord {
     /// When, in milliseconds since the traffic's start.
     pub at_ms: u128,
     /// What.
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub struct IncidentLog {
     /// In order of time.
-    pub notes: Vec<IncidentNote>,
+    pub records: Vec<IncidentRecord>,
     /// Whether the planned stop, if there was one, ended by itself.
     pub stopped_as_planned: bool,
 }
@@ -51,11 +51,11 @@
     length: Duration,
     tell: impl Fn(&str),
 ) -> IncidentLog {
-    let mut notes = Vec::new();
+    let mut records = Vec::new();
     let mut stopped_as_planned = true;
     let mut note = |what: String| {
         tell(&what);
-        notes.push(IncidentNote {
+        records.push(IncidentRecord {
             at_ms: start.elapsed().as_millis(),
             what: what.into(),
         });
@@ -77,7 +77,7 @@
         });
     }
     IncidentLog {
-        notes,
+        records,
         stopped_as_planned,
     }
 }
@@ -110,7 +110,7 @@
 /// Kills the second node, if there is one. The platform's host list notices later.
 async fn kill_node<'a>(fleet: &'a Fleet, killed: &KilledNodes) -> Option<&'a str> {
     let node = fleet.nodes.get(1)?;
-    killed.note(&node.handle.callers.to_string());
+    killed.record(&node.handle.callers.to_string());
     node.handle.kill().await;
     fleet.change_host(&node.name, |_| None);
     Some(&node.name)
--- a/cli/src/demo/report.rs
+++ b/cli/src/demo/report.rs
@@ -6,9 +6,9 @@
 use serde::Serialize;
 
 use crate::demo::audit::RunAudit;
-use crate::demo::callers::EndedCall;
+use crate::demo::callers::FinishedCall;
 use crate::demo::fleet::Fleet;
-use crate::demo::incidents::IncidentNote;
+use crate::demo::incidents::IncidentRecord;
 use crate::table;
 use crate::tally::{ClassRow, ClassTally, ClassTarget};
 use crate::traffic::TrafficPlan;
@@ -27,7 +27,7 @@
     /// Requests a second outside of the burst.
     pub rate: f64,
     /// What happened in mid-run.
-    pub incidents: Vec<IncidentNote>,
+    pub incidents: Vec<IncidentRecord>,
     /// Whether the planned stop ended by itself.
     pub stopped_as_planned: bool,
     /// One row a class.
@@ -36,13 +36,13 @@
 
 impl DemoReport {
     /// Whether every promise was kept.
-    pub fn kept(&self) -> bool {
-        self.stopped_as_planned && !self.classes.iter().any(|row| row.counts.broken())
+    pub fn passed(&self) -> bool {
+        self.stopped_as_planned && !self.classes.iter().any(|row| row.counts.has_violations())
     }
 }
 
 /// One row a class, from what callers were told and what upstreams ran.
-pub fn rows(fleet: &Fleet, plan: &TrafficPlan, calls: &[EndedCall]) -> Vec<ClassRow> {
+pub fn rows(fleet: &Fleet, plan: &TrafficPlan, calls: &[FinishedCall]) -> Vec<ClassRow> {
     let targets = targets(&fleet.file);
     let mut tallies: Vec<ClassTally> = plan
         .classes
@@ -52,7 +52,7 @@
     let audit = RunAudit::read(fleet);
     for call in calls {
         let tally = &mut tallies[call.class];
-        tally.note(call.due, call.body.units(), &call.result);
+        tally.record(call.due, call.body.units(), &call.result);
         audit.check(call, tally);
     }
     plan.classes
@@ -86,7 +86,7 @@
     for line in table::refusal_lines(&report.classes) {
         println!("{line}");
     }
-    let verdict = if report.kept() {
+    let verdict = if report.passed() {
         "nothing lost, crossed or doubled; nothing ran twice; nothing refused ran"
     } else {
         "a promise was broken"
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -66,10 +66,10 @@
         what: &'static str,
     },
     /// A change of configuration was not accepted.
-    #[error("a change was not accepted: {told}")]
+    #[error("a change was not accepted: {answer}")]
     NotAccepted {
         /// The node's answer.
-        told: Box<str>,
+        answer: Box<str>,
     },
     /// The HTTP client cannot be made.
     #[error("cannot make the HTTP client: {0}")]
--- a/cli/src/exchange.rs
+++ b/cli/src/exchange.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use crate::request::RequestBody;
-use crate::verify::AnswerVerdict;
+use crate::verify::AnswerCheck;
 
 /// Longest time to make a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -64,11 +64,11 @@
 
 /// How an exchange ended.
 #[derive(Clone, Debug)]
-pub enum ExchangeEnd {
+pub enum ExchangeOutcome {
     /// The answer came to its end.
-    Answer(AnswerVerdict, AnswerTimes),
+    Answer(AnswerCheck, AnswerTimes),
     /// It was refused: it did not run.
-    NotRun(RefusalNote),
+    NotRun(RefusalDetails),
     /// It may have run.
     Unknown,
     /// No connection could be made.
@@ -79,7 +79,7 @@
 
 /// What came with a refusal.
 #[derive(Clone, Debug, Default)]
-pub struct RefusalNote {
+pub struct RefusalDetails {
     /// The constant for programs.
     pub code: Box<str>,
     /// A fresh idempotency key.
@@ -103,11 +103,11 @@
     client: &Client,
     target: ExchangeTarget<'_>,
     body: &RequestBody,
-) -> ExchangeEnd {
+) -> ExchangeOutcome {
     let response = match send(client, target, body).await {
         Ok(response) => response,
-        Err(error) if error.is_connect() => return ExchangeEnd::Unsent,
-        Err(_) => return ExchangeEnd::Broken,
+        Err(error) if error.is_connect() => return ExchangeOutcome::Unsent,
+        Err(_) => return ExchangeOutcome::Broken,
     };
     if response.status() != StatusCode::OK {
         return refusal(response).await;
@@ -145,37 +145,37 @@
     request.send().await
 }
 
-async fn refusal(response: Response) -> ExchangeEnd {
+async fn refusal(response: Response) -> ExchangeOutcome {
     match response.json::<Value>().await {
         Ok(body) => error_end(&body["error"]),
-        Err(_) => ExchangeEnd::Broken,
+        Err(_) => ExchangeOutcome::Broken,
     }
 }
 
 /// The end that an error object tells.
-fn error_end(error: &Value) -> ExchangeEnd {
+fn error_end(error: &Value) -> ExchangeOutcome {
     let text = |name: &str| error[name].as_str().map(Box::<str>::from);
     match error["outcome"].as_str() {
-        Some("not_run") => ExchangeEnd::NotRun(RefusalNote {
+        Some("not_run") => ExchangeOutcome::NotRun(RefusalDetails {
             code: text("code").unwrap_or_default(),
             key: text("idempotency_key"),
         }),
-        Some("unknown") => ExchangeEnd::Unknown,
-        _ => ExchangeEnd::Broken,
+        Some("unknown") => ExchangeOutcome::Unknown,
+        _ => ExchangeOutcome::Broken,
     }
 }
 
-async fn read_whole(response: Response, checked: bool, body: &RequestBody) -> ExchangeEnd {
+async fn read_whole(response: Response, checked: bool, body: &RequestBody) -> ExchangeOutcome {
     let Ok(answer) = response.json::<Value>().await else {
-        return ExchangeEnd::Broken;
+        return ExchangeOutcome::Broken;
     };
     let times = AnswerTimes::now(0);
     let verdict = if checked {
-        body.judge_whole(&answer)
+        body.check_answer(&answer)
     } else {
-        AnswerVerdict::Whole
+        AnswerCheck::Whole
     };
-    ExchangeEnd::Answer(verdict, times)
+    ExchangeOutcome::Answer(verdict, times)
 }
 
 /// What a stream has brought so far.
@@ -184,7 +184,7 @@
     times: Option<AnswerTimes>,
 }
 
-async fn read_stream(response: Response, checked: bool, body: &RequestBody) -> ExchangeEnd {
+async fn read_stream(response: Response, checked: bool, body: &RequestBody) -> ExchangeOutcome {
     let mut state = StreamState {
         text: String::new(),
         times: None,
@@ -199,7 +199,7 @@
             }
         }
     }
-    ExchangeEnd::Broken
+    ExchangeOutcome::Broken
 }
 
 /// Takes the first whole line out of the buffer.
@@ -211,13 +211,13 @@
 
 impl StreamState {
     /// Takes a line in; gives the end when the line says it.
-    fn take(&mut self, line: &str, checked: bool, body: &RequestBody) -> Option<ExchangeEnd> {
+    fn take(&mut self, line: &str, checked: bool, body: &RequestBody) -> Option<ExchangeOutcome> {
         let data = line.strip_prefix("data: ")?;
         if data == "[DONE]" {
             return Some(self.finish(checked, body));
         }
         let Ok(chunk) = serde_json::from_str::<Value>(data) else {
-            return Some(ExchangeEnd::Broken);
+            return Some(ExchangeOutcome::Broken);
         };
         if let Some(error) = chunk.get("error") {
             return Some(error_end(error));
@@ -242,15 +242,15 @@
         times.tokens += 1;
     }
 
-    fn finish(&self, checked: bool, body: &RequestBody) -> ExchangeEnd {
+    fn finish(&self, checked: bool, body: &RequestBody) -> ExchangeOutcome {
         let Some(times) = self.times else {
-            return ExchangeEnd::Broken;
+            return ExchangeOutcome::Broken;
         };
         let verdict = if checked {
-            body.judge_text(&self.text)
+            body.check_text(&self.text)
         } else {
-            AnswerVerdict::Whole
+            AnswerCheck::Whole
         };
-        ExchangeEnd::Answer(verdict, times)
+        ExchangeOutcome::Answer(verdict, times)
     }
 }
--- a/cli/src/exit_codes.rs
+++ b/cli/src/exit_codes.rs
@@ -8,7 +8,7 @@
     /// It did what was asked.
     Success,
     /// It found what it was asked to look for: an invalid file, a conflict, a broken promise.
-    Found,
+    ProblemFound,
     /// It could not do what was asked.
     Failure,
 }
@@ -18,7 +18,7 @@
         Self::from(match code {
             ExitCode::Success => 0,
             ExitCode::Failure => 1,
-            ExitCode::Found => 3,
+            ExitCode::ProblemFound => 3,
         })
     }
 }
--- a/cli/src/explain.rs
+++ b/cli/src/explain.rs
@@ -173,7 +173,7 @@
             for fault in &faults {
                 eprintln!("{fault}");
             }
-            return Ok(ExitCode::Found);
+            return Ok(ExitCode::ProblemFound);
         }
     };
     let headers = headers(matches)?;
@@ -201,6 +201,6 @@
     Ok(if explanation.class.is_some() {
         ExitCode::Success
     } else {
-        ExitCode::Found
+        ExitCode::ProblemFound
     })
 }
--- a/cli/src/fleet/publish.rs
+++ b/cli/src/fleet/publish.rs
@@ -124,14 +124,14 @@
 /// Sends a change until it is accepted; its version, and how often it was sent again.
 async fn send(client: &NodeClient, record: &ChangeRecord) -> Result<(u64, u64), CliError> {
     let body = json!(record);
-    let mut told: Box<str> = "".into();
+    let mut answer: Box<str> = "".into();
     for again in 0..TRIES {
-        told = client.post("/v1/changes", &body).await?;
-        match serde_json::from_str(&told) {
+        answer = client.post("/v1/changes", &body).await?;
+        match serde_json::from_str(&answer) {
             Ok(PublishResult::Accepted { version }) => return Ok((version, u64::from(again))),
             Ok(PublishResult::Unavailable) => {}
             _ => break,
         }
     }
-    Err(CliError::NotAccepted { told })
+    Err(CliError::NotAccepted { answer })
 }
--- a/cli/src/load.rs
+++ b/cli/src/load.rs
@@ -11,9 +11,9 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 use crate::arguments::{self, OutputFormat};
-use crate::caller::{CallEnd, CallResult};
+use crate::caller::{CallOutcome, CallResult};
 use crate::error::CliError;
-use crate::exchange::{self, ExchangeEnd, ExchangeTarget};
+use crate::exchange::{self, ExchangeOutcome, ExchangeTarget};
 use crate::exit_codes::ExitCode;
 use crate::load::report::LoadReport;
 use crate::request::RequestBody;
@@ -159,9 +159,9 @@
         OutputFormat::Json => println!("{:#}", serde_json::json!(report)),
         OutputFormat::Text => report::print(&report),
     }
-    let broken = report.ways.iter().any(|row| row.counts.broken());
+    let broken = report.ways.iter().any(|row| row.counts.has_violations());
     Ok(if broken {
-        ExitCode::Found
+        ExitCode::ProblemFound
     } else {
         ExitCode::Success
     })
@@ -266,11 +266,11 @@
             (way, due, arrival.body.units(), result)
         });
         while let Some(Ok((way, due, units, result))) = tasks.try_join_next() {
-            tallies[way].note(due, units, &result);
+            tallies[way].record(due, units, &result);
         }
     }
     while let Some(Ok((way, due, units, result))) = tasks.join_next().await {
-        tallies[way].note(due, units, &result);
+        tallies[way].record(due, units, &result);
     }
     tallies
 }
@@ -290,17 +290,17 @@
         let exchange = exchange::exchange(&self.client, target, body);
         match timeout(CALL_LIMIT, exchange).await {
             Ok(end) => call_result(&end),
-            Err(_) => CallEnd::Lost.into(),
+            Err(_) => CallOutcome::Lost.into(),
         }
     }
 }
 
-fn call_result(end: &ExchangeEnd) -> CallResult {
+fn call_result(end: &ExchangeOutcome) -> CallResult {
     match end {
-        ExchangeEnd::Answer(verdict, times) => CallResult::answered(*verdict, *times),
-        ExchangeEnd::NotRun(note) => CallResult::refused(&note.code),
-        ExchangeEnd::Unsent => CallResult::refused("unreachable"),
-        ExchangeEnd::Unknown => CallEnd::Unknown.into(),
-        ExchangeEnd::Broken => CallEnd::Lost.into(),
+        ExchangeOutcome::Answer(verdict, times) => CallResult::answered(*verdict, *times),
+        ExchangeOutcome::NotRun(note) => CallResult::refused(&note.code),
+        ExchangeOutcome::Unsent => CallResult::refused("unreachable"),
+        ExchangeOutcome::Unknown => CallOutcome::Unknown.into(),
+        ExchangeOutcome::Broken => CallOutcome::Lost.into(),
     }
 }
--- a/cli/src/publish.rs
+++ b/cli/src/publish.rs
@@ -228,7 +228,7 @@
         Ok(documents) => documents,
         Err(fault) => {
             eprintln!("{fault}");
-            return Ok(ExitCode::Found);
+            return Ok(ExitCode::ProblemFound);
         }
     };
     let list: DocumentList = parse(address, client.get("/v1/documents").await?)?;
@@ -251,7 +251,7 @@
         eprintln!("{fault}");
     }
     if !faults.is_empty() {
-        return Ok(ExitCode::Found);
+        return Ok(ExitCode::ProblemFound);
     }
     let id = given.unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
     let record = ChangeRecord {
@@ -305,7 +305,7 @@
     let everywhere = progress.is_some_and(|progress| progress.in_force >= progress.of);
     Ok(match result {
         PublishResult::Accepted { .. } if everywhere => ExitCode::Success,
-        PublishResult::Conflict { .. } | PublishResult::Invalid { .. } => ExitCode::Found,
+        PublishResult::Conflict { .. } | PublishResult::Invalid { .. } => ExitCode::ProblemFound,
         _ => ExitCode::Failure,
     })
 }
--- a/cli/src/request.rs
+++ b/cli/src/request.rs
@@ -3,7 +3,7 @@
 use monsoonbank_standin::answer::expected_answer;
 use serde_json::{Value, json};
 
-use crate::verify::{AnswerVerdict, judge};
+use crate::verify::{AnswerCheck, compare_answers};
 
 /// What a caller asks for.
 #[derive(Clone, Debug, PartialEq)]
@@ -92,28 +92,30 @@
     }
 
     /// Checks a whole answer that was not streamed.
-    pub fn judge_whole(&self, answer: &Value) -> AnswerVerdict {
+    pub fn check_answer(&self, answer: &Value) -> AnswerCheck {
         match self {
             Self::Completion(_) => {
                 let text = answer.pointer("/choices/0/message/content");
-                self.judge_text(text.and_then(Value::as_str).unwrap_or_default())
+                self.check_text(text.and_then(Value::as_str).unwrap_or_default())
             }
             Self::Service(body) => {
                 let matches = answer["body"] == *body.text && answer["path"] == *body.path;
                 if matches {
-                    AnswerVerdict::Whole
+                    AnswerCheck::Whole
                 } else {
-                    AnswerVerdict::Crossed
+                    AnswerCheck::Crossed
                 }
             }
         }
     }
 
     /// Checks the joined tokens of a completion.
-    pub fn judge_text(&self, text: &str) -> AnswerVerdict {
+    pub fn check_text(&self, text: &str) -> AnswerCheck {
         match self {
-            Self::Completion(body) => judge(&expected_answer(&body.prompt, body.tokens), text),
-            Self::Service(_) => AnswerVerdict::Crossed,
+            Self::Completion(body) => {
+                compare_answers(&expected_answer(&body.prompt, body.tokens), text)
+            }
+            Self::Service(_) => AnswerCheck::Crossed,
         }
     }
 }
--- a/cli/src/tally.rs
+++ b/cli/src/tally.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-use crate::caller::{CallEnd, CallResult};
+use crate::caller::{CallOutcome, CallResult};
 
 /// Longest time that a histogram holds, in microseconds.
 const LONGEST: u64 = 3_600_000_000;
@@ -76,19 +76,19 @@
 
 impl CallCounts {
     /// Whether a promise was broken.
-    pub fn broken(&self) -> bool {
+    pub fn has_violations(&self) -> bool {
         self.lost + self.crossed + self.doubled + self.ran_twice + self.refused_but_ran > 0
     }
 
-    fn note(&mut self, end: CallEnd) {
-        let count = match end {
-            CallEnd::Whole => &mut self.whole,
-            CallEnd::Refused => &mut self.refused,
-            CallEnd::Unknown => &mut self.unknown,
-            CallEnd::Cut => &mut self.cut,
-            CallEnd::Lost => &mut self.lost,
-            CallEnd::Crossed => &mut self.crossed,
-            CallEnd::Doubled => &mut self.doubled,
+    fn record(&mut self, outcome: CallOutcome) {
+        let count = match outcome {
+            CallOutcome::Whole => &mut self.whole,
+            CallOutcome::Refused => &mut self.refused,
+            CallOutcome::Unknown => &mut self.unknown,
+            CallOutcome::Cut => &mut self.cut,
+            CallOutcome::Lost => &mut self.lost,
+            CallOutcome::Crossed => &mut self.crossed,
+            CallOutcome::Doubled => &mut self.doubled,
         };
         *count += 1;
     }
@@ -146,13 +146,13 @@
     }
 
     /// Takes a call in that was due at `since` and wanted so many units.
-    pub fn note(&mut self, since: Instant, units: u64, result: &CallResult) {
+    pub fn record(&mut self, since: Instant, units: u64, result: &CallResult) {
         self.counts.sent += 1;
-        self.counts.note(result.end);
+        self.counts.record(result.outcome);
         if let Some(reason) = &result.reason {
             *self.refusals.entry(reason.clone()).or_default() += 1;
         }
-        if result.end != CallEnd::Whole {
+        if result.outcome != CallOutcome::Whole {
             return;
         }
         self.delivered += units;
@@ -166,12 +166,12 @@
         let Some(times) = result.times else {
             return;
         };
-        record(
+        record_latency(
             &mut self.first,
             times.first.saturating_duration_since(since),
         );
         if times.tokens > 1 {
-            record(&mut self.gap, times.longest_gap);
+            record_latency(&mut self.gap, times.longest_gap);
         }
     }
 
@@ -192,7 +192,7 @@
     }
 }
 
-fn record(times: &mut Histogram<u64>, time: Duration) {
+fn record_latency(times: &mut Histogram<u64>, time: Duration) {
     times.saturating_record(u64::try_from(time.as_micros()).unwrap_or(LONGEST));
 }
 
--- a/cli/src/why.rs
+++ b/cli/src/why.rs
@@ -292,7 +292,7 @@
     }
     let Some((call, lines)) = calls.first_key_value() else {
         eprintln!("monsoon: no line of this call in these files");
-        return Ok(ExitCode::Found);
+        return Ok(ExitCode::ProblemFound);
     };
     let cause = cause(lines);
     if json {
--- a/cli/tests/fleet/main.rs
+++ b/cli/tests/fleet/main.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 use crate::support::{ServedFleet, run_json};
-use crate::verify::{AnswerVerdict, judge};
+use crate::verify::{AnswerCheck, compare_answers};
 
 macro_rules! demos {
     ($($name:ident: $deployment:expr, $nodes:expr;)*) => {
@@ -81,7 +81,7 @@
     ($($name:ident: $got:expr => $verdict:ident;)*) => {
         $(#[test]
         fn $name() {
-            assert_eq!(judge("w1 w2 w3 w2 ", $got), AnswerVerdict::$verdict);
+            assert_eq!(compare_answers("w1 w2 w3 w2 ", $got), AnswerCheck::$verdict);
         })*
     };
 }
