--- a/cli/src/caller.rs
+++ b/cli/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: asks which addresses to use, keeps the answer for its lifetime, and fails over.
+//! A caller that fetches node addresses, caches them until they expire, and fails over between them.
 
 use std::collections::BTreeSet;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,44 +12,44 @@
 use crate::request::RequestBody;
 use crate::verify::AnswerCheck;
 
-/// Pause after no address answered.
+/// Pause after every known address failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Most connections tried, and most addresses asked, for one call.
-const MAX_TRIES: u32 = 50;
+/// Maximum number of attempts for one call, counting those that found no usable address.
+const MAX_ATTEMPTS: u32 = 50;
 
-/// Idempotency keys asked for together with the addresses.
-const KEYS_IN_ADVANCE: usize = 4;
+/// Idempotency keys requested with each address list.
+const PREFETCHED_KEYS: usize = 4;
 
 const ADDRESSES_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How a call ended, as its caller sees it.
+/// Outcome of a call from its caller's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// A whole answer.
+    /// The complete, expected answer was received.
     Whole,
-    /// It did not run.
+    /// The call was refused and did not run.
     Refused,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
-    /// The node was killed with the call in flight: it may have run.
+    /// The node was killed with the call in flight, so the call may have run.
     Cut,
-    /// No final answer, or one with tokens missing.
+    /// There was no final answer, or tokens were missing from it.
     Lost,
-    /// Somebody else's answer.
+    /// The answer contains content of another call.
     Crossed,
-    /// A token twice.
+    /// The answer contains a token twice.
     Doubled,
 }
 
-/// What came of a call.
+/// Outcome of a call with its timing and refusal reason.
 #[derive(Clone, Debug)]
 pub struct CallResult {
-    /// How it ended.
+    /// Outcome of the call.
     pub outcome: CallOutcome,
-    /// When the answer came, if it came to its end.
+    /// Timing of the answer; `None` if no answer was received to its end.
     pub times: Option<AnswerTimes>,
-    /// Why it was refused, as the node's constant for programs.
+    /// Error code of the refusal; `None` if the call was not refused.
     pub reason: Option<Box<str>>,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl CallResult {
-    /// A call that did not run.
+    /// The result of a call that was refused with the error code `reason`.
     pub fn refused(reason: &str) -> Self {
         Self {
             reason: Some(reason.into()),
@@ -72,18 +72,18 @@
         }
     }
 
-    /// An answer that came to its end.
-    pub fn answered(verdict: AnswerCheck, times: AnswerTimes) -> Self {
+    /// The result of a call whose answer was received to its end.
+    pub fn answered(check: AnswerCheck, times: AnswerTimes) -> Self {
         Self {
             times: Some(times),
-            ..CallOutcome::from(verdict).into()
+            ..CallOutcome::from(check).into()
         }
     }
 }
 
 impl From<AnswerCheck> for CallOutcome {
-    fn from(verdict: AnswerCheck) -> Self {
-        match verdict {
+    fn from(check: AnswerCheck) -> Self {
+        match check {
             AnswerCheck::Whole => Self::Whole,
             AnswerCheck::Short => Self::Lost,
             AnswerCheck::Doubled => Self::Doubled,
@@ -92,14 +92,14 @@
     }
 }
 
-/// Addresses of nodes that were killed.
+/// Addresses of killed nodes.
 #[derive(Debug, Default)]
 pub struct KilledNodes {
     addresses: Mutex<BTreeSet<Box<str>>>,
 }
 
 impl KilledNodes {
-    /// Notes a node, before it is killed.
+    /// Adds the callers' address of a node; called before the node is killed.
     pub fn record(&self, address: &str) {
         lock(&self.addresses).insert(address.into());
     }
@@ -126,7 +126,7 @@
     addresses: Vec<Box<str>>,
     next: usize,
     keys: Vec<Box<str>>,
-    keep_until: Instant,
+    expires_at: Instant,
 }
 
 /// A caller of one workspace in one availability zone.
@@ -136,20 +136,20 @@
     token: Box<str>,
     bootstrap: Vec<Box<str>>,
     list: Mutex<AddressList>,
-    asking: tokio::sync::Mutex<()>,
+    refreshing: tokio::sync::Mutex<()>,
 }
 
-/// What the caller of a call does next.
+/// Next step of a caller after an exchange.
 enum NextStep {
-    End(CallResult),
-    /// Elsewhere, since this address takes nothing.
-    Elsewhere,
-    /// Again, with this key.
-    WithKey(Box<str>),
+    Finish(CallResult),
+    /// Drop this address from the cache and retry at another.
+    RetryElsewhere,
+    /// Retry with this idempotency key.
+    RetryWithKey(Box<str>),
 }
 
 impl FleetCaller {
-    /// A caller that knows some nodes to begin with.
+    /// A caller in `zone` with a bearer token and callers' addresses of nodes to start from.
     pub fn new(client: Client, zone: &str, token: &str, bootstrap: Vec<Box<str>>) -> Self {
         Self {
             client,
@@ -160,16 +160,16 @@
                 addresses: Vec::new(),
                 next: 0,
                 keys: Vec::new(),
-                keep_until: Instant::now(),
+                expires_at: Instant::now(),
             }),
-            asking: tokio::sync::Mutex::default(),
+            refreshing: tokio::sync::Mutex::default(),
         }
     }
 
-    /// Makes a call and follows it to its end.
+    /// Makes a call, retrying until it has an outcome or the attempts are used up.
     pub async fn call(&self, body: &RequestBody, killed: &KilledNodes) -> CallResult {
         let mut key = None;
-        for _ in 0..MAX_TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let Some(address) = self.address().await else {
                 sleep(RETRY_PAUSE).await;
                 continue;
@@ -184,54 +184,55 @@
                 key: key.as_deref(),
                 checked: true,
             };
-            let end = exchange(&self.client, target, body).await;
-            match next_step(end, body, killed.contains(&address)) {
-                NextStep::End(result) => return result,
-                NextStep::Elsewhere => self.forget(&address),
-                NextStep::WithKey(fresh) => key = Some(fresh),
+            let outcome = exchange(&self.client, target, body).await;
+            match next_step(outcome, body, killed.contains(&address)) {
+                NextStep::Finish(result) => return result,
+                NextStep::RetryElsewhere => self.remove(&address),
+                NextStep::RetryWithKey(issued) => key = Some(issued),
             }
         }
         CallOutcome::Lost.into()
     }
 
-    /// The next address in turn; asks for addresses when the last answer is too old.
+    /// The next address in round-robin order. Fetches a new list when the cached one has expired or
+    /// is empty.
     async fn address(&self) -> Option<Box<str>> {
-        if let Some(address) = self.kept_address() {
+        if let Some(address) = self.cached_address() {
             return Some(address);
         }
-        let _asking = self.asking.lock().await;
-        if let Some(address) = self.kept_address() {
+        let _guard = self.refreshing.lock().await;
+        if let Some(address) = self.cached_address() {
             return Some(address);
         }
-        if lock(&self.list).keep_until > Instant::now() {
-            // The last answer is fresh and every address of it failed: give the nodes a moment.
+        if lock(&self.list).expires_at > Instant::now() {
+            // Every address failed before the list expired: pause before fetching a new list.
             sleep(RETRY_PAUSE).await;
         }
-        self.ask().await;
-        self.kept_address()
+        self.refresh().await;
+        self.cached_address()
     }
 
-    fn kept_address(&self) -> Option<Box<str>> {
+    fn cached_address(&self) -> Option<Box<str>> {
         let mut list = lock(&self.list);
-        if list.keep_until <= Instant::now() || list.addresses.is_empty() {
+        if list.expires_at <= Instant::now() || list.addresses.is_empty() {
             return None;
         }
         list.next = (list.next + 1) % list.addresses.len();
         Some(list.addresses[list.next].clone())
     }
 
-    fn forget(&self, address: &str) {
+    fn remove(&self, address: &str) {
         lock(&self.list)
             .addresses
-            .retain(|known| &**known != address);
+            .retain(|cached| &**cached != address);
     }
 
-    /// Asks the nodes known, one after another, until one tells the addresses.
-    async fn ask(&self) {
+    /// Fetches addresses from the known nodes in turn until one returns a list that is not empty.
+    async fn refresh(&self) {
         let mut known = lock(&self.list).addresses.clone();
         known.extend(self.bootstrap.iter().cloned());
         for address in known {
-            let Some(page) = self.ask_one(&address).await else {
+            let Some(page) = self.fetch_addresses(&address).await else {
                 continue;
             };
             if page.addresses.is_empty() {
@@ -240,13 +241,13 @@
             let mut list = lock(&self.list);
             list.addresses = page.addresses;
             list.keys = page.idempotency_keys;
-            list.keep_until = Instant::now() + Duration::from_secs(page.keep_seconds);
+            list.expires_at = Instant::now() + Duration::from_secs(page.keep_seconds);
             return;
         }
     }
 
-    async fn ask_one(&self, address: &str) -> Option<AddressPage> {
-        let query = format!("zone={}&keys={KEYS_IN_ADVANCE}", self.zone);
+    async fn fetch_addresses(&self, address: &str) -> Option<AddressPage> {
+        let query = format!("zone={}&keys={PREFETCHED_KEYS}", self.zone);
         let url = format!("http://{address}/v1/addresses?{query}");
         let request = self.client.get(url).bearer_auth(&self.token);
         let request = request.timeout(ADDRESSES_TIMEOUT);
@@ -255,19 +256,21 @@
     }
 }
 
-fn next_step(end: ExchangeOutcome, body: &RequestBody, killed: bool) -> NextStep {
-    match end {
-        ExchangeOutcome::Answer(verdict, times) => {
-            NextStep::End(CallResult::answered(verdict, times))
+fn next_step(outcome: ExchangeOutcome, body: &RequestBody, killed: bool) -> NextStep {
+    match outcome {
+        ExchangeOutcome::Answer(check, times) => {
+            NextStep::Finish(CallResult::answered(check, times))
         }
-        ExchangeOutcome::NotRun(note) if &*note.code == "leaving" => NextStep::Elsewhere,
-        ExchangeOutcome::NotRun(RefusalDetails { key: Some(key), .. }) => NextStep::WithKey(key),
-        ExchangeOutcome::NotRun(note) => NextStep::End(CallResult::refused(&note.code)),
-        ExchangeOutcome::Unknown => NextStep::End(CallOutcome::Unknown.into()),
-        ExchangeOutcome::Unsent => NextStep::Elsewhere,
-        // The key's owner knows what became of the call.
-        ExchangeOutcome::Broken if killed && body.keyed() => NextStep::Elsewhere,
-        ExchangeOutcome::Broken if killed => NextStep::End(CallOutcome::Cut.into()),
-        ExchangeOutcome::Broken => NextStep::End(CallOutcome::Lost.into()),
+        ExchangeOutcome::NotRun(details) if &*details.code == "leaving" => NextStep::RetryElsewhere,
+        ExchangeOutcome::NotRun(RefusalDetails { key: Some(key), .. }) => {
+            NextStep::RetryWithKey(key)
+        }
+        ExchangeOutcome::NotRun(details) => NextStep::Finish(CallResult::refused(&details.code)),
+        ExchangeOutcome::Unknown => NextStep::Finish(CallOutcome::Unknown.into()),
+        ExchangeOutcome::Unsent => NextStep::RetryElsewhere,
+        // The owner of the idempotency key reports the outcome of the call.
+        ExchangeOutcome::Broken if killed && body.keyed() => NextStep::RetryElsewhere,
+        ExchangeOutcome::Broken if killed => NextStep::Finish(CallOutcome::Cut.into()),
+        ExchangeOutcome::Broken => NextStep::Finish(CallOutcome::Lost.into()),
     }
 }
--- a/cli/src/exchange.rs
+++ b/cli/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange of a caller with a node or an upstream.
+//! One HTTP request from a caller to a node or an upstream, with its response.
 
 use std::time::Duration;
 
@@ -10,42 +10,42 @@
 use crate::request::RequestBody;
 use crate::verify::AnswerCheck;
 
-/// Longest time to make a connection.
+/// Timeout of connection setup.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Connections are dropped after this time without a request: before nodes drop them.
+/// Idle time after which a connection is closed; shorter than the idle timeout of nodes.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Where a request goes, and with what.
+/// Destination and options of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct ExchangeTarget<'a> {
     /// IP number and port.
     pub address: &'a str,
-    /// Whether it is an upstream and no node.
+    /// Whether the address belongs to an upstream rather than a node.
     pub direct: bool,
     /// The workspace's bearer token.
     pub token: &'a str,
-    /// The idempotency key, if any.
+    /// The idempotency key; `None` sends no key.
     pub key: Option<&'a str>,
-    /// Whether the answer is compared with the one that stand-ins give.
+    /// Whether the answer is compared with the one that a stand-in would return.
     pub checked: bool,
 }
 
-/// When the parts of an answer came.
+/// Arrival times of the parts of an answer.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerTimes {
-    /// The first token, or the whole answer when it was not streamed.
+    /// Arrival of the first token, or of the whole answer if it was not streamed.
     pub first: Instant,
-    /// The last token, or the whole answer.
+    /// Arrival of the last token, or of the whole answer if it was not streamed.
     pub last: Instant,
-    /// Tokens of the stream; 0 when it was not streamed.
+    /// Number of tokens in the stream; 0 if the answer was not streamed.
     pub tokens: u32,
-    /// Longest time between two tokens.
+    /// Longest time between two successive tokens; 0 if there were fewer than two.
     pub longest_gap: Duration,
 }
 
 impl AnswerTimes {
-    /// Everything came now.
+    /// Times of an answer whose parts so far all arrived just now.
     fn now(tokens: u32) -> Self {
         let now = Instant::now();
         Self {
@@ -56,37 +56,37 @@
         }
     }
 
-    /// Mean time between two tokens of a stream.
+    /// Mean time between two successive tokens of a stream.
     pub fn token_gap(&self) -> Duration {
         (self.last - self.first) / self.tokens.saturating_sub(1).max(1)
     }
 }
 
-/// How an exchange ended.
+/// Outcome of an exchange.
 #[derive(Clone, Debug)]
 pub enum ExchangeOutcome {
-    /// The answer came to its end.
+    /// The answer was received to its end.
     Answer(AnswerCheck, AnswerTimes),
-    /// It was refused: it did not run.
+    /// The request was refused and did not run.
     NotRun(RefusalDetails),
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// No connection could be made.
+    /// No connection could be established.
     Unsent,
-    /// The connection broke, or the answer is none that the interface has.
+    /// The connection failed, or the response does not follow the API.
     Broken,
 }
 
-/// What came with a refusal.
+/// Details of a refusal.
 #[derive(Clone, Debug, Default)]
 pub struct RefusalDetails {
-    /// The constant for programs.
+    /// The machine-readable error code; empty if the response has none.
     pub code: Box<str>,
-    /// A fresh idempotency key.
+    /// An unused idempotency key for the next attempt; `None` if none was issued.
     pub key: Option<Box<str>>,
 }
 
-/// The client of all callers.
+/// The HTTP client that all callers share.
 pub fn client() -> reqwest::Result<Client> {
     Client::builder()
         .no_proxy()
@@ -98,7 +98,7 @@
         .build()
 }
 
-/// Sends a request and reads its answer to the end.
+/// Sends a request and reads the response to its end.
 pub async fn exchange(
     client: &Client,
     target: ExchangeTarget<'_>,
@@ -147,13 +147,13 @@
 
 async fn refusal(response: Response) -> ExchangeOutcome {
     match response.json::<Value>().await {
-        Ok(body) => error_end(&body["error"]),
+        Ok(body) => error_outcome(&body["error"]),
         Err(_) => ExchangeOutcome::Broken,
     }
 }
 
-/// The end that an error object tells.
-fn error_end(error: &Value) -> ExchangeOutcome {
+/// Outcome of an exchange from the `error` object of its response.
+fn error_outcome(error: &Value) -> ExchangeOutcome {
     let text = |name: &str| error[name].as_str().map(Box::<str>::from);
     match error["outcome"].as_str() {
         Some("not_run") => ExchangeOutcome::NotRun(RefusalDetails {
@@ -170,15 +170,15 @@
         return ExchangeOutcome::Broken;
     };
     let times = AnswerTimes::now(0);
-    let verdict = if checked {
+    let check = if checked {
         body.check_answer(&answer)
     } else {
         AnswerCheck::Whole
     };
-    ExchangeOutcome::Answer(verdict, times)
+    ExchangeOutcome::Answer(check, times)
 }
 
-/// What a stream has brought so far.
+/// Tokens and timing received from a stream so far.
 struct StreamState {
     text: String,
     times: Option<AnswerTimes>,
@@ -193,25 +193,30 @@
     let mut buffer = Vec::new();
     while let Some(Ok(part)) = parts.next().await {
         buffer.extend_from_slice(&part);
-        while let Some(line) = take_line(&mut buffer) {
-            if let Some(end) = state.take(&line, checked, body) {
-                return end;
+        while let Some(line) = next_line(&mut buffer) {
+            if let Some(outcome) = state.process_line(&line, checked, body) {
+                return outcome;
             }
         }
     }
     ExchangeOutcome::Broken
 }
 
-/// Takes the first whole line out of the buffer.
-fn take_line(buffer: &mut Vec<u8>) -> Option<String> {
+/// Removes the first complete line from the buffer and returns it without trailing whitespace.
+fn next_line(buffer: &mut Vec<u8>) -> Option<String> {
     let end = buffer.iter().position(|byte| *byte == b'\n')?;
     let line: Vec<u8> = buffer.drain(..=end).collect();
     Some(String::from_utf8_lossy(&line).trim_end().to_owned())
 }
 
 impl StreamState {
-    /// Takes a line in; gives the end when the line says it.
-    fn take(&mut self, line: &str, checked: bool, body: &RequestBody) -> Option<ExchangeOutcome> {
+    /// Processes one line and returns the outcome if the line ends the stream.
+    fn process_line(
+        &mut self,
+        line: &str,
+        checked: bool,
+        body: &RequestBody,
+    ) -> Option<ExchangeOutcome> {
         let data = line.strip_prefix("data: ")?;
         if data == "[DONE]" {
             return Some(self.finish(checked, body));
@@ -220,18 +225,18 @@
             return Some(ExchangeOutcome::Broken);
         };
         if let Some(error) = chunk.get("error") {
-            return Some(error_end(error));
+            return Some(error_outcome(error));
         }
         let token = chunk.pointer("/choices/0/delta/content");
         let token = token.and_then(Value::as_str).unwrap_or_default();
         if !token.is_empty() {
             self.text.push_str(token);
-            self.note_token();
+            self.record_token();
         }
         None
     }
 
-    fn note_token(&mut self) {
+    fn record_token(&mut self) {
         let Some(times) = &mut self.times else {
             self.times = Some(AnswerTimes::now(1));
             return;
@@ -246,11 +251,11 @@
         let Some(times) = self.times else {
             return ExchangeOutcome::Broken;
         };
-        let verdict = if checked {
+        let check = if checked {
             body.check_text(&self.text)
         } else {
             AnswerCheck::Whole
         };
-        ExchangeOutcome::Answer(verdict, times)
+        ExchangeOutcome::Answer(check, times)
     }
 }
--- a/cli/src/request.rs
+++ b/cli/src/request.rs
@@ -1,11 +1,11 @@
-//! A caller's request, and the check of its answer.
+//! A caller's request and the check of its answer.
 
 use monsoonbank_standin::answer::expected_answer;
 use serde_json::{Value, json};
 
 use crate::verify::{AnswerCheck, compare_answers};
 
-/// What a caller asks for.
+/// A caller's request by the API that it uses.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestBody {
     /// A chat completion.
@@ -14,36 +14,36 @@
     Service(ServiceBody),
 }
 
-/// A chat completion.
+/// Content of a chat completion request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompletionBody {
-    /// The model.
+    /// Name of the model.
     pub model: Box<str>,
-    /// The prompt; no other call has the same.
+    /// The prompt, unique to the call.
     pub prompt: Box<str>,
-    /// Tokens wanted.
+    /// Number of tokens requested.
     pub tokens: u32,
     /// Whether the answer is streamed.
     pub streamed: bool,
-    /// The header `x-purpose`, if any.
+    /// Value of the header `x-purpose`; `None` omits the header.
     pub purpose: Option<Box<str>>,
 }
 
-/// A call to a plain service.
+/// Content of a call to a plain service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceBody {
-    /// The service.
+    /// Name of the service.
     pub service: Box<str>,
-    /// The path at the service; begins with a slash.
+    /// Path at the service, with a leading slash.
     pub path: Box<str>,
-    /// The body; no other call has the same.
+    /// The body, unique to the call.
     pub text: Box<str>,
-    /// Whether the call may not be repeated and goes with an idempotency key.
+    /// Whether the call is not repeatable and carries an idempotency key.
     pub keyed: bool,
 }
 
 impl RequestBody {
-    /// The path at a node.
+    /// URL path of the request at a node.
     pub fn node_path(&self) -> String {
         match self {
             Self::Completion(_) => "/v1/chat/completions".to_owned(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The path at an upstream.
+    /// URL path of the request at an upstream.
     pub fn upstream_path(&self) -> &str {
         match self {
             Self::Completion(_) => "/v1/chat/completions",
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The body as it is sent.
+    /// The serialized request body.
     pub fn text(&self) -> String {
         match self {
             Self::Completion(body) => json!({
@@ -78,12 +78,13 @@
         matches!(self, Self::Completion(body) if body.streamed)
     }
 
-    /// Whether the call may not be repeated.
+    /// Whether the call is not repeatable and needs an idempotency key.
     pub fn keyed(&self) -> bool {
         matches!(self, Self::Service(body) if body.keyed)
     }
 
-    /// What an upstream does for it: tokens, or one run.
+    /// Work that the request causes at an upstream: tokens of a completion, or one run of a plain
+    /// service.
     pub fn units(&self) -> u64 {
         match self {
             Self::Completion(body) => u64::from(body.tokens),
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Checks a whole answer that was not streamed.
+    /// Compares an answer that was not streamed with the expected one.
     pub fn check_answer(&self, answer: &Value) -> AnswerCheck {
         match self {
             Self::Completion(_) => {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Checks the joined tokens of a completion.
+    /// Compares the joined tokens of a completion with the expected ones.
     pub fn check_text(&self, text: &str) -> AnswerCheck {
         match self {
             Self::Completion(body) => {
--- a/cli/src/tally.rs
+++ b/cli/src/tally.rs
@@ -1,4 +1,4 @@
-//! Sums over the calls of a class.
+//! Counters and latency histograms over the calls of a class.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,18 +9,18 @@
 
 use crate::caller::{CallOutcome, CallResult};
 
-/// Longest time that a histogram holds, in microseconds.
-const LONGEST: u64 = 3_600_000_000;
+/// Longest time that a histogram records, in microseconds; longer times are clamped.
+const MAX_MICROSECONDS: u64 = 3_600_000_000;
 
-/// Significant digits of a histogram.
-const DIGITS: u8 = 3;
+/// Significant decimal digits of a histogram.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What a class aims at.
+/// Latency targets of a class.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassTarget {
-    /// First token, or whole answer of a plain service.
+    /// Time to the first token, or to the whole answer of a plain service.
     pub first: Duration,
-    /// Mean time between two tokens of a stream.
+    /// Mean time between two successive tokens of a stream; `None` means no such target.
     pub token_gap: Option<Duration>,
 }
 
@@ -33,49 +33,50 @@
     }
 }
 
-/// Sums over the calls of a class.
+/// Counters and latency histograms of a class.
 #[derive(Clone, Debug)]
 pub struct ClassTally {
     target: Option<ClassTarget>,
-    /// The sums.
+    /// Calls by outcome.
     pub counts: CallCounts,
     on_target: u64,
     on_target_units: u64,
     delivered: u64,
-    /// Tokens or runs that upstreams did for the class, by their own counters.
+    /// Tokens or runs that upstreams produced for the class, by their own counters; 0 if these were
+    /// not read.
     pub produced: u64,
     refusals: BTreeMap<Box<str>, u64>,
     first: Histogram<u64>,
     gap: Histogram<u64>,
 }
 
-/// How many calls ended in which way.
+/// Number of calls by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct CallCounts {
     /// Calls made.
     pub sent: u64,
-    /// Whole answers.
+    /// Complete, expected answers.
     pub whole: u64,
-    /// Refused: did not run.
+    /// Calls refused without being run, by the answer that their callers received.
     pub refused: u64,
-    /// May have run.
+    /// Calls that may have run.
     pub unknown: u64,
-    /// In flight at a killed node; `unknown` to their callers.
+    /// Calls in flight at a killed node, whose outcome is unknown to their callers.
     pub cut: u64,
-    /// No final answer, or tokens missing.
+    /// Calls without a final answer, or with tokens missing from it.
     pub lost: u64,
-    /// Somebody else's answer.
+    /// Answers with content of another call.
     pub crossed: u64,
-    /// A token twice.
+    /// Answers that contain a token twice.
     pub doubled: u64,
-    /// May not be repeated, and ran twice.
+    /// Calls that are not repeatable and ran more than once.
     pub ran_twice: u64,
-    /// Refused, and ran after all.
+    /// Calls that were refused but ran.
     pub refused_but_ran: u64,
 }
 
 impl CallCounts {
-    /// Whether a promise was broken.
+    /// Whether any call violated a guarantee: lost, crossed, doubled, run twice, or refused but run.
     pub fn has_violations(&self) -> bool {
         self.lost + self.crossed + self.doubled + self.ran_twice + self.refused_but_ran > 0
     }
@@ -94,43 +95,45 @@
     }
 }
 
-/// A row of the report.
+/// Report row of a class or of a way that requests take.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassRow {
-    /// The class, or the way that the calls went.
+    /// Name of the class, or of the way.
     pub name: Box<str>,
-    /// How the calls ended.
+    /// Calls by outcome.
     #[serde(flatten)]
     pub counts: CallCounts,
-    /// Refused calls by reason.
+    /// Number of refused calls by error code.
     pub refusals: BTreeMap<Box<str>, u64>,
-    /// Share of calls that met the class's target.
+    /// Share of all calls that met the class's target; `None` without a target.
     pub attainment: Option<f64>,
-    /// Tokens (or runs of a plain service) a second, of calls that met the target.
+    /// Tokens (or runs of a plain service) per second of calls that met the target; without a target,
+    /// of all complete answers.
     pub goodput: f64,
-    /// Share of the upstreams' tokens (or runs) that reached no caller in a whole answer.
+    /// Share of the upstreams' tokens (or runs) that were not delivered in a complete answer; `None`
+    /// if the upstreams' counters are unavailable.
     pub wasted: Option<f64>,
     /// Time to the first token or the whole answer, in milliseconds.
     pub first_token_ms: LatencyRow,
-    /// Longest time between two tokens of a stream, in milliseconds; none without streams.
+    /// Longest time between two tokens of a stream, in milliseconds; `None` without streams.
     pub longest_gap_ms: Option<LatencyRow>,
 }
 
 /// Quantiles of a time, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct LatencyRow {
-    /// Half are below.
+    /// Median.
     pub p50: f64,
-    /// 95 in 100 are below.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100 are below.
+    /// 99th percentile.
     pub p99: f64,
 }
 
 impl ClassTally {
-    /// Empty sums; without a target there is no attainment.
+    /// Empty counters; without a target the report has no attainment.
     pub fn new(target: Option<ClassTarget>) -> Self {
-        let times = Histogram::new_with_bounds(1, LONGEST, DIGITS);
+        let times = Histogram::new_with_bounds(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS);
         let times = times.expect("the bounds are constants");
         Self {
             target,
@@ -145,7 +148,7 @@
         }
     }
 
-    /// Takes a call in that was due at `since` and wanted so many units.
+    /// Records a call that was due at `since` and requested `units` tokens or runs.
     pub fn record(&mut self, since: Instant, units: u64, result: &CallResult) {
         self.counts.sent += 1;
         self.counts.record(result.outcome);
@@ -175,7 +178,7 @@
         }
     }
 
-    /// The row of the report, for a run of this length.
+    /// The report row for a run of this length.
     pub fn row(&self, name: &str, length: Duration) -> ClassRow {
         let sent = self.counts.sent.max(1) as f64;
         let wasted = self.produced.saturating_sub(self.delivered);
@@ -193,7 +196,7 @@
 }
 
 fn record_latency(times: &mut Histogram<u64>, time: Duration) {
-    times.saturating_record(u64::try_from(time.as_micros()).unwrap_or(LONGEST));
+    times.saturating_record(u64::try_from(time.as_micros()).unwrap_or(MAX_MICROSECONDS));
 }
 
 impl LatencyRow {
--- a/cli/src/traffic.rs
+++ b/cli/src/traffic.rs
@@ -8,39 +8,39 @@
 
 use crate::request::{CompletionBody, RequestBody, ServiceBody};
 
-/// Text that pads prompts.
+/// Text that pads prompts to their size.
 const FILLER: &str = "the courier left a notice about a parcel that needs a signature, and ";
 
-/// What the requests of a class are like.
+/// Share and shape of the requests of one class.
 #[derive(Clone, Debug)]
 pub struct ClassTraffic {
-    /// The class that the rules give them.
+    /// The class that the routing rules assign to these requests.
     pub class: Box<str>,
-    /// Share of all requests outside of a burst, relative to the other classes.
+    /// Weight of the class among all requests outside bursts, relative to the other classes.
     pub share: f64,
-    /// The requests.
+    /// Shape of the requests.
     pub shape: RequestShape,
 }
 
-/// What a request is like.
+/// Kind and size of the requests of a class.
 #[derive(Clone, Debug)]
 pub enum RequestShape {
     /// A chat completion.
     Completion {
-        /// The header `x-purpose`, if any.
+        /// Value of the header `x-purpose`; `None` omits the header.
         purpose: Option<Box<str>>,
         /// Whether the answer is streamed.
         streamed: bool,
-        /// Size of the prompt, in bytes.
+        /// Range of prompt sizes, in bytes.
         prompt_bytes: RangeInclusive<usize>,
-        /// Tokens wanted.
+        /// Range of the number of tokens requested.
         tokens: RangeInclusive<u32>,
     },
     /// A call to a plain service.
     Service {
-        /// The path at the service, without the number that each call adds.
+        /// Path at the service, without the number that is appended for each call.
         path: Box<str>,
-        /// Whether the call may not be repeated.
+        /// Whether the calls are not repeatable and carry an idempotency key.
         keyed: bool,
     },
 }
@@ -48,58 +48,58 @@
 /// A workspace as a source of requests.
 #[derive(Clone, Debug)]
 pub struct WorkspaceSource {
-    /// The name.
+    /// Name of the workspace.
     pub name: Box<str>,
-    /// Share of requests, relative to the other workspaces.
+    /// Weight among all requests, relative to the other workspaces.
     pub share: f64,
 }
 
-/// Everything that makes traffic.
+/// Complete description of the traffic of a run.
 #[derive(Clone, Debug)]
 pub struct TrafficPlan {
-    /// Classes.
+    /// Traffic by class; other types refer to a class by its index here.
     pub classes: Vec<ClassTraffic>,
-    /// Workspaces.
+    /// Workspaces that send the requests.
     pub workspaces: Vec<WorkspaceSource>,
-    /// The model that completions name.
+    /// Model that completions request.
     pub model: Box<str>,
-    /// The plain service.
+    /// Plain service that service calls address.
     pub service: Box<str>,
-    /// Requests a second.
+    /// Mean number of requests per second outside bursts.
     pub rate: f64,
-    /// How long requests arrive.
+    /// Duration during which requests arrive.
     pub length: Duration,
-    /// More requests of one class for a while.
+    /// Bursts of single classes; overlapping bursts multiply.
     pub bursts: Vec<TrafficBurst>,
 }
 
-/// More requests of one class for a while.
+/// A period with a higher rate of requests of one class.
 #[derive(Clone, Debug)]
 pub struct TrafficBurst {
     /// Index of the class.
     pub class: usize,
-    /// From when.
+    /// Start, since the start of the traffic.
     pub from: Duration,
-    /// Until when.
+    /// End, since the start of the traffic; exclusive.
     pub to: Duration,
-    /// How many times its usual rate.
+    /// Multiple of the class's usual rate.
     pub factor: f64,
 }
 
-/// A request and when it arrives.
+/// A request and its arrival time.
 #[derive(Clone, Debug)]
 pub struct TrafficArrival {
-    /// Time since the start.
+    /// Arrival time since the start of the traffic.
     pub at: Duration,
     /// Index of the class.
     pub class: usize,
-    /// The workspace.
+    /// Name of the workspace that sends the request.
     pub workspace: Box<str>,
     /// The request.
     pub body: RequestBody,
 }
 
-/// Makes the arrivals of a plan; the same seed gives the same.
+/// Generates the arrivals of a plan; the same seed generates the same arrivals.
 pub struct ArrivalSource {
     plan: TrafficPlan,
     random: Pcg64Mcg,
@@ -108,7 +108,7 @@
 }
 
 impl ArrivalSource {
-    /// The source for a plan and a seed.
+    /// A generator for a plan and a seed.
     pub fn new(plan: TrafficPlan, seed: u64) -> Self {
         Self {
             plan,
@@ -118,21 +118,21 @@
         }
     }
 
-    /// A request like `class`'s that no other call has; for a call that is made again.
+    /// A unique request of the shape of `class` that replaces a call with an unknown outcome.
     pub fn replacement(class: &ClassTraffic, plan: &TrafficPlan, seed: u64) -> RequestBody {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let name = format!("again-{seed:016x}");
-        make_body(class, plan, &name, "", &mut random)
+        request_body(class, plan, &name, "", &mut random)
     }
 
-    /// Goes on to the next arrival and gives its class.
+    /// Advances to the next arrival and returns the index of its class.
     fn advance(&mut self) -> usize {
         let weights: Vec<f64> = (0..self.plan.classes.len())
             .map(|index| self.weight(index))
             .collect();
         let usual: f64 = self.plan.classes.iter().map(|class| class.share).sum();
         let rate = self.plan.rate * weights.iter().sum::<f64>() / usual;
-        // Exponential gaps make a Poisson process.
+        // Exponentially distributed gaps make a Poisson process.
         let gap = -(1.0 - self.random.random::<f64>()).ln() / rate;
         self.at += Duration::from_secs_f64(gap);
         pick(&weights, &mut self.random)
@@ -140,9 +140,9 @@
 
     fn weight(&self, index: usize) -> f64 {
         let bursts = self.plan.bursts.iter();
-        let now = bursts
+        let active = bursts
             .filter(|burst| burst.class == index && (burst.from..burst.to).contains(&self.at));
-        let factor: f64 = now.map(|burst| burst.factor).product();
+        let factor: f64 = active.map(|burst| burst.factor).product();
         self.plan.classes[index].share * factor
     }
 }
@@ -166,7 +166,7 @@
         let workspace = self.plan.workspaces[workspace].name.clone();
         let name = self.number.to_string();
         let shape = &self.plan.classes[class];
-        let body = make_body(shape, &self.plan, &name, &workspace, &mut self.random);
+        let body = request_body(shape, &self.plan, &name, &workspace, &mut self.random);
         Some(TrafficArrival {
             at: self.at,
             class,
@@ -176,19 +176,19 @@
     }
 }
 
-/// An index, chosen by weight.
+/// Picks an index at random in proportion to its weight.
 fn pick(weights: &[f64], random: &mut Pcg64Mcg) -> usize {
-    let mut left = random.random::<f64>() * weights.iter().sum::<f64>();
+    let mut remaining = random.random::<f64>() * weights.iter().sum::<f64>();
     for (index, weight) in weights.iter().enumerate() {
-        left -= weight;
-        if left < 0.0 {
+        remaining -= weight;
+        if remaining < 0.0 {
             return index;
         }
     }
     weights.len().saturating_sub(1)
 }
 
-fn make_body(
+fn request_body(
     class: &ClassTraffic,
     plan: &TrafficPlan,
     name: &str,
@@ -222,7 +222,7 @@
     }
 }
 
-/// A prompt that begins as all others of its class and workspace, and ends as no other.
+/// A prompt with a prefix shared by its class and workspace, and a unique suffix.
 fn prompt(class: &str, workspace: &str, name: &str, bytes: usize) -> Box<str> {
     let mut text = format!("You work on {class} for {workspace}: ");
     while text.len() < bytes {
--- a/cli/src/verify.rs
+++ b/cli/src/verify.rs
@@ -1,38 +1,38 @@
-//! Compares an answer, token by token, with the one that the stand-in engines must give.
+//! Token-by-token comparison of an answer with the one expected from the stand-in engines.
 
-/// What an answer that came to its end turned out to be.
+/// Result of checking an answer that was received to its end, from least to most severe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AnswerCheck {
-    /// Every token, once and in order.
+    /// Every token is present once and in order.
     Whole,
     /// Tokens are missing.
     Short,
-    /// A token came twice.
+    /// A token occurs twice.
     Doubled,
-    /// Something is not of this answer.
+    /// A token does not belong to this answer.
     Crossed,
 }
 
-/// Compares two answers of tokens that each end in a space. Of several faults the worst counts.
-pub fn compare_answers(expected: &str, got: &str) -> AnswerCheck {
+/// Compares two answers whose tokens each end in a space, and returns the most severe mismatch.
+pub fn compare_answers(expected: &str, received: &str) -> AnswerCheck {
     let expected: Vec<&str> = expected.split_inclusive(' ').collect();
-    let mut verdict = AnswerCheck::Whole;
+    let mut check = AnswerCheck::Whole;
     let mut next = 0;
-    for token in got.split_inclusive(' ') {
-        let rest = &expected[next..];
-        if rest.first() == Some(&token) {
+    for token in received.split_inclusive(' ') {
+        let remaining = &expected[next..];
+        if remaining.first() == Some(&token) {
             next += 1;
         } else if expected[..next].contains(&token) {
-            verdict = verdict.max(AnswerCheck::Doubled);
-        } else if let Some(gap) = rest.iter().position(|later| *later == token) {
-            verdict = verdict.max(AnswerCheck::Short);
+            check = check.max(AnswerCheck::Doubled);
+        } else if let Some(gap) = remaining.iter().position(|later| *later == token) {
+            check = check.max(AnswerCheck::Short);
             next += gap + 1;
         } else {
-            verdict = verdict.max(AnswerCheck::Crossed);
+            check = check.max(AnswerCheck::Crossed);
         }
     }
     if next < expected.len() {
-        verdict = verdict.max(AnswerCheck::Short);
+        check = check.max(AnswerCheck::Short);
     }
-    verdict
+    check
 }
