--- a/cli/src/addresses.rs
+++ b/cli/src/addresses.rs
@@ -1,4 +1,4 @@
-//! `monsoon where`: the addresses that a caller should use.
+//! `monsoon where`: prints the addresses that a caller should use.
 
 use clap::{Arg, ArgMatches, Command};
 use serde_json::Value;
@@ -9,7 +9,7 @@
 use crate::exit_codes::ExitCode;
 
 const LONG_ABOUT: &str = "\
-Asks any node which addresses callers should use, and for how long.
+Requests from any node the addresses that callers should use, and how long they are valid.
 
 Examples:
   monsoon where 10.0.0.4:8080
--- a/cli/src/arguments.rs
+++ b/cli/src/arguments.rs
@@ -1,18 +1,18 @@
-//! Arguments that several commands share.
+//! Arguments shared by several commands.
 
 use clap::{Arg, ArgMatches, value_parser};
 use derive_more::FromStr;
 
-/// How a command prints its result.
+/// Output format of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, FromStr)]
 pub enum OutputFormat {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// For programs.
+    /// JSON.
     Json,
 }
 
-/// `--format`.
+/// The argument `--format`.
 pub fn format() -> Arg {
     Arg::new("format")
         .long("format")
@@ -30,7 +30,7 @@
     text.parse().unwrap_or(OutputFormat::Text)
 }
 
-/// `--node`: a node's operators' address.
+/// The argument `--node`: a node's operators' address.
 pub fn node() -> Arg {
     Arg::new("node")
         .long("node")
@@ -42,7 +42,7 @@
         .help("A node's operators' address (IP number and port)")
 }
 
-/// `--token`: the operators' bearer token.
+/// The argument `--token`: the operators' bearer token.
 pub fn token() -> Arg {
     Arg::new("token")
         .long("token")
@@ -54,7 +54,7 @@
         .help("The bearer token")
 }
 
-/// A text argument's value; empty when it was not given.
+/// The value of a text argument; empty if it was not given.
 pub fn text<'a>(matches: &'a ArgMatches, name: &str) -> &'a str {
     matches.get_one::<String>(name).map_or("", String::as_str)
 }
--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `monsoon check`: settings and configuration checked without a node.
+//! `monsoon check`: validates configuration, settings and scenario files without a node.
 
 use std::path::{Path, PathBuf};
 
@@ -15,10 +15,10 @@
 const LONG_ABOUT: &str = "\
 Checks configuration and settings files without a node.
 
-Configuration files are checked together, as one configuration: each may hold a part of it, such \
-as the rule list. A directory stands for the YAML files in it. A node's settings files are told \
-by their `listen` section and are checked one by one. An error names the file, the line and \
-column, the field and what was expected.
+Configuration files are checked together, as one configuration: each may contain a part of it, \
+such as the rule list. A directory stands for the YAML files in it. A node's settings files are \
+recognized by their `listen` section and are checked one by one. An error names the file, the \
+line and column, the field and what was expected.
 
 Exit codes: 0 valid, 3 invalid, 1 not checked.
 
@@ -43,11 +43,11 @@
         .arg(arguments::format())
 }
 
-/// A text file.
+/// Path and content of a text file.
 pub struct TextFile {
-    /// Its path as it was given.
+    /// Path as given on the command line, or below a directory given there.
     pub name: Box<str>,
-    /// Its text.
+    /// Content of the file.
     pub text: String,
 }
 
@@ -64,7 +64,7 @@
     matches!(extension, Some("yaml" | "yml"))
 }
 
-fn files_of(path: &Path) -> Result<Vec<PathBuf>, CliError> {
+fn expand_path(path: &Path) -> Result<Vec<PathBuf>, CliError> {
     if !path.is_dir() {
         return Ok(vec![path.to_owned()]);
     }
@@ -84,11 +84,11 @@
     Ok(files)
 }
 
-/// Reads files, and the YAML files of directories.
+/// Reads the files, and the YAML files in the directories, at `paths`.
 pub fn read_files<'a>(paths: impl Iterator<Item = &'a PathBuf>) -> Result<Vec<TextFile>, CliError> {
     let mut texts = Vec::new();
     for path in paths {
-        for file in files_of(path)? {
+        for file in expand_path(path)? {
             texts.push(TextFile {
                 name: file.display().to_string().into(),
                 text: std::fs::read_to_string(&file).map_err(file_error(&file))?,
@@ -106,8 +106,8 @@
     file.text.lines().any(|line| line.starts_with("engines:"))
 }
 
-/// What is wrong with settings files and scenario files.
-fn wrong_files(settings: &[TextFile], scenarios: &[TextFile]) -> Vec<String> {
+/// Error messages for invalid settings files and scenario files.
+fn settings_and_scenario_errors(settings: &[TextFile], scenarios: &[TextFile]) -> Vec<String> {
     let settings = settings
         .iter()
         .filter_map(|file| Settings::parse(&file.name, &file.text).err())
@@ -119,7 +119,7 @@
     settings.chain(scenarios).collect()
 }
 
-fn fault_text(fault: &FileFault) -> serde_json::Value {
+fn fault_json(fault: &FileFault) -> serde_json::Value {
     json!({
         "file": fault.file,
         "line": fault.position.line,
@@ -145,21 +145,21 @@
     } else {
         check_texts(&texts).err().unwrap_or_default()
     };
-    let wrong = wrong_files(&settings, &scenarios);
-    let valid = faults.is_empty() && wrong.is_empty();
+    let errors = settings_and_scenario_errors(&settings, &scenarios);
+    let valid = faults.is_empty() && errors.is_empty();
     match arguments::chosen_format(matches) {
         OutputFormat::Json => {
-            let faults: Vec<_> = faults.iter().map(fault_text).collect();
+            let faults: Vec<_> = faults.iter().map(fault_json).collect();
             println!(
                 "{:#}",
-                json!({ "valid": valid, "faults": faults, "settings": wrong })
+                json!({ "valid": valid, "faults": faults, "settings": errors })
             );
         }
         OutputFormat::Text => {
             for fault in &faults {
                 println!("{fault}");
             }
-            for error in &wrong {
+            for error in &errors {
                 println!("{error}");
             }
             if valid {
--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -1,11 +1,11 @@
-//! Talks to nodes over HTTP.
+//! HTTP client for the nodes' API.
 
 use reqwest::{Client, Method, RequestBuilder, Response};
 use serde_json::Value;
 
 use crate::error::CliError;
 
-/// A node's interface, as the tool uses it.
+/// Client for the HTTP API of one node.
 #[derive(Clone, Debug)]
 pub struct NodeClient {
     address: Box<str>,
@@ -14,7 +14,8 @@
 }
 
 impl NodeClient {
-    /// A client for the interface at `address` (IP number and port), with a bearer token if given.
+    /// A client for the API at `address` (IP number and port); without a token requests carry no
+    /// authorization.
     pub fn new(address: &str, token: Option<&str>) -> Self {
         let client = Client::builder().no_proxy().build().unwrap_or_default();
         Self {
@@ -45,10 +46,10 @@
             return Ok(response);
         }
         let text = response.text().await.map_err(unreachable)?;
-        let told = serde_json::from_str::<Value>(&text).ok();
-        let message = told
+        let body = serde_json::from_str::<Value>(&text).ok();
+        let message = body
             .as_ref()
-            .and_then(|told| told.pointer("/error/message")?.as_str());
+            .and_then(|body| body.pointer("/error/message")?.as_str());
         let message = message.unwrap_or(text.trim()).into();
         Err(CliError::Refused {
             address: self.address.clone(),
@@ -57,7 +58,7 @@
         })
     }
 
-    /// Gets a JSON answer.
+    /// Sends a GET request and returns the JSON response; any status but success is an error.
     pub async fn get(&self, path: &str) -> Result<Value, CliError> {
         let response = self.send(self.request(Method::GET, path)).await?;
         let unreachable = |source| CliError::Unreachable {
@@ -67,7 +68,8 @@
         response.json().await.map_err(unreachable)
     }
 
-    /// Posts a JSON body; the answer's text.
+    /// Sends a JSON body with POST and returns the response text; any status but success is an
+    /// error.
     pub async fn post(&self, path: &str, body: &Value) -> Result<Box<str>, CliError> {
         let response = self
             .send(self.request(Method::POST, path).json(body))
--- a/cli/src/completions.rs
+++ b/cli/src/completions.rs
@@ -1,4 +1,4 @@
-//! `monsoon completions`: shell completions.
+//! `monsoon completions`: prints shell completions.
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 use clap_complete::Shell;
@@ -17,7 +17,7 @@
         )
 }
 
-/// Runs the command; `tool` is the whole tool's command.
+/// Runs the command; `tool` is the tool's top-level command.
 pub fn run(matches: &ArgMatches, mut tool: Command) -> ExitCode {
     if let Some(shell) = matches.get_one::<Shell>("shell") {
         clap_complete::generate(*shell, &mut tool, "monsoon", &mut std::io::stdout());
--- a/cli/src/drain.rs
+++ b/cli/src/drain.rs
@@ -1,4 +1,4 @@
-//! `monsoon drain`: a planned stop of a node or an upstream.
+//! `monsoon drain`: drains a node or an upstream for a planned stop.
 
 use clap::{Arg, ArgMatches, Command};
 use serde_json::Value;
@@ -9,11 +9,11 @@
 use crate::exit_codes::ExitCode;
 
 const LONG_ABOUT: &str = "\
-Stops a node, or takes an upstream out, without cutting off any call.
+Stops a node, or takes an upstream out of service, without interrupting any call.
 
-Without UPSTREAM the node itself leaves: it takes nothing new, hands queued work to other nodes, \
-finishes every call in flight and exits. With UPSTREAM every node stops giving it new work; its \
-calls in flight finish.
+Without UPSTREAM the node itself leaves: it accepts no new calls, hands queued work to other \
+nodes, finishes every call in flight and exits. With UPSTREAM every node stops sending it new \
+work; its calls in flight finish.
 
 Examples:
   monsoon drain --node 10.0.0.4:8082 --token \"$TOKEN\"
@@ -22,7 +22,7 @@
 /// The command's arguments.
 pub fn command() -> Command {
     Command::new("drain")
-        .about("Stops a node or takes an upstream out, cutting off no call")
+        .about("Stops a node or takes an upstream out of service without interrupting calls")
         .long_about(LONG_ABOUT)
         .arg(arguments::node())
         .arg(arguments::token())
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -1,48 +1,48 @@
-//! What can keep a command from doing what was asked.
+//! Errors of the tool's commands.
 
 use thiserror::Error;
 
-/// What can keep a command from doing what was asked.
+/// Error that stops a command.
 #[derive(Debug, Error)]
 pub enum CliError {
-    /// A node cannot be reached, or its answer cannot be read.
+    /// A node cannot be reached, or its response cannot be read.
     #[error("{address}: {source}")]
     Unreachable {
         /// The node's address.
         address: Box<str>,
-        /// Why.
+        /// The error of the HTTP client.
         source: reqwest::Error,
     },
-    /// A node refused the request.
+    /// A node answered with an error status, or in an unknown format.
     #[error("{address}: status {status}: {message}")]
     Refused {
         /// The node's address.
         address: Box<str>,
-        /// The HTTP status.
+        /// The HTTP status code.
         status: u16,
-        /// The node's message.
+        /// The node's error message, or the response body if there is none.
         message: Box<str>,
     },
     /// A file cannot be read or written.
     #[error("{file}: {source}")]
     File {
-        /// The file.
+        /// Path of the file or directory.
         file: Box<str>,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// An argument has no usable value.
+    /// An argument has an invalid value.
     #[error("argument {name}: {reason}")]
     Argument {
-        /// The argument.
+        /// Name of the argument.
         name: &'static str,
-        /// What is wrong, and what was expected.
+        /// Description of the problem and of the expected value.
         reason: Box<str>,
     },
-    /// The async runtime cannot be made.
+    /// The async runtime cannot be started.
     #[error("cannot start the runtime: {0}")]
     Runtime(std::io::Error),
-    /// A measurement cannot be made.
+    /// A benchmark failed.
     #[error("{0}")]
     Bench(#[from] crate::bench::BenchError),
     /// A node of the demonstration cannot be started.
@@ -51,27 +51,27 @@
     /// A stand-in of the demonstration cannot be started.
     #[error("cannot start a stand-in: {0}")]
     Standin(std::io::Error),
-    /// A node of the demonstration has no configuration in force.
+    /// A node of the demonstration had no configuration in force before the timeout.
     #[error("{node}: no configuration in force in time")]
     NotReady {
-        /// The node.
+        /// Name of the node.
         node: Box<str>,
     },
-    /// A node of a measured fleet does not show what it should.
+    /// A node of a measured fleet did not show the expected state before the timeout.
     #[error("{node}: does not show {what} in time")]
     NotShown {
-        /// The node.
+        /// Name of the node.
         node: Box<str>,
-        /// What it should show.
+        /// Description of the expected state.
         what: &'static str,
     },
-    /// A change of configuration was not accepted.
+    /// A configuration change was not accepted.
     #[error("a change was not accepted: {answer}")]
     NotAccepted {
-        /// The node's answer.
+        /// The node's response.
         answer: Box<str>,
     },
-    /// The HTTP client cannot be made.
-    #[error("cannot make the HTTP client: {0}")]
+    /// The HTTP client cannot be created.
+    #[error("cannot create the HTTP client: {0}")]
     Client(reqwest::Error),
 }
--- a/cli/src/exit_codes.rs
+++ b/cli/src/exit_codes.rs
@@ -2,14 +2,15 @@
 
 use crate::error::CliError;
 
-/// How a command ended.
+/// Result of a command, as its exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitCode {
-    /// It did what was asked.
+    /// The command succeeded (0).
     Success,
-    /// It found what it was asked to look for: an invalid file, a conflict, a broken promise.
+    /// The command ran and found a problem, such as an invalid file, a conflict or a violated
+    /// guarantee (3).
     ProblemFound,
-    /// It could not do what was asked.
+    /// The command failed (1).
     Failure,
 }
 
--- a/cli/src/explain.rs
+++ b/cli/src/explain.rs
@@ -1,4 +1,4 @@
-//! `monsoon explain`: which rule matches a request, and why each earlier one does not.
+//! `monsoon explain`: shows which rule matches a request, and why each earlier one does not.
 
 use std::path::PathBuf;
 
@@ -17,7 +17,7 @@
 
 REQUEST is written as METHOD PATH, as in the first line of an HTTP request.
 
-Exit codes: 0 a rule matches, 3 none does or the files are invalid, 1 not tried.
+Exit codes: 0 a rule matches, 3 none does or the files are invalid, 1 not evaluated.
 
 Examples:
   monsoon explain --rules examples/tauhere/config.yaml POST /v1/chat/completions \\
@@ -88,7 +88,7 @@
 }
 
 #[derive(Serialize)]
-struct RuleVerdict<'a> {
+struct RuleResult<'a> {
     rule: &'a str,
     matches: bool,
     reason: Option<String>,
@@ -96,7 +96,7 @@
 
 #[derive(Serialize)]
 struct Explanation<'a> {
-    rules: Vec<RuleVerdict<'a>>,
+    rules: Vec<RuleResult<'a>>,
     class: Option<&'a str>,
     tier: Option<u8>,
     pool: Option<String>,
@@ -107,7 +107,7 @@
     for rule in &file.rules {
         let mismatch = rule.when.mismatch(facts);
         let matches = mismatch.is_none();
-        rules.push(RuleVerdict {
+        rules.push(RuleResult {
             rule: &rule.name,
             matches,
             reason: mismatch.map(|mismatch| mismatch.to_string()),
@@ -128,10 +128,10 @@
 }
 
 fn print(explanation: &Explanation<'_>) {
-    for verdict in &explanation.rules {
-        match &verdict.reason {
-            Some(reason) => println!("no   {}: {reason}", verdict.rule),
-            None => println!("yes  {}", verdict.rule),
+    for result in &explanation.rules {
+        match &result.reason {
+            Some(reason) => println!("no   {}: {reason}", result.rule),
+            None => println!("yes  {}", result.rule),
         }
     }
     match (explanation.class, explanation.tier, &explanation.pool) {
@@ -142,7 +142,7 @@
     }
 }
 
-fn service_of(path: &str) -> &str {
+fn service_name(path: &str) -> &str {
     let rest = path.strip_prefix("/services/").unwrap_or_default();
     rest.split('/').next().unwrap_or_default()
 }
@@ -188,7 +188,7 @@
         workspace: arguments::text(matches, "workspace"),
         path,
         method: &method,
-        model: model.unwrap_or_else(|| service_of(path)),
+        model: model.unwrap_or_else(|| service_name(path)),
         headers: &headers,
         bytes: matches.get_one("bytes").copied().unwrap_or_default(),
         streamed: matches.get_flag("streamed"),
--- a/cli/src/load.rs
+++ b/cli/src/load.rs
@@ -1,4 +1,5 @@
-//! `monsoon load`: open-loop load on running nodes, beside the same load straight to an upstream.
+//! `monsoon load`: sends open-loop load to running nodes, and optionally directly to an upstream for
+//! comparison.
 
 pub mod report;
 
@@ -33,10 +34,10 @@
   monsoon load --target one-hop=10.0.0.4:8080 --target two-hops=10.0.0.5:8080 \\
       --direct 10.0.1.9:7101 --token \"$TOKEN\" --model tauhere-writer --rate 300";
 
-/// A call without an end after this time is lost.
-const CALL_LIMIT: Duration = Duration::from_mins(1);
+/// Timeout of a call; a call that exceeds it counts as lost.
+const CALL_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Name of the row of requests that went straight to the upstream.
+/// Name of the report row of requests sent directly to the upstream.
 const DIRECT: &str = "direct";
 
 /// The command's arguments.
@@ -124,18 +125,18 @@
         .arg(arguments::format())
 }
 
-/// A way that requests take.
+/// A destination of requests: a node or, for comparison, an upstream.
 #[derive(Clone, Debug)]
 pub struct LoadWay {
-    /// Its name in the report.
+    /// Name in the report.
     pub name: Box<str>,
     /// IP number and port.
     pub address: Box<str>,
-    /// Whether it is an upstream and no node.
+    /// Whether the address belongs to an upstream rather than a node.
     pub direct: bool,
 }
 
-/// What every request needs.
+/// State shared by all requests of a run.
 struct LoadRun {
     ways: Vec<LoadWay>,
     client: Client,
@@ -167,7 +168,8 @@
     })
 }
 
-/// Sends a plan's requests along the ways in turn; answers are not compared.
+/// Sends a plan's requests along the ways in turn and returns the report. Answers are not compared
+/// with expected ones.
 pub async fn measure(
     ways: Vec<LoadWay>,
     plan: &TrafficPlan,
@@ -288,17 +290,17 @@
             checked: self.checked,
         };
         let exchange = exchange::exchange(&self.client, target, body);
-        match timeout(CALL_LIMIT, exchange).await {
-            Ok(end) => call_result(&end),
+        match timeout(CALL_TIMEOUT, exchange).await {
+            Ok(outcome) => call_result(&outcome),
             Err(_) => CallOutcome::Lost.into(),
         }
     }
 }
 
-fn call_result(end: &ExchangeOutcome) -> CallResult {
-    match end {
-        ExchangeOutcome::Answer(verdict, times) => CallResult::answered(*verdict, *times),
-        ExchangeOutcome::NotRun(note) => CallResult::refused(&note.code),
+fn call_result(outcome: &ExchangeOutcome) -> CallResult {
+    match outcome {
+        ExchangeOutcome::Answer(check, times) => CallResult::answered(*check, *times),
+        ExchangeOutcome::NotRun(details) => CallResult::refused(&details.code),
         ExchangeOutcome::Unsent => CallResult::refused("unreachable"),
         ExchangeOutcome::Unknown => CallOutcome::Unknown.into(),
         ExchangeOutcome::Broken => CallOutcome::Lost.into(),
--- a/cli/src/load/report.rs
+++ b/cli/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The load's report.
+//! Report of `monsoon load`.
 
 use serde::Serialize;
 
@@ -7,35 +7,35 @@
 use crate::tally::{ClassRow, ClassTally};
 use crate::traffic::TrafficPlan;
 
-/// What a target adds to the direct way.
+/// Latency that a target adds to the direct way, by the time to the first token or whole answer.
 #[derive(Clone, Debug, Serialize)]
 pub struct AddedLatency {
-    /// The target.
+    /// Name of the target.
     pub name: Box<str>,
-    /// Difference of the medians, in milliseconds.
+    /// Difference between the medians, in milliseconds.
     pub p50_ms: f64,
-    /// Difference of the 99th percentiles, in milliseconds.
+    /// Difference between the 99th percentiles, in milliseconds.
     pub p99_ms: f64,
-    /// Ratio of the medians.
+    /// Ratio of the target's median to the direct one.
     pub p50_ratio: f64,
-    /// Ratio of the 99th percentiles.
+    /// Ratio of the target's 99th percentile to the direct one.
     pub p99_ratio: f64,
 }
 
-/// What the load showed.
+/// Results of a load run.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadReport {
-    /// Requests a second, over all ways.
+    /// Mean number of requests per second over all ways.
     pub rate: f64,
-    /// How long requests arrived, in seconds.
+    /// Time during which requests arrived, in seconds.
     pub seconds: u64,
-    /// One row a way.
+    /// One row per way.
     pub ways: Vec<ClassRow>,
-    /// What each target adds to the direct way.
+    /// Latency that each target adds to the direct way; empty without a direct way.
     pub added: Vec<AddedLatency>,
 }
 
-/// Compares the ways.
+/// The report of a run; `tallies` are in the order of `ways`.
 pub fn report(ways: &[LoadWay], plan: &TrafficPlan, tallies: &[ClassTally]) -> LoadReport {
     let rows: Vec<ClassRow> = ways
         .iter()
@@ -66,7 +66,7 @@
     }
 }
 
-/// Prints the report for people.
+/// Prints the report as text.
 pub fn print(report: &LoadReport) {
     println!("{}", table::class_table(&report.ways));
     for line in table::refusal_lines(&report.ways) {
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `monsoon`: the tool of monsoonbank's operators and callers.
+//! `monsoon`: the command-line tool for operators and callers of monsoonbank.
 
 mod addresses;
 mod arguments;
@@ -32,7 +32,7 @@
 use crate::exit_codes::ExitCode;
 
 const LONG_ABOUT: &str = "\
-The tool of monsoonbank's operators and callers.
+The command-line tool for operators and callers of monsoonbank.
 
 Examples:
   monsoon demo
@@ -43,7 +43,7 @@
 fn command() -> Command {
     Command::new("monsoon")
         .version(clap::crate_version!())
-        .about("The tool of monsoonbank's operators and callers")
+        .about("The command-line tool for operators and callers of monsoonbank")
         .long_about(LONG_ABOUT)
         .subcommand_required(true)
         .arg_required_else_help(true)
--- a/cli/src/order.rs
+++ b/cli/src/order.rs
@@ -1,4 +1,4 @@
-//! `monsoon order`: an order to an engine.
+//! `monsoon order`: sends an order for an engine to a node.
 
 use clap::{Arg, ArgMatches, Command};
 use monsoonbank_kernel::leases::EngineOrder;
@@ -10,11 +10,11 @@
 use crate::exit_codes::ExitCode;
 
 const LONG_ABOUT: &str = "\
-Hands an order for an engine to a node.
+Sends an order for an engine to a node.
 
-The order is given by the one node that holds the lease on the log, and tried again until the \
-engine accepts it or has refused it several times. While the log is down orders wait. The outcome \
-is told in the `leases` section of the state of the node that holds the lease.
+The one node that holds the lease on the log passes the order to the engine, and retries until \
+the engine accepts it or has refused it several times. While the log is down orders wait. The \
+outcome is reported in the `leases` section of the state of the node that holds the lease.
 
 Examples:
   monsoon order --node 10.0.0.4:8082 writer-3 load-model tauhere-writer 2026-11
@@ -35,10 +35,10 @@
         .about("Load an adapter")
         .arg(value("ADAPTER", "The adapter"));
     let change_role = Command::new("change-role")
-        .about("Serve another role")
+        .about("Change the engine's role")
         .arg(value("ROLE", "The role"));
     Command::new("order")
-        .about("Hands an order for an engine to a node")
+        .about("Sends an order for an engine to a node")
         .long_about(LONG_ABOUT)
         .arg(arguments::node())
         .arg(arguments::token())
@@ -49,7 +49,7 @@
         .subcommand(change_role)
 }
 
-fn order_of(matches: &ArgMatches) -> Option<EngineOrder> {
+fn parse_order(matches: &ArgMatches) -> Option<EngineOrder> {
     let (name, matches) = matches.subcommand()?;
     let text = |name| arguments::text(matches, name).into();
     match name {
@@ -67,7 +67,7 @@
 
 /// Runs the command.
 pub async fn run(matches: &ArgMatches) -> Result<ExitCode, CliError> {
-    let Some(order) = order_of(matches) else {
+    let Some(order) = parse_order(matches) else {
         return Ok(ExitCode::Failure);
     };
     let node = arguments::text(matches, "node");
--- a/cli/src/publish.rs
+++ b/cli/src/publish.rs
@@ -1,4 +1,4 @@
-//! `monsoon publish`: changes of configuration, published through a node.
+//! `monsoon publish`: publishes configuration changes through a node.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -19,11 +19,11 @@
 use crate::error::CliError;
 use crate::exit_codes::ExitCode;
 
-/// Time between two looks at how far a change has come.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Interval between two polls of the progress of a change.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Tries of a change whose result a node could not tell.
-const TRIES: u32 = 3;
+/// Maximum number of attempts while nodes answer that the result is unavailable.
+const MAX_ATTEMPTS: u32 = 3;
 
 const LONG_ABOUT: &str = "\
 Publishes configuration through a node.
@@ -31,13 +31,13 @@
 Each class, workspace, pool and upstream, the list of tiers and the rule list is a document with a \
 version of its own. Only documents that differ from those in force are changed, all of them or \
 none. The change is accepted if no other change of the same documents came first; otherwise the \
-conflict shows both versions: look at the new content, then publish again. With --id a change may \
+conflict shows both versions: check the new content, then publish again. With --id a change may \
 be sent again safely, for example after a lost answer.
 
 \"accepted\" is printed once the record was read back from the log, \"in force\" as the nodes \
 report it.
 
-Exit codes: 0 accepted and in force on every node, 3 refused (invalid or conflict), 1 not known.
+Exit codes: 0 accepted and in force on every node, 3 refused (invalid or conflict), 1 unknown.
 
 Examples:
   monsoon publish --node 10.0.0.4:8082 --token \"$TOKEN\" examples/tauhere/config.yaml
@@ -71,7 +71,7 @@
             Arg::new("prune")
                 .long("prune")
                 .action(ArgAction::SetTrue)
-                .help("Removes every document that the files do not have"),
+                .help("Removes every document that is not in the files"),
         )
         .arg(
             Arg::new("seen")
@@ -101,12 +101,13 @@
     serde_json::from_value(value).map_err(|error| CliError::Refused {
         address: address.into(),
         status: 200,
-        message: format!("the answer has an unknown shape: {error}").into(),
+        message: format!("the answer has an unknown format: {error}").into(),
     })
 }
 
-/// The changes that lead from the documents in force to those wanted.
-fn difference(
+/// The changes that turn the documents in force into those wanted. A change replaces no version
+/// after `seen`. Pruning removes every document that is not wanted, except placements.
+fn document_changes(
     wanted: Vec<Document>,
     removed: &[DocumentKey],
     prune: bool,
@@ -118,7 +119,7 @@
         .iter()
         .map(|one| (one.content.key(), (one.version, &one.content)))
         .collect();
-    // A document that changed after the version seen conflicts with whatever it replaced.
+    // A change of a document that is newer than `seen` names the older version, so it conflicts.
     let version = |key: &DocumentKey| {
         in_force
             .get(key)
@@ -134,16 +135,16 @@
             DocumentChange::set(document, replaces)
         })
         .collect();
-    let gone = in_force.keys().filter(|key| {
+    let removals = in_force.keys().filter(|key| {
         let placement = matches!(key, DocumentKey::Placement(_));
         removed.contains(key) || (prune && !placement && !keys.contains(key))
     });
-    changes.extend(gone.map(|key| DocumentChange::remove(key.clone(), version(key))));
+    changes.extend(removals.map(|key| DocumentChange::remove(key.clone(), version(key))));
     changes
 }
 
-/// What is wrong with the configuration that would come of the change. A file may hold a part of
-/// it only, so the documents that stay in force are checked with it.
+/// Faults of the configuration that would result from the change. The files may contain only a part
+/// of it, so they are checked together with the documents that stay in force.
 fn faults(files: &[TextFile], list: &DocumentList, changes: &[DocumentChange]) -> Vec<FileFault> {
     let texts = files.iter().map(|file| (&*file.name, file.text.as_str()));
     let given = texts
@@ -157,7 +158,7 @@
         let mut changes = changes.iter();
         changes.any(|change| change.key == *key && change.content.is_none())
     };
-    let kept = list
+    let unchanged = list
         .documents
         .iter()
         .map(|one| &one.content)
@@ -165,14 +166,14 @@
             let key = content.key();
             !given.contains(&key) && !removed(&key)
         });
-    let kept = serde_yaml_ng::to_string(&join(kept.cloned())).unwrap_or_default();
-    let whole: Vec<(&str, &str)> = std::iter::once(("in force", kept.as_str()))
+    let unchanged = serde_yaml_ng::to_string(&join(unchanged.cloned())).unwrap_or_default();
+    let combined: Vec<(&str, &str)> = std::iter::once(("in force", unchanged.as_str()))
         .chain(texts)
         .collect();
-    check_texts(&whole).err().unwrap_or_default()
+    check_texts(&combined).err().unwrap_or_default()
 }
 
-fn documents_of(files: &[TextFile]) -> Result<Vec<Document>, FileFault> {
+fn parse_documents(files: &[TextFile]) -> Result<Vec<Document>, FileFault> {
     let mut documents = Vec::new();
     for file in files {
         documents.extend(split(&parse_file(&file.name, &file.text)?));
@@ -187,7 +188,7 @@
 ) -> Result<PublishResult, CliError> {
     let body = json!(record);
     let mut result = PublishResult::Unavailable;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let answer = client.post("/v1/changes", &body).await?;
         let value = serde_json::from_str(&answer).unwrap_or_default();
         result = parse(address, value)?;
@@ -198,8 +199,8 @@
     Ok(result)
 }
 
-/// Looks until the change is in force on every node, or time is up.
-async fn follow(
+/// Polls until the change is in force on every node or the wait is over, and returns the last status.
+async fn wait_until_in_force(
     client: &NodeClient,
     address: &str,
     id: &str,
@@ -215,7 +216,7 @@
         if everywhere || start.elapsed() > wait {
             return Ok(status);
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -224,7 +225,7 @@
     let address = arguments::text(matches, "node");
     let client = NodeClient::new(address, Some(arguments::text(matches, "token")));
     let files = read_files(matches.get_many::<PathBuf>("files").into_iter().flatten())?;
-    let documents = match documents_of(&files) {
+    let documents = match parse_documents(&files) {
         Ok(documents) => documents,
         Err(fault) => {
             eprintln!("{fault}");
@@ -240,10 +241,13 @@
         .collect();
     let seen = matches.get_one("seen").copied().unwrap_or(u64::MAX);
     let prune = matches.get_flag("prune");
-    let changes = difference(documents, &removed, prune, &list, seen);
+    let changes = document_changes(documents, &removed, prune, &list, seen);
     let given = matches.get_one::<String>("id").cloned();
     if changes.is_empty() && given.is_none() {
-        println!("nothing to publish: version {} has it all", list.version);
+        println!(
+            "nothing to publish: version {} already has this content",
+            list.version
+        );
         return Ok(ExitCode::Success);
     }
     let faults = faults(&files, &list, &changes);
@@ -269,7 +273,7 @@
     .await
 }
 
-/// Sends a change, tells what became of it, and follows it until it is in force.
+/// Sends a change, prints its result and waits until it is in force.
 async fn publish(
     client: &NodeClient,
     address: &str,
@@ -284,19 +288,23 @@
         println!("{result} (id {}, {answered} ms)", record.id);
     }
     let progress = match result {
-        PublishResult::Accepted { .. } => follow(client, address, &record.id, wait).await?.progress,
+        PublishResult::Accepted { .. } => {
+            wait_until_in_force(client, address, &record.id, wait)
+                .await?
+                .progress
+        }
         _ => None,
     };
-    let took = start.elapsed().as_millis() as u64;
+    let elapsed = start.elapsed().as_millis() as u64;
     match (format, progress) {
         (OutputFormat::Json, _) => println!(
             "{:#}",
             json!({ "id": record.id, "result": result, "answered_ms": answered,
-                "progress": progress, "in_force_ms": took })
+                "progress": progress, "in_force_ms": elapsed })
         ),
         (OutputFormat::Text, Some(progress)) => {
             println!(
-                "in force on {} of {} nodes ({took} ms)",
+                "in force on {} of {} nodes ({elapsed} ms)",
                 progress.in_force, progress.of
             );
         }
--- a/cli/src/state.rs
+++ b/cli/src/state.rs
@@ -1,4 +1,4 @@
-//! `monsoon state`: a node's state dump.
+//! `monsoon state`: prints a node's state dump.
 
 use clap::{Arg, ArgMatches, Command};
 
@@ -8,7 +8,7 @@
 use crate::exit_codes::ExitCode;
 
 const LONG_ABOUT: &str = "\
-Prints a node's state, whole or one section, as JSON.
+Prints a node's state, or one section of it, as JSON.
 
 Examples:
   monsoon state --node 10.0.0.4:8082 --token \"$TOKEN\"
--- a/cli/src/table.rs
+++ b/cli/src/table.rs
@@ -1,4 +1,4 @@
-//! The table at the end of `demo` and `load`.
+//! Result table of `monsoon demo` and `monsoon load`.
 
 use comfy_table::{CellAlignment, Table, presets};
 
@@ -24,7 +24,7 @@
     "gap\np95 ms",
 ];
 
-/// One row a class.
+/// The table, with one row per class or way.
 pub fn class_table(rows: &[ClassRow]) -> Table {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING);
@@ -41,7 +41,7 @@
     table
 }
 
-/// One line for each class with refusals: how many for which reason.
+/// One line for each class or way with refusals: their number by error code.
 pub fn refusal_lines(rows: &[ClassRow]) -> Vec<String> {
     let refused = rows.iter().filter(|row| !row.refusals.is_empty());
     refused
--- a/cli/src/why.rs
+++ b/cli/src/why.rs
@@ -1,4 +1,4 @@
-//! `monsoon why`: the cause of a call's end, from the decision lines of nodes.
+//! `monsoon why`: determines the cause of a call's outcome from the decision lines of nodes.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -58,7 +58,7 @@
         )
 }
 
-/// Why a call ended as it did.
+/// Cause of a call's outcome.
 #[derive(Clone, Debug, Display, PartialEq)]
 enum CallCause {
     #[display("it was answered whole by {upstream}")]
@@ -74,7 +74,7 @@
     #[display(
         "no upstream of {pool} had room for tier {tier} within {waited_ms} ms; it did not run"
     )]
-    NoRoom {
+    NoCapacity {
         pool: Box<str>,
         tier: u64,
         waited_ms: u64,
@@ -94,13 +94,13 @@
     #[display("all upstreams of {pool} had asked for a pause; it did not run")]
     Paused { pool: Box<str> },
     #[display("{upstream} did not take it ({end}: {reason}); it did not run")]
-    NotTaken {
+    Rejected {
         upstream: Box<str>,
         end: Box<str>,
         reason: Box<str>,
     },
     #[display("the node took nothing new; it did not run")]
-    NotCarried,
+    NodeLeaving,
     #[display("{upstream} answered with a failure of its own: {reason}")]
     Failed {
         upstream: Box<str>,
@@ -134,17 +134,17 @@
 }
 
 impl CallCause {
-    /// A short name, for counts.
+    /// Short name of the cause in JSON output and counts.
     fn label(&self) -> &'static str {
         match self {
             Self::Answered { .. } => "answered",
             Self::Refused { .. } => "refused",
-            Self::NoRoom { .. } => "no room",
+            Self::NoCapacity { .. } => "no room",
             Self::TooLate { .. } => "too late",
             Self::Quarantined { .. } => "quarantined",
             Self::Paused { .. } => "pool paused",
-            Self::NotTaken { .. } => "not taken",
-            Self::NotCarried => "node leaving",
+            Self::Rejected { .. } => "not taken",
+            Self::NodeLeaving => "node leaving",
             Self::Failed { .. } => "upstream failed",
             Self::AnswerLost { .. } => "answer lost",
             Self::StreamCut { .. } => "stream cut",
@@ -162,7 +162,7 @@
     line[field].as_u64().unwrap_or(0)
 }
 
-/// Names the cause from a call's lines, in the order in which they were written.
+/// Determines the cause from a call's lines, which are in the order in which they were written.
 fn cause(lines: &[Value]) -> CallCause {
     let last = |event: &str| lines.iter().rev().find(|line| line["event"] == event);
     if let Some(line) = last("refused") {
@@ -177,7 +177,7 @@
         return if last("sent").is_some() {
             CallCause::Unfinished
         } else {
-            CallCause::NotCarried
+            CallCause::NodeLeaving
         };
     };
     let upstream = last("sent").map_or_else(|| "?".into(), |line| text(line, "upstream"));
@@ -232,23 +232,24 @@
     }
     let waited = last("waited").filter(|line| line["found"] == false);
     if let (Some(waited), Some(matched)) = (waited, last("matched")) {
-        return CallCause::NoRoom {
+        return CallCause::NoCapacity {
             pool: text(matched, "pool"),
             tier: number(matched, "tier"),
             waited_ms: number(waited, "waited_ms"),
         };
     }
     match last("attempt_ended") {
-        Some(line) => CallCause::NotTaken {
+        Some(line) => CallCause::Rejected {
             upstream: text(line, "upstream"),
             end: text(line, "end"),
             reason: text(line, "reason"),
         },
-        None => CallCause::NotCarried,
+        None => CallCause::NodeLeaving,
     }
 }
 
-/// Reads the lines of all calls, or of one. Lines that are not JSON are passed over.
+/// Reads the decision lines by call, of all calls or only of `only`. Lines that are not JSON are
+/// skipped.
 fn read_calls(
     files: &[&PathBuf],
     only: Option<&str>,
@@ -260,7 +261,7 @@
             source,
         })?;
         for line in String::from_utf8_lossy(&bytes).lines() {
-            // Other output may stand before a line, such as a time that a collector adds.
+            // Log collectors may prepend output such as a timestamp.
             let Some(start) = line.find("{\"ms\"") else {
                 continue;
             };
