--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -1,4 +1,4 @@
-//! `monsoon demo`: a whole fleet in one process, with traffic, faults and a report.
+//! `monsoon demo`: runs a whole fleet in one process, with traffic, faults and a report.
 
 mod audit;
 pub mod callers;
@@ -31,8 +31,8 @@
 Nodes and stand-ins for the platform and the upstreams run as tasks with sockets of their own, in \
 the shape of one of the two deployments. Callers send traffic of every class on top of a backlog \
 of the bulk class, the urgent class bursts, an engine crashes, one node is killed and one is \
-stopped as planned. The report counts what callers were told and compares it with what the \
-upstreams ran by their own counters.
+stopped as planned. The report counts the outcomes that callers received and compares them with \
+what the upstreams ran by their own counters.
 
 Ends with 3 if an answer was lost, crossed or doubled, if a call that may not be repeated ran \
 twice, if a refused call ran, or if the planned stop did not end.
@@ -44,10 +44,12 @@
   monsoon demo --serve
   monsoon demo --serve --config one-engine.yaml --step-ms 0";
 
-/// Work left over from the night, as shares of the run and times the usual rate.
+/// Start and end of the bulk class's initial backlog as shares of the run, and its multiple of the
+/// usual rate.
 const BULK_BURST: (f64, f64, f64) = (0.0, 0.1, 20.0);
 
-/// Burst of the urgent class, as shares of the run and times the usual rate.
+/// Start and end of the urgent class's burst as shares of the run, and its multiple of the usual
+/// rate.
 const URGENT_BURST: (f64, f64, f64) = (0.2, 0.35, 6.0);
 
 /// The command's arguments.
@@ -123,7 +125,7 @@
         .help(help)
 }
 
-/// What was asked for.
+/// Options of a run, from the command line.
 #[derive(Clone, Copy, Debug)]
 struct DemoOptions {
     deployment: Deployment,
@@ -141,7 +143,7 @@
     if matches.get_flag("serve") {
         return serve(fleet).await;
     }
-    let report = demonstrate(&fleet, options).await?;
+    let report = run_demo(&fleet, options).await?;
     fleet.stop().await;
     match arguments::chosen_format(matches) {
         OutputFormat::Json => println!("{:#}", serde_json::json!(report)),
@@ -220,13 +222,13 @@
     Ok(ExitCode::Success)
 }
 
-async fn demonstrate(fleet: &Fleet, options: DemoOptions) -> Result<DemoReport, CliError> {
+async fn run_demo(fleet: &Fleet, options: DemoOptions) -> Result<DemoReport, CliError> {
     let plan = plan(fleet, options);
     let client = exchange::client().map_err(CliError::Client)?;
     let killed = Arc::new(KilledNodes::default());
     let progress = progress_bar(options.length);
     let start = Instant::now();
-    let tell = |what: &str| progress.println(format!("{:>5.1?}  {what}", start.elapsed()));
+    let log = |what: &str| progress.println(format!("{:>5.1?}  {what}", start.elapsed()));
     let traffic = callers::send_traffic(
         fleet,
         &client,
@@ -236,7 +238,7 @@
         Arc::clone(&killed),
         &progress,
     );
-    let incidents = incidents::run(fleet, &killed, start, options.length, tell);
+    let incidents = incidents::run(fleet, &killed, start, options.length, log);
     let (calls, incidents) = tokio::join!(traffic, incidents);
     progress.finish_and_clear();
     Ok(DemoReport {
--- a/cli/src/demo/audit.rs
+++ b/cli/src/demo/audit.rs
@@ -1,4 +1,4 @@
-//! Compares what callers were told with what the upstreams ran by their own counters.
+//! Compares the outcomes that callers received with what the upstreams ran by their own counters.
 
 use std::collections::BTreeMap;
 
@@ -12,22 +12,22 @@
 use crate::request::RequestBody;
 use crate::tally::ClassTally;
 
-/// What upstreams did for one request.
+/// Work that the upstreams did for one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct WorkDone {
     runs: u64,
-    /// Tokens, or runs of a plain service.
+    /// Tokens of an engine, or runs of a plain service.
     units: u64,
 }
 
-/// What the upstreams ran, by request.
+/// Work of all upstreams by the hash of the prompt or body.
 pub struct RunAudit {
     prompts: BTreeMap<u64, WorkDone>,
     bodies: BTreeMap<u64, WorkDone>,
 }
 
 impl RunAudit {
-    /// Reads every upstream's counters.
+    /// Reads the counters of every upstream.
     pub fn read(fleet: &Fleet) -> Self {
         let mut prompts: BTreeMap<u64, WorkDone> = BTreeMap::new();
         for run in fleet.engines.values().flat_map(EngineHandle::runs) {
@@ -48,7 +48,8 @@
         Self { prompts, bodies }
     }
 
-    /// Adds the upstreams' side of a call to its class's sums.
+    /// Adds the upstreams' work for a call, and any violation that it shows, to the tally of the
+    /// call's class.
     pub fn check(&self, call: &FinishedCall, tally: &mut ClassTally) {
         let work = self.work(&call.body);
         tally.produced += work.units;
--- a/cli/src/demo/callers.rs
+++ b/cli/src/demo/callers.rs
@@ -1,4 +1,4 @@
-//! The demonstration's callers: they send the traffic and follow each call to its end.
+//! Callers of the demonstration, which send the traffic and wait for the outcome of each call.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,23 +14,23 @@
 use crate::request::RequestBody;
 use crate::traffic::{ArrivalSource, TrafficArrival, TrafficPlan};
 
-/// A call without an end after this time is lost.
-const CALL_LIMIT: Duration = Duration::from_mins(1);
+/// Timeout of a call; a call that exceeds it counts as lost.
+const CALL_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// A call whose end is known.
+/// A call with its outcome.
 #[derive(Clone, Debug)]
 pub struct FinishedCall {
-    /// Index of the class.
+    /// Index of the class in the traffic plan.
     pub class: usize,
-    /// When it was due.
+    /// Time at which the call was due to be sent.
     pub due: Instant,
     /// The request.
     pub body: RequestBody,
-    /// How it ended.
+    /// Outcome of the call.
     pub result: CallResult,
 }
 
-/// What every call needs.
+/// State shared by all calls.
 struct CallerGroup {
     plan: TrafficPlan,
     callers: BTreeMap<Box<str>, Vec<FleetCaller>>,
@@ -38,7 +38,7 @@
     seed: u64,
 }
 
-/// Sends the plan's traffic, starting at `start`, and waits for the end of every call.
+/// Sends the plan's traffic, starting at `start`, and waits for the outcome of every call.
 pub async fn send_traffic(
     fleet: &Fleet,
     client: &Client,
@@ -59,13 +59,13 @@
         sleep_until(start + arrival.at).await;
         progress.set_position(arrival.at.as_millis() as u64);
         let group = Arc::clone(&group);
-        tasks.spawn(async move { group.follow(number, arrival, start).await });
+        tasks.spawn(async move { group.run(number, arrival, start).await });
     }
     progress.set_message("waiting for the last answers");
     tasks.join_all().await.into_iter().flatten().collect()
 }
 
-/// Each workspace has a caller in each availability zone.
+/// Creates the callers by workspace, one in each availability zone.
 fn callers(fleet: &Fleet, client: &Client) -> BTreeMap<Box<str>, Vec<FleetCaller>> {
     let bootstrap = fleet.caller_addresses();
     let mut zones: Vec<&str> = fleet.nodes.iter().map(|node| &*node.zone).collect();
@@ -83,30 +83,30 @@
 }
 
 impl CallerGroup {
-    /// Follows a call to its end. A call that was in flight at a killed node and may be repeated
-    /// is made again as a new one.
-    async fn follow(
+    /// Makes a call and waits for its outcome. A repeatable call that was in flight at a killed node
+    /// is replaced by a new call; the result contains both.
+    async fn run(
         &self,
         number: usize,
         arrival: TrafficArrival,
         start: Instant,
     ) -> Vec<FinishedCall> {
-        let mut ended = Vec::new();
+        let mut finished = Vec::new();
         let mut body = arrival.body;
         let mut due = start + arrival.at;
         loop {
             let result = self.call(number, &arrival.workspace, &body).await;
-            let again = result.outcome == CallOutcome::Cut;
-            ended.push(FinishedCall {
+            let retry = result.outcome == CallOutcome::Cut;
+            finished.push(FinishedCall {
                 class: arrival.class,
                 due,
                 body,
                 result,
             });
-            if !again {
-                return ended;
+            if !retry {
+                return finished;
             }
-            let seed = self.seed ^ ((number as u64) << 8) ^ ended.len() as u64;
+            let seed = self.seed ^ ((number as u64) << 8) ^ finished.len() as u64;
             let class = &self.plan.classes[arrival.class];
             body = ArrivalSource::replacement(class, &self.plan, seed);
             due = Instant::now();
@@ -116,7 +116,7 @@
     async fn call(&self, number: usize, workspace: &str, body: &RequestBody) -> CallResult {
         let callers = &self.callers[workspace];
         let call = callers[number % callers.len()].call(body, &self.killed);
-        let result = timeout(CALL_LIMIT, call).await;
+        let result = timeout(CALL_TIMEOUT, call).await;
         result.unwrap_or_else(|_| CallOutcome::Lost.into())
     }
 }
--- a/cli/src/demo/deployment.rs
+++ b/cli/src/demo/deployment.rs
@@ -1,17 +1,17 @@
-//! The two deployments that the demonstration can take the shape of.
+//! The two deployments that the demonstration can run.
 
 use derive_more::{Display, FromStr};
 use monsoonbank_kernel::config::ConfigFile;
 
 use crate::traffic::{ClassTraffic, RequestShape, WorkspaceSource};
 
-/// Index of the urgent class that bursts.
+/// Index of the urgent class, which has a burst.
 pub const URGENT_CLASS: usize = 0;
 
-/// Index of the bulk class that has a backlog at the start.
+/// Index of the bulk class, which has a backlog at the start.
 pub const BULK_CLASS: usize = 4;
 
-/// A deployment.
+/// Deployment whose configuration and traffic the demonstration uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, FromStr)]
 #[display(rename_all = "lowercase")]
 pub enum Deployment {
@@ -22,7 +22,7 @@
 }
 
 impl Deployment {
-    /// Nodes when none are named.
+    /// Default number of nodes.
     pub fn nodes(self) -> u64 {
         match self {
             Self::Tauhere => 6,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The operators' configuration, in YAML.
+    /// The deployment's example configuration, in YAML.
     pub fn config_text(self) -> &'static str {
         match self {
             Self::Tauhere => include_str!("../../../examples/tauhere/config.yaml"),
@@ -38,8 +38,8 @@
         }
     }
 
-    /// What callers send. The first class bursts: mail alerts in the morning, pass checks on a
-    /// festival evening. The last is left over from the night.
+    /// Traffic by class. The first class has a burst (mail alerts in the morning, pass checks on a
+    /// festival evening); the last has a backlog from the night.
     pub fn traffic(self) -> Vec<ClassTraffic> {
         match self {
             Self::Tauhere => vec![
@@ -88,7 +88,7 @@
     }
 }
 
-/// Workspaces send by their weight.
+/// The configured workspaces as traffic sources, with their weights as shares.
 pub fn sources(file: &ConfigFile) -> Vec<WorkspaceSource> {
     file.workspaces
         .iter()
--- a/cli/src/demo/fleet.rs
+++ b/cli/src/demo/fleet.rs
@@ -1,4 +1,4 @@
-//! The demonstration's fleet: stand-ins for the platform and the upstreams, and nodes.
+//! Fleet of the demonstration: nodes, and stand-ins for the platform and the upstreams.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -18,52 +18,53 @@
 
 use crate::error::CliError;
 
-/// Any free port.
+/// Loopback address with any free port.
 const LOOPBACK: &str = "127.0.0.1:0";
 
 /// Bearer token of the demonstration's operators.
 pub const OPERATOR_TOKEN: &str = "demo-operator";
 
-/// Longest wait for all nodes to have the configuration in force.
-const READY_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout for all nodes to have the configuration in force.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A node and what is known of it.
+/// A running node with its name and availability zone.
 pub struct FleetNode {
-    /// The name.
+    /// Name of the node.
     pub name: Box<str>,
-    /// The availability zone.
+    /// Availability zone of the node.
     pub zone: Box<str>,
-    /// The node.
+    /// Handle of the running node.
     pub handle: NodeHandle,
 }
 
-/// How fast the stand-ins are.
+/// Speed of the stand-ins for upstreams.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamSpeed {
-    /// Length of an engine's step.
+    /// Length of an engine's step with one request.
     pub step: Duration,
     /// Time that a plain service takes for a call.
     pub work: Duration,
 }
 
-/// A running fleet.
+/// A running fleet with its stand-ins.
 pub struct Fleet {
-    /// The log service.
+    /// Stand-in for the platform's log.
     pub log: LogHandle,
-    /// The host list.
+    /// Stand-in for the platform's host list.
     pub hosts: HostsHandle,
-    /// Engines by name.
+    /// Stand-ins for engines, by upstream name.
     pub engines: BTreeMap<Box<str>, EngineHandle>,
-    /// Plain services by name.
+    /// Stand-ins for plain services, by upstream name.
     pub services: BTreeMap<Box<str>, ServiceHandle>,
-    /// Nodes.
+    /// Nodes, in the order in which they were started.
     pub nodes: Vec<FleetNode>,
-    /// The configuration, with the stand-ins' addresses.
+    /// The configuration in force, with the stand-ins' addresses.
     pub file: ConfigFile,
 }
 
 impl Fleet {
-    /// Starts everything and waits until each node has the configuration in force.
+    /// Starts the stand-ins and `nodes` nodes, publishes the configuration and waits until every node
+    /// has it in force.
     pub async fn start(
         mut file: ConfigFile,
         nodes: u64,
@@ -110,7 +111,7 @@
         Ok(fleet)
     }
 
-    /// Callers' addresses of all nodes.
+    /// The addresses at which the nodes accept callers.
     pub fn caller_addresses(&self) -> Vec<Box<str>> {
         let addresses = self.nodes.iter();
         addresses
@@ -118,7 +119,7 @@
             .collect()
     }
 
-    /// Changes one node's row in the host list; none takes it away.
+    /// Replaces the row of the host `name` in the host list; `None` removes it.
     pub fn change_host(&self, name: &str, change: impl Fn(HostRow) -> Option<HostRow>) {
         let rows = self.hosts.rows().into_iter();
         let rows = rows.filter_map(|row| {
@@ -138,10 +139,10 @@
     }
 
     async fn wait_until_ready(&self) -> Result<(), CliError> {
-        let limit = Instant::now() + READY_LIMIT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         for node in &self.nodes {
             while !is_ready(node.handle.operators).await {
-                if Instant::now() > limit {
+                if Instant::now() > deadline {
                     return Err(CliError::NotReady {
                         node: node.name.clone(),
                     });
@@ -152,7 +153,7 @@
         Ok(())
     }
 
-    /// Starts one more node and adds it to the host list.
+    /// Starts another node and adds it to the host list; it is not added to `nodes`.
     pub async fn start_node(&self, name: &str, zone: &str) -> Result<FleetNode, CliError> {
         let settings = settings(name, zone, &self.log, &self.hosts);
         let listeners = NodeListeners::bind(&settings).await?;
@@ -168,7 +169,7 @@
         })
     }
 
-    /// Stops everything.
+    /// Kills every node and drops the stand-ins.
     pub async fn stop(self) {
         for node in &self.nodes {
             node.handle.kill().await;
--- a/cli/src/demo/incidents.rs
+++ b/cli/src/demo/incidents.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, or is planned, in the middle of the demonstration.
+//! Faults and the planned stop in the middle of the demonstration.
 
 use std::time::Duration;
 
@@ -11,50 +11,55 @@
 use crate::caller::KilledNodes;
 use crate::demo::fleet::Fleet;
 
-/// How long a crashed engine stays away.
-const ENGINE_PAUSE: Duration = Duration::from_secs(3);
+/// Time until a crashed engine restarts.
+const ENGINE_DOWNTIME: Duration = Duration::from_secs(3);
 
-/// Longest wait for a planned stop to end.
-const STOP_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of a planned stop.
+const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time that callers' last answers get to leave a stopped node's sockets.
+/// Time for a drained node's sockets to flush the last answers before it is killed.
 const FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// Something that happened.
+/// One incident of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct IncidentRecord {
-    /// When, in milliseconds since the traffic's start.
+    /// Time of the incident, in milliseconds since the start of the traffic.
     pub at_ms: u128,
-    /// What.
+    /// Description of the incident.
     pub what: Box<str>,
 }
 
-/// Everything that happened.
+/// All incidents of a run.
 #[derive(Clone, Debug)]
 pub struct IncidentLog {
-    /// In order of time.
+    /// Incidents in chronological order.
     pub records: Vec<IncidentRecord>,
-    /// Whether the planned stop, if there was one, ended by itself.
+    /// Whether the planned stop finished before its timeout; `true` if there was none.
     pub stopped_as_planned: bool,
 }
 
-/// When things happen, as shares of the run.
+/// Time of the engine crash, as a share of the run.
 const ENGINE_CRASH: f64 = 0.4;
+
+/// Time of the node kill, as a share of the run.
 const NODE_KILL: f64 = 0.55;
+
+/// Time of the planned stop, as a share of the run.
 const NODE_STOP: f64 = 0.7;
 
-/// Makes everything happen; ends when the planned stop has ended.
+/// Causes the incidents at their times, passes each description to `log`, and returns when the
+/// planned stop has finished or timed out.
 pub async fn run(
     fleet: &Fleet,
     killed: &KilledNodes,
     start: Instant,
     length: Duration,
-    tell: impl Fn(&str),
+    log: impl Fn(&str),
 ) -> IncidentLog {
     let mut records = Vec::new();
     let mut stopped_as_planned = true;
-    let mut note = |what: String| {
-        tell(&what);
+    let mut record = |what: String| {
+        log(&what);
         records.push(IncidentRecord {
             at_ms: start.elapsed().as_millis(),
             what: what.into(),
@@ -62,18 +67,18 @@
     };
     sleep_until(start + length.mul_f64(ENGINE_CRASH)).await;
     if let Some(what) = crash_engine(fleet) {
-        note(what);
+        record(what);
     }
     sleep_until(start + length.mul_f64(NODE_KILL)).await;
     if let Some(name) = kill_node(fleet, killed).await {
-        note(format!("node {name} was killed"));
+        record(format!("node {name} was killed"));
     }
     sleep_until(start + length.mul_f64(NODE_STOP)).await;
-    if let Some((name, took)) = stop_node(fleet).await {
-        stopped_as_planned = took.is_some();
-        note(match took {
-            Some(took) => format!("node {name} stopped as planned within {took:.1?}"),
-            None => format!("node {name} did not stop within {STOP_LIMIT:?}"),
+    if let Some((name, elapsed)) = stop_node(fleet).await {
+        stopped_as_planned = elapsed.is_some();
+        record(match elapsed {
+            Some(elapsed) => format!("node {name} stopped as planned within {elapsed:.1?}"),
+            None => format!("node {name} did not stop within {STOP_TIMEOUT:?}"),
         });
     }
     IncidentLog {
@@ -94,20 +99,21 @@
             busiest
         }
     });
-    let broken = running(engine);
+    let interrupted = running(engine);
     engine.set_faults(EngineFaults {
         crash: Some(CrashFault {
             after_tokens: None,
-            restart_after_ms: Some(ENGINE_PAUSE.as_millis() as u64),
+            restart_after_ms: Some(ENGINE_DOWNTIME.as_millis() as u64),
         }),
         ..EngineFaults::default()
     });
     Some(format!(
-        "engine {name} crashed with {broken} requests in its slots"
+        "engine {name} crashed with {interrupted} requests in its slots"
     ))
 }
 
-/// Kills the second node, if there is one. The platform's host list notices later.
+/// Kills the second node, if there is one, and returns its name. The platform's host list shows the
+/// removal only after a delay.
 async fn kill_node<'a>(fleet: &'a Fleet, killed: &KilledNodes) -> Option<&'a str> {
     let node = fleet.nodes.get(1)?;
     killed.record(&node.handle.callers.to_string());
@@ -116,7 +122,8 @@
     Some(&node.name)
 }
 
-/// Stops the third node as an operator does, if there is one; tells how long it took.
+/// Stops the third node as an operator does, if there is one, and returns its name and how long that
+/// elapsed; the time is `None` if the stop timed out.
 async fn stop_node(fleet: &Fleet) -> Option<(&str, Option<Duration>)> {
     let node = fleet.nodes.get(2)?;
     let leaving = |row| {
@@ -126,14 +133,14 @@
         })
     };
     fleet.change_host(&node.name, leaving);
-    let began = Instant::now();
+    let start = Instant::now();
     node.handle.drain();
-    let finished = timeout(STOP_LIMIT, node.handle.finished()).await;
-    let took = finished.ok().map(|()| began.elapsed());
-    if took.is_some() {
+    let finished = timeout(STOP_TIMEOUT, node.handle.finished()).await;
+    let elapsed = finished.ok().map(|()| start.elapsed());
+    if elapsed.is_some() {
         sleep(FLUSH_TIME).await;
         node.handle.kill().await;
         fleet.change_host(&node.name, |_| None);
     }
-    Some((&node.name, took))
+    Some((&node.name, elapsed))
 }
--- a/cli/src/demo/report.rs
+++ b/cli/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! The demonstration's report.
+//! Report of the demonstration.
 
 use std::collections::BTreeMap;
 
@@ -13,35 +13,35 @@
 use crate::tally::{ClassRow, ClassTally, ClassTarget};
 use crate::traffic::TrafficPlan;
 
-/// What the demonstration showed.
+/// Results of a demonstration run.
 #[derive(Clone, Debug, Serialize)]
 pub struct DemoReport {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: Box<str>,
-    /// How long requests arrived, in seconds.
+    /// Time during which requests arrived, in seconds.
     pub seconds: u64,
     /// Seed of the traffic.
     pub seed: u64,
-    /// Nodes.
+    /// Number of nodes at the start.
     pub nodes: u64,
-    /// Requests a second outside of the burst.
+    /// Mean number of requests per second outside bursts.
     pub rate: f64,
-    /// What happened in mid-run.
+    /// Incidents during the run, in chronological order.
     pub incidents: Vec<IncidentRecord>,
-    /// Whether the planned stop ended by itself.
+    /// Whether the planned stop finished before its timeout; `true` if there was none.
     pub stopped_as_planned: bool,
-    /// One row a class.
+    /// One row per class.
     pub classes: Vec<ClassRow>,
 }
 
 impl DemoReport {
-    /// Whether every promise was kept.
+    /// Whether the planned stop finished and no call violated a guarantee.
     pub fn passed(&self) -> bool {
         self.stopped_as_planned && !self.classes.iter().any(|row| row.counts.has_violations())
     }
 }
 
-/// One row a class, from what callers were told and what upstreams ran.
+/// The rows by class, from the outcomes that callers received and what the upstreams ran.
 pub fn rows(fleet: &Fleet, plan: &TrafficPlan, calls: &[FinishedCall]) -> Vec<ClassRow> {
     let targets = targets(&fleet.file);
     let mut tallies: Vec<ClassTally> = plan
@@ -73,7 +73,7 @@
         .collect()
 }
 
-/// Prints the report for people.
+/// Prints the report as text.
 pub fn print(report: &DemoReport) {
     println!(
         "{}: {} nodes, {} s, {} requests/s, seed {}",
@@ -86,10 +86,10 @@
     for line in table::refusal_lines(&report.classes) {
         println!("{line}");
     }
-    let verdict = if report.passed() {
+    let summary = if report.passed() {
         "nothing lost, crossed or doubled; nothing ran twice; nothing refused ran"
     } else {
-        "a promise was broken"
+        "a guarantee was violated"
     };
-    println!("{verdict}");
+    println!("{summary}");
 }
--- a/cli/tests/tool/main.rs
+++ b/cli/tests/tool/main.rs
@@ -1,16 +1,16 @@
-//! What the tool prints, by its binary.
+//! Golden tests of the output and the exit code of the `monsoon` binary.
 
 mod publish;
 mod support;
 
-use crate::support::{monsoon, told};
+use crate::support::{monsoon, printed};
 
 macro_rules! golden {
     ($name:ident, $($argument:expr),+) => {
         #[test]
         fn $name() {
             let output = monsoon().args([$($argument),+]).output().expect("the tool runs");
-            insta::assert_snapshot!(told(&output));
+            insta::assert_snapshot!(printed(&output));
         }
     };
 }
@@ -19,14 +19,14 @@
 const BENGAL: &str = "examples/bengal/config.yaml";
 const BROKEN: &str = "cli/tests/tool/broken.yaml";
 
-const LINES: &str = "cli/tests/tool/decisions.log";
+const DECISION_LOG: &str = "cli/tests/tool/decisions.log";
 
-golden!(why_no_room, "why", "c1", "--logs", LINES);
-golden!(why_quarantined, "why", "c7", "--logs", LINES);
-golden!(why_pool_paused, "why", "c8", "--logs", LINES);
-golden!(why_too_late, "why", "c6", "--logs", LINES);
-golden!(why_answer_lost, "why", "c2", "--logs", LINES);
-golden!(why_stream_cut, "why", "c3", "--logs", LINES);
+golden!(why_no_room, "why", "c1", "--logs", DECISION_LOG);
+golden!(why_quarantined, "why", "c7", "--logs", DECISION_LOG);
+golden!(why_pool_paused, "why", "c8", "--logs", DECISION_LOG);
+golden!(why_too_late, "why", "c6", "--logs", DECISION_LOG);
+golden!(why_answer_lost, "why", "c2", "--logs", DECISION_LOG);
+golden!(why_stream_cut, "why", "c3", "--logs", DECISION_LOG);
 golden!(
     why_resumed,
     "why",
@@ -34,11 +34,11 @@
     "json",
     "c4",
     "--logs",
-    LINES
+    DECISION_LOG
 );
-golden!(why_unfinished, "why", "c5", "--logs", LINES);
-golden!(why_unknown_call, "why", "c9", "--logs", LINES);
-golden!(why_summary, "why", "--summary", "--logs", LINES);
+golden!(why_unfinished, "why", "c5", "--logs", DECISION_LOG);
+golden!(why_unknown_call, "why", "c9", "--logs", DECISION_LOG);
+golden!(why_summary, "why", "--summary", "--logs", DECISION_LOG);
 golden!(why_no_file, "why", "c1", "--logs", "nowhere.log");
 golden!(check_valid, "check", TAUHERE);
 golden!(check_broken, "check", BROKEN);
--- a/cli/tests/tool/publish.rs
+++ b/cli/tests/tool/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing to real nodes: accepted, in force, nothing to do, conflict, sent again.
+//! `monsoon publish` against real nodes: accepted, in force, nothing to publish, conflict, sent again.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 use monsoonbank_standin::hosts::{self, HostRole, HostRow, HostSettings, HostsHandle};
 use monsoonbank_standin::log::{self, LogHandle, LogSettings};
 
-use crate::support::{monsoon, told};
+use crate::support::{monsoon, printed};
 
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// Nodes with a log and a host list, kept up for as long as they are held.
+/// Nodes with a log and a host list; they run until the value is dropped.
 struct PublishFleet {
     nodes: Vec<NodeHandle>,
     log: LogHandle,
@@ -64,7 +64,7 @@
             .push(node::start_with(settings, listeners).expect("node"));
     }
 
-    /// Runs `monsoon publish` against a node. Times are left out.
+    /// Runs `monsoon publish` against a node and returns its output with the times masked.
     async fn publish(&self, node: usize, arguments: &[&str]) -> String {
         let mut command = monsoon();
         command.args(["publish", "--token", "operator-token", "--node"]);
@@ -72,18 +72,18 @@
         command.args(arguments);
         let output = tokio::task::spawn_blocking(move || command.output());
         let output = output.await.expect("a result").expect("the tool runs");
-        without_times(&told(&output))
+        mask_times(&printed(&output))
     }
 }
 
 /// Replaces each number before `ms)` by `N`.
-fn without_times(text: &str) -> String {
+fn mask_times(text: &str) -> String {
     let mut words: Vec<String> = text.split(' ').map(str::to_owned).collect();
     for position in 1..words.len() {
         if words[position].starts_with("ms)") {
             let open = words[position - 1].starts_with('(');
-            let hidden = if open { "(N" } else { "N" };
-            words[position - 1] = hidden.into();
+            let mask = if open { "(N" } else { "N" };
+            words[position - 1] = mask.into();
         }
     }
     words.join(" ")
@@ -92,11 +92,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn session() {
     let fleet = PublishFleet::start(3).await;
-    let members = || {
+    let all_joined = || {
         let mut nodes = fleet.nodes.iter();
         nodes.all(|node| node.shared().members().members.len() == 3)
     };
-    while !members() {
+    while !all_joined() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let tauhere = "examples/tauhere/config.yaml";
@@ -104,7 +104,7 @@
     let text = std::fs::read_to_string(format!("../{tauhere}")).expect("the example exists");
     std::fs::write(&changed, text.replace("650ms", "700ms")).expect("it can be written");
     let changed = changed.display().to_string();
-    let mut told = Vec::new();
+    let mut session = Vec::new();
     for (node, arguments) in [
         (0, vec!["--id", "first", tauhere]),
         (1, vec!["--id", "first", tauhere]),
@@ -119,8 +119,8 @@
     ] {
         let shown = arguments.join(" ").replace(&changed, "changed.yaml");
         let answer = fleet.publish(node, &arguments).await;
-        told.push(format!("$ publish {shown}\n{answer}"));
+        session.push(format!("$ publish {shown}\n{answer}"));
     }
     std::fs::remove_file(&changed).expect("it was written");
-    insta::assert_snapshot!(told.join("\n"));
+    insta::assert_snapshot!(session.join("\n"));
 }
