--- a/cli/src/load.rs
+++ b/cli/src/load.rs
@@ -22,8 +22,8 @@
 use crate::traffic::{ArrivalSource, ClassTraffic, RequestShape, TrafficPlan, WorkspaceSource};
 
 const LONG_ABOUT: &str = "\
-Sends requests to running nodes at times that do not depend on the answers, and reports what came \
-of them.
+Sends requests to running nodes at times that do not depend on the answers, and reports their \
+outcomes.
 
 With more than one way (targets and --direct) requests take the ways in turn within one run, so \
 that the ways can be compared: the report gives what each target adds to the direct way. A target \
