--- a/cli/src/caller.rs
+++ b/cli/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that fetches node addresses, caches them until they expire, and fails over between them.
+//! A caller that fetches node addresses, caches them until they expire and fails over between them.
 
 use std::collections::BTreeSet;
 use std::sync::{Mutex, MutexGuard, PoisonError};
--- a/cli/src/demo/callers.rs
+++ b/cli/src/demo/callers.rs
@@ -83,8 +83,8 @@
 }
 
 impl CallerGroup {
-    /// Makes a call and waits for its outcome. A repeatable call that was in flight at a killed node
-    /// is replaced by a new call; the result contains both.
+    /// Makes a call and waits for its outcome. A repeatable call that was in flight at a killed
+    /// node is replaced by a new call; the result contains both.
     async fn run(
         &self,
         number: usize,
--- a/cli/src/demo/fleet.rs
+++ b/cli/src/demo/fleet.rs
@@ -63,8 +63,8 @@
 }
 
 impl Fleet {
-    /// Starts the stand-ins and `nodes` nodes, publishes the configuration and waits until every node
-    /// has it in force.
+    /// Starts the stand-ins and `nodes` nodes, publishes the configuration and waits until every
+    /// node has it in force.
     pub async fn start(
         mut file: ConfigFile,
         nodes: u64,
--- a/cli/src/load.rs
+++ b/cli/src/load.rs
@@ -1,5 +1,5 @@
-//! `monsoon load`: sends open-loop load to running nodes, and optionally directly to an upstream for
-//! comparison.
+//! `monsoon load`: sends open-loop load to running nodes, and optionally directly to an upstream
+//! for comparison.
 
 pub mod report;
 
--- a/cli/src/publish.rs
+++ b/cli/src/publish.rs
@@ -199,7 +199,8 @@
     Ok(result)
 }
 
-/// Polls until the change is in force on every node or the wait is over, and returns the last status.
+/// Polls until the change is in force on every node or the wait is over, and returns the last
+/// status.
 async fn wait_until_in_force(
     client: &NodeClient,
     address: &str,
--- a/cli/src/tally.rs
+++ b/cli/src/tally.rs
@@ -76,7 +76,8 @@
 }
 
 impl CallCounts {
-    /// Whether any call violated a guarantee: lost, crossed, doubled, run twice, or refused but run.
+    /// Whether any call violated a guarantee: lost, crossed, doubled, run twice or refused
+    /// but run.
     pub fn has_violations(&self) -> bool {
         self.lost + self.crossed + self.doubled + self.ran_twice + self.refused_but_ran > 0
     }
@@ -107,11 +108,11 @@
     pub refusals: BTreeMap<Box<str>, u64>,
     /// Share of all calls that met the class's target; `None` without a target.
     pub attainment: Option<f64>,
-    /// Tokens (or runs of a plain service) per second of calls that met the target; without a target,
-    /// of all complete answers.
+    /// Tokens (or runs of a plain service) per second of calls that met the target; without a
+    /// target, of all complete answers.
     pub goodput: f64,
-    /// Share of the upstreams' tokens (or runs) that were not delivered in a complete answer; `None`
-    /// if the upstreams' counters are unavailable.
+    /// Share of the upstreams' tokens (or runs) that were not delivered in a complete answer;
+    /// `None` if the upstreams' counters were not read or are all zero.
     pub wasted: Option<f64>,
     /// Time to the first token or the whole answer, in milliseconds.
     pub first_token_ms: LatencyRow,
--- a/cli/tests/tool/publish.rs
+++ b/cli/tests/tool/publish.rs
@@ -1,4 +1,4 @@
-//! `monsoon publish` against real nodes: accepted, in force, nothing to publish, conflict, sent again.
+//! `monsoon publish` against real nodes: accepted, in force, nothing to publish, conflict and retry.
 
 use std::time::Duration;
 
