--- a/cli/src/demo/incidents.rs
+++ b/cli/src/demo/incidents.rs
@@ -122,8 +122,8 @@
     Some(&node.name)
 }
 
-/// Stops the third node as an operator does, if there is one, and returns its name and how long that
-/// elapsed; the time is `None` if the stop timed out.
+/// Stops the third node as an operator does, if there is one, and returns its name and the duration
+/// of the stop, which is `None` if the stop timed out.
 async fn stop_node(fleet: &Fleet) -> Option<(&str, Option<Duration>)> {
     let node = fleet.nodes.get(2)?;
     let leaving = |row| {
