--- a/cli/src/bench.rs
+++ b/cli/src/bench.rs
@@ -1,4 +1,4 @@
-//! `monsoon bench`: the kernel's decisions measured on virtual time.
+//! `monsoon bench`: simulates a node's dispatch decisions on virtual time.
 
 mod bound;
 mod engine;
@@ -22,42 +22,42 @@
 use crate::bench::policy::{BenchPolicy, POLICIES};
 use crate::bench::scenario::ScenarioFile;
 
-/// What can keep a measurement from being made.
+/// Errors of `monsoon bench`.
 #[derive(Debug, Error)]
 pub enum BenchError {
-    /// A file cannot be read.
+    /// A scenario file cannot be read.
     #[error("{file}: {source}")]
     File {
-        /// The file.
+        /// Path of the scenario file.
         file: Box<str>,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A field of a scenario has no usable value.
     #[error("{file}: {field}: {reason}")]
     Field {
-        /// The file.
+        /// Path of the scenario file.
         file: Box<str>,
-        /// The field.
+        /// Path of the field within the file, such as `faults[0]`.
         field: Box<str>,
-        /// What is wrong, and what was expected.
+        /// What is wrong with the value, and what was expected.
         reason: Box<str>,
     },
-    /// The picture cannot be drawn.
+    /// The plot cannot be drawn or written.
     #[error("{file}: {reason}")]
     Plot {
-        /// The file.
+        /// Path of the SVG file.
         file: Box<str>,
-        /// Why.
+        /// Error of the plotting library.
         reason: Box<str>,
     },
-    /// The figures cannot be written.
+    /// The figures cannot be serialized as JSON.
     #[error("cannot write the figures: {0}")]
     Json(#[from] serde_json::Error),
 }
 
 const LONG_ABOUT: &str = "\
-Runs one node's kernel on virtual time against fake engines and prints what it reached: the share \
+Runs one node's kernel on virtual time against simulated engines and prints its figures: the share \
 of calls within their targets, goodput against the most that any schedule could reach, wasted work, \
 each lower tier's progress against its floor, and fairness between workspaces. The same scenario, \
 seed and policy give the same figures, byte for byte.
@@ -67,10 +67,10 @@
   monsoon bench --scenario examples/scenarios/straggler.yaml --seed 1 --seeds 20 --compare
   monsoon bench --scenario examples/scenarios/gates.yaml --seed 1 --plot gates.svg";
 
-/// The command's arguments.
+/// Builds the command-line interface of `monsoon bench`.
 pub fn command() -> Command {
     Command::new("bench")
-        .about("Measures the kernel's decisions on virtual time")
+        .about("Simulates a node's dispatch decisions on virtual time")
         .long_about(LONG_ABOUT)
         .arg(
             Arg::new("scenario")
@@ -78,7 +78,7 @@
                 .value_name("FILE")
                 .required(true)
                 .value_parser(value_parser!(PathBuf))
-                .help("The scenario"),
+                .help("Scenario file"),
         )
         .arg(
             Arg::new("seed")
@@ -102,7 +102,7 @@
                 .value_name("COUNT")
                 .default_value("2")
                 .value_parser(value_parser!(u64).range(1..=64))
-                .help("Runs at a time"),
+                .help("Number of runs in parallel"),
         )
         .arg(
             Arg::new("policy")
@@ -110,25 +110,26 @@
                 .value_name("NAME")
                 .default_value("monsoon")
                 .value_parser(POLICIES.map(|policy| policy.to_string()).to_vec())
-                .help("The policy to measure"),
+                .help("Policy to run"),
         )
         .arg(
             Arg::new("compare")
                 .long("compare")
                 .action(ArgAction::SetTrue)
-                .help("Measure every policy"),
+                .help("Run every policy"),
         )
         .arg(
             Arg::new("plot")
                 .long("plot")
                 .value_name("FILE")
                 .value_parser(value_parser!(PathBuf))
-                .help("Draw the first run of the policy as SVG"),
+                .help("Draw the policy's first run as SVG into this file"),
         )
         .arg(arguments::format())
 }
 
-/// Runs the command.
+/// Runs the scenario for each chosen policy and seed and prints the figures; with `--plot`, also
+/// draws the first run. Fails if the scenario cannot be read or the plot cannot be written.
 pub fn run(matches: &ArgMatches) -> Result<(), BenchError> {
     let empty = PathBuf::new();
     let path = matches.get_one::<PathBuf>("scenario").unwrap_or(&empty);
@@ -137,15 +138,15 @@
     let seeds = matches.get_one::<u64>("seeds").copied().unwrap_or(1);
     let jobs = matches.get_one::<u64>("jobs").copied().unwrap_or(1);
     let name = matches.get_one::<String>("policy");
-    let chosen = name.and_then(|name| BenchPolicy::named(name));
-    let chosen = chosen.unwrap_or(BenchPolicy::Monsoon);
+    let policy = name.and_then(|name| BenchPolicy::named(name));
+    let policy = policy.unwrap_or(BenchPolicy::Monsoon);
     let policies = if matches.get_flag("compare") {
         POLICIES.to_vec()
     } else {
-        vec![chosen]
+        vec![policy]
     };
     if let Some(file) = matches.get_one::<PathBuf>("plot") {
-        draw(file, &scenario, seed, chosen)?;
+        draw_first_run(file, &scenario, seed, policy)?;
     }
     let tasks: Vec<(BenchPolicy, u64)> = policies
         .iter()
@@ -160,7 +161,7 @@
     )
 }
 
-fn draw(
+fn draw_first_run(
     file: &Path,
     scenario: &ScenarioFile,
     seed: u64,
@@ -170,30 +171,30 @@
     plot::draw(file, scenario, &record)
 }
 
-/// Runs every task, several at a time, and gives the figures in the order of the tasks.
+/// Runs all tasks on up to `jobs` threads and returns the figures in the order of the tasks.
 fn run_all(scenario: &ScenarioFile, tasks: &[(BenchPolicy, u64)], jobs: usize) -> Vec<RunFigures> {
-    let next = AtomicUsize::new(0);
-    let done: Mutex<Vec<(usize, RunFigures)>> = Mutex::new(Vec::new());
+    let next_task = AtomicUsize::new(0);
+    let results: Mutex<Vec<(usize, RunFigures)>> = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..jobs.min(tasks.len()) {
             scope.spawn(|| {
                 loop {
-                    let index = next.fetch_add(1, Ordering::Relaxed);
+                    let index = next_task.fetch_add(1, Ordering::Relaxed);
                     let Some((policy, seed)) = tasks.get(index).copied() else {
                         return;
                     };
                     let record = run::run(scenario, seed, policy);
                     let figures = record.figures(scenario, &policy.to_string(), seed);
-                    if let Ok(mut done) = done.lock() {
-                        done.push((index, figures));
+                    if let Ok(mut results) = results.lock() {
+                        results.push((index, figures));
                     }
                 }
             });
         }
     });
-    let mut done = done.into_inner().unwrap_or_default();
-    done.sort_by_key(|(index, _)| *index);
-    done.into_iter().map(|(_, figures)| figures).collect()
+    let mut results = results.into_inner().unwrap_or_default();
+    results.sort_by_key(|(index, _)| *index);
+    results.into_iter().map(|(_, figures)| figures).collect()
 }
 
 fn print(
@@ -216,8 +217,8 @@
         .collect();
     println!("{}\n", scenario.about);
     match worst.as_slice() {
-        [figures] => println!("{}", report::one(figures)),
-        several => println!("{}", report::compare(several)),
+        [figures] => println!("{}", report::run_tables(figures)),
+        several => println!("{}", report::run_rows(several)),
     }
     Ok(())
 }
--- a/cli/src/bench/bound.rs
+++ b/cli/src/bench/bound.rs
@@ -1,14 +1,15 @@
-//! The most work that any schedule could finish within its targets.
+//! Upper bound on the work that any schedule can finish within its targets.
 //!
-//! Calls are taken as divisible: a call may be served in parts, on any engine, by any number of
-//! slots. Its work must lie between its arrival and the last moment at which it can end in time:
-//! arrival, first-token target and, where its class has a target for the pace, that pace for every
-//! token. The engines together offer one slot-second a second for each slot, less when they are
-//! slow or down. For divisible work of equal worth, serving the earliest deadline first and
-//! dropping what is overdue finishes the most (it is only idle when nothing can be served), and
-//! every real schedule is one of those allowed here. So no schedule reaches more. Only what is done
-//! while calls arrive counts, here and in the goodput that is compared with it: afterwards there is
-//! no contention, and time has no end.
+//! The bound treats calls as divisible: a call may be served in parts, on any engine, by any number
+//! of slots. Its work must lie between its arrival and its deadline: the arrival plus the
+//! first-token target plus, where its class has a target for the time per token, that time for
+//! every token. A call of a class without such a target has no deadline. The engines together
+//! provide one slot-second per second and slot, less when they are slow or down. For divisible work
+//! of equal value, serving the earliest deadline first and dropping overdue work finishes the most,
+//! because it is idle only when there is nothing to serve. Every real schedule is also a schedule
+//! of this relaxed problem, so none exceeds the bound. Only work done while calls arrive counts,
+//! here and in the goodput that is compared with the bound: afterwards there is no contention and
+//! no time limit.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -17,13 +18,13 @@
 use crate::bench::measure::RunRecord;
 use crate::bench::scenario::ScenarioFile;
 
-/// The bound, in slot-seconds of work.
+/// Returns the upper bound on goodput, in slot-seconds of work.
 pub fn goodput(scenario: &ScenarioFile, record: &RunRecord) -> f64 {
     let mut queue: BinaryHeap<Reverse<(Duration, usize)>> = BinaryHeap::new();
-    let mut left: Vec<f64> = (0..record.calls.len())
+    let mut remaining: Vec<f64> = (0..record.calls.len())
         .map(|index| record.work(scenario, index))
         .collect();
-    let mut done = 0.0;
+    let mut served_total = 0.0;
     let mut now = Duration::ZERO;
     let mut next_call = 0;
     let mut next_change = 0;
@@ -37,20 +38,23 @@
             queue.push(Reverse((deadline(scenario, record, next_call), next_call)));
             next_call += 1;
         }
-        while queue.peek().is_some_and(|Reverse((due, _))| *due <= now) {
+        while queue
+            .peek()
+            .is_some_and(|Reverse((deadline, _))| *deadline <= now)
+        {
             queue.pop();
         }
         let arrival = record.calls.get(next_call).map(|call| call.at);
         let change = record.capacity.get(next_change).map(|(at, _)| *at);
         if now >= scenario.length {
-            return done;
+            return served_total;
         }
         let end = Some(scenario.length);
         let until = arrival.into_iter().chain(change).chain(end).min();
-        let Some(Reverse((due, index))) = queue.peek().copied() else {
+        let Some(Reverse((deadline, index))) = queue.peek().copied() else {
             match arrival {
                 Some(at) => now = at,
-                None => return done,
+                None => return served_total,
             }
             continue;
         };
@@ -58,11 +62,11 @@
             now = until.unwrap_or(scenario.length);
             continue;
         }
-        let finish = now + Duration::from_secs_f64((left[index] / rate).min(1e7));
-        let end = finish.min(due).min(until.unwrap_or(Duration::MAX));
-        let served = (end.saturating_sub(now).as_secs_f64() * rate).min(left[index]);
-        done += served;
-        left[index] -= served;
+        let finish = now + Duration::from_secs_f64((remaining[index] / rate).min(1e7));
+        let end = finish.min(deadline).min(until.unwrap_or(Duration::MAX));
+        let served = (end.saturating_sub(now).as_secs_f64() * rate).min(remaining[index]);
+        served_total += served;
+        remaining[index] -= served;
         if end == finish {
             queue.pop();
         }
--- a/cli/src/bench/engine.rs
+++ b/cli/src/bench/engine.rs
@@ -1,7 +1,7 @@
 //! A fake engine on virtual time: continuous batching, a prefix cache, resume, and faults.
 //!
-//! All requests that are being written advance together, so one virtual clock of tokens an engine
-//! gives every request's progress, and the engine is only looked at when something happens.
+//! All requests in the decode phase advance together, so one virtual token clock per engine gives
+//! the progress of every request, and the engine is only advanced when an event is due.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -11,236 +11,239 @@
 
 use crate::bench::scenario::EngineShape;
 
-/// Parts of a token that the virtual clock counts.
-const TICKS: f64 = 1e6;
+/// Ticks of the virtual clock for one token.
+const TICKS_PER_TOKEN: f64 = 1e6;
 
-/// Tokens between two notices of progress after the first.
-const NOTICE: u32 = 16;
+/// Tokens between two progress events, after the one for the first token.
+const PROGRESS_INTERVAL: u32 = 16;
 
-/// Part of a prompt that is still read when its prefix is in the cache.
-pub const READ_WHEN_CACHED: f64 = 0.5;
+/// Share of the prefill that remains when the prefix of the prompt is cached.
+pub const CACHED_PREFILL_SHARE: f64 = 0.5;
 
-/// What an engine tells.
+/// An event that an engine reports about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum EngineNews {
-    /// Tokens so far.
+pub enum EngineEvent {
+    /// The number of tokens generated so far.
     Progress(AttemptId, u32),
-    /// The whole answer is out.
+    /// The answer is complete, with its number of tokens.
     Done(AttemptId, u32),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct EngineRun {
     output: u32,
-    written_from: Option<u64>,
-    mark: u32,
-    target: u64,
+    decode_start: Option<u64>,
+    next_tokens: u32,
+    due: u64,
     ready: Duration,
 }
 
-/// What a run cost.
+/// The tokens and slot time of one run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RunCost {
-    /// Tokens written.
+    /// Tokens generated.
     pub tokens: u32,
-    /// Slot-seconds of reading the prompt.
-    pub read: f64,
-    /// Slot-seconds in all.
-    pub all: f64,
+    /// Slot-seconds of prefill.
+    pub prefill: f64,
+    /// Slot-seconds of prefill and decode together.
+    pub total: f64,
 }
 
-/// A fake engine.
+/// A simulated engine with a fixed number of slots, an internal queue and a prefix cache.
 #[derive(Debug)]
 pub struct FakeEngine {
     shape: EngineShape,
-    /// Whether it can be reached.
+    /// Whether the engine accepts connections.
     pub up: bool,
-    /// How many times slower than its shape it is; infinite when it hangs.
-    factor: f64,
+    /// Slowdown relative to its shape; infinite while it hangs.
+    slowdown: f64,
     runs: BTreeMap<AttemptId, EngineRun>,
-    costs: BTreeMap<AttemptId, f64>,
+    prefill_costs: BTreeMap<AttemptId, f64>,
     queue: VecDeque<(AttemptStart, u32)>,
-    reading: BTreeSet<(Duration, AttemptId)>,
-    marks: BTreeSet<(u64, AttemptId)>,
+    prefills: BTreeSet<(Duration, AttemptId)>,
+    progress_due: BTreeSet<(u64, AttemptId)>,
     clock: u64,
-    updated: Duration,
+    advanced_at: Duration,
     cache: VecDeque<u64>,
-    /// Prefixes that came into the cache or left it, not yet told.
-    pub cache_news: Vec<(u64, bool)>,
+    /// Prefixes that entered (`true`) or left (`false`) the cache and are not yet reported.
+    pub cache_changes: Vec<(u64, bool)>,
 }
 
 impl FakeEngine {
-    /// An idle engine.
+    /// Creates an idle engine that is up and has an empty cache.
     pub fn new(shape: EngineShape) -> Self {
         Self {
             shape,
             up: true,
-            factor: 1.0,
+            slowdown: 1.0,
             runs: BTreeMap::new(),
-            costs: BTreeMap::new(),
+            prefill_costs: BTreeMap::new(),
             queue: VecDeque::new(),
-            reading: BTreeSet::new(),
-            marks: BTreeSet::new(),
+            prefills: BTreeSet::new(),
+            progress_due: BTreeSet::new(),
             clock: 0,
-            updated: Duration::ZERO,
+            advanced_at: Duration::ZERO,
             cache: VecDeque::new(),
-            cache_news: Vec::new(),
+            cache_changes: Vec::new(),
         }
     }
 
-    /// The shape.
+    /// Returns the size and speed of the engine.
     pub fn shape(&self) -> &EngineShape {
         &self.shape
     }
 
-    /// Whether it works at more than a third of its usual speed.
-    pub fn is_fit(&self) -> bool {
-        self.up && self.factor < 3.0
+    /// Returns whether the engine is up and faster than a third of its usual speed.
+    pub fn is_healthy(&self) -> bool {
+        self.up && self.slowdown < 3.0
     }
 
-    /// How many times slower than usual it is.
-    pub fn factor(&self) -> f64 {
-        self.factor
+    /// Returns the slowdown relative to the usual speed; infinite while the engine hangs.
+    pub fn slowdown(&self) -> f64 {
+        self.slowdown
     }
 
-    /// Requests being served and requests that wait inside.
+    /// Returns the numbers of running requests and of requests in the internal queue.
     pub fn load(&self) -> (u32, u32) {
         (self.runs.len() as u32, self.queue.len() as u32)
     }
 
-    /// Attempts being served.
+    /// Returns the running attempts, without those in the internal queue.
     pub fn running(&self) -> impl Iterator<Item = AttemptId> + '_ {
         self.runs.keys().copied()
     }
 
     fn rate(&self) -> f64 {
-        let step = self.shape.step_at(self.runs.len()) * self.factor;
-        TICKS / step
+        let step = self.shape.step_at(self.runs.len()) * self.slowdown;
+        TICKS_PER_TOKEN / step
     }
 
     fn advance(&mut self, now: Duration) {
-        let time = now.saturating_sub(self.updated).as_secs_f64();
-        self.updated = now;
-        if self.factor.is_finite() {
+        let time = now.saturating_sub(self.advanced_at).as_secs_f64();
+        self.advanced_at = now;
+        if self.slowdown.is_finite() {
             self.clock += (time * self.rate()).round() as u64;
         }
     }
 
-    /// When something happens next by itself.
-    pub fn next(&self) -> Option<Duration> {
-        if !self.factor.is_finite() {
+    /// Returns the time of the next event, or `None` if the engine is idle or hangs.
+    pub fn next_event(&self) -> Option<Duration> {
+        if !self.slowdown.is_finite() {
             return None;
         }
-        let ready = self.reading.first().map(|(at, _)| *at);
-        let mark = self.marks.first().map(|(target, _)| {
-            let ticks = target.saturating_sub(self.clock) as f64;
-            self.updated + Duration::from_secs_f64(ticks / self.rate()) + Duration::from_nanos(1)
+        let ready = self.prefills.first().map(|(at, _)| *at);
+        let progress = self.progress_due.first().map(|(due, _)| {
+            let ticks = due.saturating_sub(self.clock) as f64;
+            self.advanced_at
+                + Duration::from_secs_f64(ticks / self.rate())
+                + Duration::from_nanos(1)
         });
-        match (ready, mark) {
-            (Some(ready), Some(mark)) => Some(ready.min(mark)),
-            (ready, mark) => ready.or(mark),
+        match (ready, progress) {
+            (Some(ready), Some(progress)) => Some(ready.min(progress)),
+            (ready, progress) => ready.or(progress),
         }
     }
 
-    /// Takes a request whose whole answer has `output` tokens.
+    /// Accepts a request whose complete answer has `output` tokens; queues it if all slots are in
+    /// use.
     pub fn start(&mut self, now: Duration, start: AttemptStart, output: u32) {
         self.advance(now);
         if self.runs.len() >= self.shape.slots as usize {
             self.queue.push_back((start, output));
             return;
         }
-        self.serve(now, start, output);
+        self.start_run(now, start, output);
     }
 
-    fn serve(&mut self, now: Duration, start: AttemptStart, output: u32) {
+    fn start_run(&mut self, now: Duration, start: AttemptStart, output: u32) {
         let spec = &start.work.spec;
         let attempt = start.work.attempt;
         let mut prompt = f64::from(spec.prompt_tokens + start.work.resume_from);
-        if self.hit(spec.prefix) {
-            prompt *= READ_WHEN_CACHED;
+        if self.use_prefix(spec.prefix) {
+            prompt *= CACHED_PREFILL_SHARE;
         }
-        let factor = if self.factor.is_finite() {
-            self.factor
+        let slowdown = if self.slowdown.is_finite() {
+            self.slowdown
         } else {
             1e6
         };
-        let read = prompt / self.shape.prefill_rate;
-        let ready = now + Duration::from_secs_f64(read * factor);
+        let prefill = prompt / self.shape.prefill_rate;
+        let ready = now + Duration::from_secs_f64(prefill * slowdown);
         let run = EngineRun {
             output: output.saturating_sub(start.work.resume_from).max(1),
-            written_from: None,
-            mark: 1,
-            target: 0,
+            decode_start: None,
+            next_tokens: 1,
+            due: 0,
             ready,
         };
-        self.reading.insert((ready, attempt));
+        self.prefills.insert((ready, attempt));
         self.runs.insert(attempt, run);
-        self.costs.insert(attempt, read);
+        self.prefill_costs.insert(attempt, prefill);
     }
 
-    fn hit(&mut self, prefix: u64) -> bool {
+    fn use_prefix(&mut self, prefix: u64) -> bool {
         if prefix == 0 || self.shape.cached_prefixes == 0 {
             return false;
         }
-        let before = self.cache.iter().position(|held| *held == prefix);
+        let before = self.cache.iter().position(|cached| *cached == prefix);
         if let Some(index) = before {
             self.cache.remove(index);
         } else {
-            self.cache_news.push((prefix, true));
+            self.cache_changes.push((prefix, true));
         }
         self.cache.push_back(prefix);
         if self.cache.len() > self.shape.cached_prefixes
-            && let Some(gone) = self.cache.pop_front()
+            && let Some(evicted) = self.cache.pop_front()
         {
-            self.cache_news.push((gone, false));
+            self.cache_changes.push((evicted, false));
         }
         before.is_some()
     }
 
-    /// Everything that has happened by `now`.
-    pub fn news(&mut self, now: Duration) -> Vec<EngineNews> {
+    /// Advances the engine to `now` and returns the events that were due.
+    pub fn events(&mut self, now: Duration) -> Vec<EngineEvent> {
         self.advance(now);
-        while let Some((at, attempt)) = self.reading.first().copied() {
+        while let Some((at, attempt)) = self.prefills.first().copied() {
             if at > now {
                 break;
             }
-            self.reading.pop_first();
+            self.prefills.pop_first();
             if let Some(run) = self.runs.get_mut(&attempt) {
-                run.written_from = Some(self.clock);
-                run.target = self.clock + TICKS as u64;
-                self.marks.insert((run.target, attempt));
+                run.decode_start = Some(self.clock);
+                run.due = self.clock + TICKS_PER_TOKEN as u64;
+                self.progress_due.insert((run.due, attempt));
             }
         }
-        let mut news = Vec::new();
-        while let Some((target, attempt)) = self.marks.first().copied() {
-            if target > self.clock {
+        let mut events = Vec::new();
+        while let Some((due, attempt)) = self.progress_due.first().copied() {
+            if due > self.clock {
                 break;
             }
-            self.marks.pop_first();
-            self.reach(attempt, &mut news);
+            self.progress_due.pop_first();
+            self.emit_progress(attempt, &mut events);
         }
-        news
+        events
     }
 
-    fn reach(&mut self, attempt: AttemptId, news: &mut Vec<EngineNews>) {
+    fn emit_progress(&mut self, attempt: AttemptId, events: &mut Vec<EngineEvent>) {
         let Some(run) = self.runs.get_mut(&attempt) else {
             return;
         };
-        let Some(from) = run.written_from else {
+        let Some(start) = run.decode_start else {
             return;
         };
-        let tokens = run.mark;
+        let tokens = run.next_tokens;
         if tokens >= run.output {
-            news.push(EngineNews::Done(attempt, run.output));
+            events.push(EngineEvent::Done(attempt, run.output));
             return;
         }
-        news.push(EngineNews::Progress(attempt, tokens));
-        run.mark = (tokens + NOTICE - tokens % NOTICE).min(run.output);
-        run.target = from + (f64::from(run.mark) * TICKS) as u64;
-        self.marks.insert((run.target, attempt));
+        events.push(EngineEvent::Progress(attempt, tokens));
+        run.next_tokens = (tokens + PROGRESS_INTERVAL - tokens % PROGRESS_INTERVAL).min(run.output);
+        run.due = start + (f64::from(run.next_tokens) * TICKS_PER_TOKEN) as u64;
+        self.progress_due.insert((run.due, attempt));
     }
 
-    /// Takes a request out, done or not, and says what it cost.
+    /// Removes a request, finished or not, and returns its cost; zero if it was only queued.
     pub fn remove(&mut self, now: Duration, attempt: AttemptId) -> RunCost {
         self.advance(now);
         let Some(run) = self.runs.remove(&attempt) else {
@@ -248,49 +251,49 @@
                 .retain(|(start, _)| start.work.attempt != attempt);
             return RunCost::default();
         };
-        let mut read = self.costs.remove(&attempt).unwrap_or_default();
-        self.reading.remove(&(run.ready, attempt));
-        self.marks.remove(&(run.target, attempt));
-        let written = run.written_from.map_or(0, |from| self.clock - from);
-        let tokens = ((written as f64 / TICKS) as u32).min(run.output);
-        if run.written_from.is_none() {
-            let left = run.ready.saturating_sub(now).as_secs_f64();
-            read = (read - left).max(0.0);
+        let mut prefill = self.prefill_costs.remove(&attempt).unwrap_or_default();
+        self.prefills.remove(&(run.ready, attempt));
+        self.progress_due.remove(&(run.due, attempt));
+        let decoded = run.decode_start.map_or(0, |start| self.clock - start);
+        let tokens = ((decoded as f64 / TICKS_PER_TOKEN) as u32).min(run.output);
+        if run.decode_start.is_none() {
+            let remaining = run.ready.saturating_sub(now).as_secs_f64();
+            prefill = (prefill - remaining).max(0.0);
         }
         if let Some((start, output)) = self.queue.pop_front() {
-            self.serve(now, start, output);
+            self.start_run(now, start, output);
         }
         RunCost {
             tokens,
-            read,
-            all: read + f64::from(tokens) * self.shape.full_step(),
+            prefill,
+            total: prefill + f64::from(tokens) * self.shape.full_step(),
         }
     }
 
-    /// Attempts being served or waiting inside.
-    pub fn held(&self) -> Vec<AttemptId> {
+    /// Returns the running attempts and those in the internal queue.
+    pub fn attempts(&self) -> Vec<AttemptId> {
         let waiting = self.queue.iter().map(|(start, _)| start.work.attempt);
         self.runs.keys().copied().chain(waiting).collect()
     }
 
-    /// Changes its speed; infinite for a hang.
-    pub fn set_factor(&mut self, now: Duration, factor: f64) {
+    /// Sets the slowdown; infinite makes the engine hang.
+    pub fn set_slowdown(&mut self, now: Duration, slowdown: f64) {
         self.advance(now);
-        let was_hanging = !self.factor.is_finite();
-        self.factor = factor;
+        let was_hanging = !self.slowdown.is_finite();
+        self.slowdown = slowdown;
         if was_hanging {
-            for (_, attempt) in std::mem::take(&mut self.reading) {
+            for (_, attempt) in std::mem::take(&mut self.prefills) {
                 if let Some(run) = self.runs.get_mut(&attempt) {
                     run.ready = now;
-                    self.reading.insert((now, attempt));
+                    self.prefills.insert((now, attempt));
                 }
             }
         }
     }
 
-    /// Loses what its cache holds.
+    /// Empties the prefix cache and drops changes that are not yet reported.
     pub fn clear_cache(&mut self) {
         self.cache.clear();
-        self.cache_news.clear();
+        self.cache_changes.clear();
     }
 }
--- a/cli/src/bench/measure.rs
+++ b/cli/src/bench/measure.rs
@@ -1,4 +1,4 @@
-//! What is recorded of a run, and the figures made from it.
+//! The record of a run and the figures computed from it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,114 +8,119 @@
 use serde::Serialize;
 
 use crate::bench::bound;
-use crate::bench::engine::READ_WHEN_CACHED;
+use crate::bench::engine::CACHED_PREFILL_SHARE;
 use crate::bench::scenario::ScenarioFile;
 use crate::bench::traffic::PlannedCall;
 
-/// Time between two samples.
+/// Time between two samples of the load.
 pub const SAMPLE: Duration = Duration::from_millis(100);
 
-/// Samples in a window in which floors must hold.
+/// Number of consecutive samples over which the progress of a tier is compared with its floor.
 const WINDOW: usize = 100;
 
-/// What is recorded of a call.
+/// The progress and cost of one call.
 #[derive(Clone, Debug, Default)]
 pub struct CallTrack {
-    /// When it was first sent to an engine.
-    pub began: Option<Duration>,
-    /// When its first token came.
+    /// When it first reached an engine; `None` if it never did.
+    pub first_sent: Option<Duration>,
+    /// When its first token arrived; `None` if none did.
     pub first_token: Option<Duration>,
-    /// When and how it ended.
+    /// When and how it ended; `None` while it is open.
     pub ended: Option<(Duration, CallOutcome)>,
-    /// Slot-seconds spent on it.
+    /// Slot-seconds spent on all of its runs.
     pub work: f64,
-    /// Slot-seconds spent on it a second time.
-    pub again: f64,
-    /// Runs that were started.
+    /// Slot-seconds of prefill that runs after the first repeated.
+    pub repeated_work: f64,
+    /// Number of runs that engines started or queued.
     pub runs: u32,
 }
 
-/// The state at one moment, by tier.
+/// The load at one moment; the arrays are indexed by tier, and the last entry also covers all lower
+/// tiers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadSample {
-    /// Slots of engines that are up and not slow.
+    /// Slots of healthy engines: up, and not slowed down by a factor of three or more.
     pub slots: u32,
-    /// Calls being served.
+    /// Running attempts by tier.
     pub running: [u32; 3],
-    /// Calls waiting.
+    /// Calls in the dispatcher's queues by tier.
     pub waiting: [u32; 3],
 }
 
-/// Everything recorded of a run.
+/// Everything recorded during a run.
 #[derive(Debug)]
 pub struct RunRecord {
-    /// The calls.
+    /// The calls in order of arrival.
     pub calls: Vec<PlannedCall>,
-    /// What became of each.
+    /// The track of each call, at the same index as in `calls`.
     pub tracks: Vec<CallTrack>,
-    /// Samples.
+    /// Load samples, one every [`SAMPLE`].
     pub samples: Vec<LoadSample>,
-    /// Urgent calls stopped on an engine that worked well.
+    /// Urgent runs cancelled on a healthy engine.
     pub urgent_stopped: u32,
-    /// Urgent calls refused while a lower tier was above its floor.
+    /// Urgent calls refused while a lower tier ran above its floor.
     pub urgent_shed: u32,
-    /// Capacity over time: from each moment on, slots over slowness.
+    /// Capacity over time: each entry holds a time and, from then on, the sum over the engines that
+    /// are up of their slots divided by their slowdown.
     pub capacity: Vec<(Duration, f64)>,
 }
 
-/// Figures of one class.
+/// Figures of one class in a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassFigures {
-    /// The class.
+    /// Name of the class.
     pub class: Box<str>,
-    /// The tier.
+    /// Tier of the class; 0 is urgent.
     pub tier: u8,
-    /// Calls sent.
+    /// Number of calls that arrived.
     pub sent: u32,
-    /// Whole answers.
+    /// Number of complete answers.
     pub whole: u32,
-    /// Calls not run.
+    /// Number of calls that ended without being run.
     pub refused: u32,
-    /// Calls that may have run.
+    /// Number of calls whose outcome is unknown: they may have run.
     pub unknown: u32,
-    /// Share of calls within the targets.
+    /// Share of calls that met their targets, from 0 to 1; 1 without calls.
     pub attainment: f64,
-    /// First token of whole answers, in milliseconds.
+    /// Median time from arrival to the first token, over calls with a first token, in milliseconds.
     pub first_token_p50_ms: f64,
-    /// The same, 99 of 100.
+    /// 99th percentile of the time to the first token, in milliseconds.
     pub first_token_p99_ms: f64,
 }
 
-/// Figures of one run.
+/// Figures of one run: one scenario, seed and policy.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RunFigures {
-    /// The policy.
+    /// Name of the policy.
     pub policy: Box<str>,
-    /// The seed.
+    /// Seed of the traffic.
     pub seed: u64,
-    /// Figures by class.
+    /// Figures of each class, in the order of the scenario.
     pub classes: Vec<ClassFigures>,
-    /// Share of tier 0 within the targets.
+    /// Share of tier 0 calls that met their targets, from 0 to 1; 1 without calls.
     pub urgent_attainment: f64,
-    /// Urgent calls shed or stopped for lower work.
+    /// Urgent calls refused while a lower tier ran above its floor, plus urgent runs cancelled on a
+    /// healthy engine.
     pub urgent_shed: u32,
-    /// Work on calls that met their targets, done while calls arrive, in slot-seconds.
+    /// Work on calls that met their targets, as far as it was done while calls arrive, in
+    /// slot-seconds.
     pub goodput: f64,
-    /// The most that any schedule can reach of it.
+    /// Upper bound on the goodput of any schedule, in slot-seconds.
     pub goodput_bound: f64,
-    /// Goodput over its bound.
+    /// Goodput divided by its bound; 1 when the bound is 0.
     pub goodput_share: f64,
-    /// Share of work that was thrown away or done again.
+    /// Share of all work that was discarded or repeated, from 0 to 1.
     pub waste: f64,
-    /// Share of slots in use while calls arrive, on engines that work well.
+    /// Running attempts over slots of healthy engines, while calls arrive.
     pub busy: f64,
-    /// The least progress of a lower tier in a window with work waiting, relative to its floor.
+    /// Least progress of each lower tier in any window with work waiting, relative to its floor; a
+    /// tier without such a window is absent.
     pub floors: BTreeMap<u8, f64>,
-    /// Jain's fairness index over workspaces that do not flood.
+    /// Jain's fairness index over the workspaces that are not marked as flooding.
     pub jain: f64,
-    /// Calls without an end.
+    /// Calls that never ended.
     pub open: u32,
-    /// Hours of virtual time.
+    /// Virtual time in which calls arrive, in hours.
     pub hours: f64,
 }
 
@@ -125,8 +130,9 @@
 }
 
 impl RunRecord {
-    /// Whether a call met its targets: whole, first token and pace in time.
-    pub fn is_good(&self, scenario: &ScenarioFile, index: usize) -> bool {
+    /// Returns whether a call met its targets: a complete answer, the first token in time, and the
+    /// time per token within the target of its class, if it has one.
+    pub fn meets_targets(&self, scenario: &ScenarioFile, index: usize) -> bool {
         let (call, track) = (&self.calls[index], &self.tracks[index]);
         let class = &scenario.classes[call.class];
         let Some((ended, CallOutcome::Whole { tokens })) = track.ended else {
@@ -135,31 +141,32 @@
         let Some(first) = track.first_token else {
             return false;
         };
-        let pace_kept = class
+        let pace_met = class
             .token_target
             .is_none_or(|target| ended.saturating_sub(first) <= target * tokens.saturating_sub(1));
-        first.saturating_sub(call.at) <= class.target && pace_kept
+        first.saturating_sub(call.at) <= class.target && pace_met
     }
 
-    /// The least work that a call can take, in slot-seconds.
+    /// Returns the least work that a call can take, in slot-seconds: with its prefix cached, where
+    /// engines have a cache.
     pub fn work(&self, scenario: &ScenarioFile, index: usize) -> f64 {
         let call = &self.calls[index];
         let engine = &scenario.engines[0];
         let cached = call.prefix != 0 && engine.cached_prefixes > 0;
-        let read = if cached { READ_WHEN_CACHED } else { 1.0 };
-        engine.work(f64::from(call.prompt) * read, f64::from(call.output))
+        let prefill = if cached { CACHED_PREFILL_SHARE } else { 1.0 };
+        engine.work(f64::from(call.prompt) * prefill, f64::from(call.output))
     }
 
-    /// The part of a whole call that was done while calls arrived. What is done later is left out
-    /// on both sides of the comparison: there is no contention then.
-    fn done_part(&self, scenario: &ScenarioFile, index: usize) -> f64 {
+    /// Returns the share of a completed call that was done while calls arrived. Later work counts
+    /// neither here nor in the bound, because there is no contention then.
+    fn share_before_end(&self, scenario: &ScenarioFile, index: usize) -> f64 {
         let track = &self.tracks[index];
-        let (Some(began), Some((ended, _))) = (track.began, track.ended) else {
+        let (Some(first_sent), Some((ended, _))) = (track.first_sent, track.ended) else {
             return 0.0;
         };
-        let took = ended.saturating_sub(began).as_secs_f64();
-        let before_end = scenario.length.saturating_sub(began).as_secs_f64();
-        share(before_end, took).min(1.0)
+        let duration = ended.saturating_sub(first_sent).as_secs_f64();
+        let before_end = scenario.length.saturating_sub(first_sent).as_secs_f64();
+        ratio(before_end, duration).min(1.0)
     }
 
     fn class_figures(&self, scenario: &ScenarioFile, class: usize) -> ClassFigures {
@@ -174,7 +181,7 @@
         let of_class = |index: &usize| self.calls[*index].class == class;
         for index in (0..self.calls.len()).filter(of_class) {
             figures.sent += 1;
-            good += u32::from(self.is_good(scenario, index));
+            good += u32::from(self.meets_targets(scenario, index));
             let track = &self.tracks[index];
             match track.ended {
                 Some((_, CallOutcome::Whole { .. })) => figures.whole += 1,
@@ -188,7 +195,7 @@
             }
         }
         first_tokens.sort_by(f64::total_cmp);
-        figures.attainment = share(f64::from(good), f64::from(figures.sent));
+        figures.attainment = ratio(f64::from(good), f64::from(figures.sent));
         figures.first_token_p50_ms = percentile(&first_tokens, 0.5);
         figures.first_token_p99_ms = percentile(&first_tokens, 0.99);
         figures
@@ -209,20 +216,21 @@
         }
         let shares: Vec<f64> = served
             .values()
-            .map(|(got, asked)| share(*got, *asked))
+            .map(|(served, requested)| ratio(*served, *requested))
             .collect();
         let sum: f64 = shares.iter().sum();
         let squares: f64 = shares.iter().map(|share| share * share).sum();
-        share(sum * sum, squares * shares.len() as f64)
+        ratio(sum * sum, squares * shares.len() as f64)
     }
 
-    /// The least of `running over floor` over all windows in which the tier had work waiting.
+    /// Returns the least ratio of running attempts to the floor over all windows in which the tier
+    /// had work waiting throughout, or `None` without such a window.
     fn floor_progress(&self, tier: u8, floor: f64) -> Option<f64> {
         let index = usize::from(tier);
-        let waited = |sample: &LoadSample| sample.waiting[index] > 0 && sample.slots > 0;
+        let has_queue = |sample: &LoadSample| sample.waiting[index] > 0 && sample.slots > 0;
         self.samples
             .windows(WINDOW)
-            .filter(|window| window.iter().all(waited))
+            .filter(|window| window.iter().all(has_queue))
             .map(|window| {
                 let running: u32 = window.iter().map(|sample| sample.running[index]).sum();
                 let slots: u32 = window.iter().map(|sample| sample.slots).sum();
@@ -234,10 +242,10 @@
     fn busy(&self) -> f64 {
         let running = self.samples.iter().flat_map(|sample| sample.running);
         let slots = self.samples.iter().map(|sample| sample.slots);
-        share(running.map(f64::from).sum(), slots.map(f64::from).sum())
+        ratio(running.map(f64::from).sum(), slots.map(f64::from).sum())
     }
 
-    /// All figures.
+    /// Computes all figures of the run.
     pub fn figures(&self, scenario: &ScenarioFile, policy: &str, seed: u64) -> RunFigures {
         let classes: Vec<ClassFigures> = (0..scenario.classes.len())
             .map(|class| self.class_figures(scenario, class))
@@ -248,11 +256,11 @@
             .map(|class| f64::from(class.sent) * class.attainment)
             .sum();
         let goodput: f64 = (0..self.calls.len())
-            .filter(|index| self.is_good(scenario, *index))
-            .map(|index| self.work(scenario, index) * self.done_part(scenario, index))
+            .filter(|index| self.meets_targets(scenario, *index))
+            .map(|index| self.work(scenario, index) * self.share_before_end(scenario, index))
             .sum();
-        let all: f64 = self.tracks.iter().map(|track| track.work).sum();
-        let lost: f64 = self.tracks.iter().map(CallTrack::lost).sum();
+        let total: f64 = self.tracks.iter().map(|track| track.work).sum();
+        let wasted: f64 = self.tracks.iter().map(CallTrack::wasted_work).sum();
         let floors = scenario.tiers.iter().filter(|tier| tier.tier.0 > 0);
         let floors = floors.filter_map(|tier| {
             let progress = self.floor_progress(tier.tier.0, tier.floor)?;
@@ -262,12 +270,12 @@
         RunFigures {
             policy: policy.into(),
             seed,
-            urgent_attainment: share(urgent_good, urgent_sent),
+            urgent_attainment: ratio(urgent_good, urgent_sent),
             urgent_shed: self.urgent_shed + self.urgent_stopped,
             goodput,
             goodput_bound,
-            goodput_share: share(goodput, goodput_bound),
-            waste: if all > 0.0 { lost / all } else { 0.0 },
+            goodput_share: ratio(goodput, goodput_bound),
+            waste: if total > 0.0 { wasted / total } else { 0.0 },
             busy: self.busy(),
             floors: floors.collect(),
             jain: self.jain(scenario),
@@ -279,16 +287,17 @@
 }
 
 impl CallTrack {
-    /// Slot-seconds thrown away: all of a call without a whole answer, else what was done again.
-    pub fn lost(&self) -> f64 {
+    /// Returns the wasted slot-seconds: all work of a call without a complete answer, else the
+    /// repeated work.
+    pub fn wasted_work(&self) -> f64 {
         match self.ended {
-            Some((_, CallOutcome::Whole { .. })) => self.again,
+            Some((_, CallOutcome::Whole { .. })) => self.repeated_work,
             _ => self.work,
         }
     }
 }
 
-/// A ratio; 1 when there is nothing to divide by.
-fn share(part: f64, whole: f64) -> f64 {
+/// Returns `part / whole`, or 1 if `whole` is not positive.
+fn ratio(part: f64, whole: f64) -> f64 {
     if whole > 0.0 { part / whole } else { 1.0 }
 }
--- a/cli/src/bench/plot.rs
+++ b/cli/src/bench/plot.rs
@@ -1,4 +1,4 @@
-//! A picture of a run: attainment, goodput, waste and queue by tier over time.
+//! Draws a run as SVG: attainment, goodput, waste and queue length by tier over time.
 
 use std::path::Path;
 
@@ -15,8 +15,8 @@
     RGBColor(90, 90, 90),
 ];
 
-/// Parts that the length of the scenario is cut into.
-const PARTS: usize = 120;
+/// Number of equal time intervals that the scenario is divided into.
+const INTERVALS: usize = 120;
 
 type Line = Vec<(f64, f64)>;
 
@@ -28,27 +28,31 @@
 }
 
 fn curves(scenario: &ScenarioFile, record: &RunRecord) -> Curves {
-    let part = scenario.length.as_secs_f64() / PARTS as f64;
-    let mut sent = vec![[0.0; 3]; PARTS];
-    let mut good = vec![[0.0; 3]; PARTS];
-    let mut work = vec![[0.0; 3]; PARTS];
-    let mut lost = vec![[0.0; 3]; PARTS];
+    let interval = scenario.length.as_secs_f64() / INTERVALS as f64;
+    let mut sent = vec![[0.0; 3]; INTERVALS];
+    let mut good = vec![[0.0; 3]; INTERVALS];
+    let mut work = vec![[0.0; 3]; INTERVALS];
+    let mut lost = vec![[0.0; 3]; INTERVALS];
     for (index, call) in record.calls.iter().enumerate() {
-        let place = ((call.at.as_secs_f64() / part) as usize).min(PARTS - 1);
+        let slot = ((call.at.as_secs_f64() / interval) as usize).min(INTERVALS - 1);
         let tier = usize::from(call.tier.0.min(2));
         let track = &record.tracks[index];
-        sent[place][tier] += 1.0;
-        if record.is_good(scenario, index) {
-            good[place][tier] += 1.0;
-            work[place][tier] += record.work(scenario, index) / part;
+        sent[slot][tier] += 1.0;
+        if record.meets_targets(scenario, index) {
+            good[slot][tier] += 1.0;
+            work[slot][tier] += record.work(scenario, index) / interval;
         }
-        let whole = matches!(track.ended, Some((_, CallOutcome::Whole { .. })));
-        lost[place][tier] += if whole { track.again } else { track.work } / part;
+        let complete = matches!(track.ended, Some((_, CallOutcome::Whole { .. })));
+        lost[slot][tier] += if complete {
+            track.repeated_work
+        } else {
+            track.work
+        } / interval;
     }
     let line = |value: &dyn Fn(usize, usize) -> f64| -> [Line; 3] {
         [0, 1, 2].map(|tier| {
-            (0..PARTS)
-                .map(|n| (n as f64 * part, value(n, tier)))
+            (0..INTERVALS)
+                .map(|n| (n as f64 * interval, value(n, tier)))
                 .collect()
         })
     };
@@ -62,8 +66,8 @@
     let sample = SAMPLE.as_secs_f64();
     let queue = [0, 1, 2].map(|tier| {
         let samples = record.samples.iter().enumerate().step_by(10);
-        let point = |(n, sample_at): (usize, &crate::bench::measure::LoadSample)| {
-            (n as f64 * sample, f64::from(sample_at.waiting[tier]))
+        let point = |(n, load): (usize, &crate::bench::measure::LoadSample)| {
+            (n as f64 * sample, f64::from(load.waiting[tier]))
         };
         samples.map(point).collect()
     });
@@ -75,16 +79,16 @@
     }
 }
 
-/// Draws the picture.
+/// Draws a run as SVG into the file at `path`; fails if the file cannot be written.
 pub fn draw(path: &Path, scenario: &ScenarioFile, record: &RunRecord) -> Result<(), BenchError> {
-    let failed = |reason: String| BenchError::Plot {
+    let plot_error = |reason: String| BenchError::Plot {
         file: path.display().to_string().into(),
         reason: reason.into(),
     };
     let curves = curves(scenario, record);
     let area = SVGBackend::new(path, (900, 1_000)).into_drawing_area();
     area.fill(&WHITE)
-        .map_err(|error| failed(error.to_string()))?;
+        .map_err(|error| plot_error(error.to_string()))?;
     let panels = area.split_evenly((4, 1));
     let lines = [
         ("attainment", &curves.attainment),
@@ -93,9 +97,10 @@
         ("waiting calls", &curves.queue),
     ];
     for (panel, (title, lines)) in panels.iter().zip(lines) {
-        draw_panel(panel, title, lines, scenario).map_err(&failed)?;
+        draw_panel(panel, title, lines, scenario).map_err(&plot_error)?;
     }
-    area.present().map_err(|error| failed(error.to_string()))
+    area.present()
+        .map_err(|error| plot_error(error.to_string()))
 }
 
 fn draw_panel(
--- a/cli/src/bench/policy.rs
+++ b/cli/src/bench/policy.rs
@@ -1,4 +1,5 @@
-//! Policies: the one that ships, variants of it, and simple ones to compare with.
+//! Dispatch policies: the product's own, variants of it with one rule switched off, and simple
+//! baselines.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -16,39 +17,39 @@
 
 use crate::bench::scenario::POOL;
 
-/// A policy.
+/// A dispatch policy that the bench can run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum BenchPolicy {
-    /// What ships.
+    /// The policy of the product.
     #[display("monsoon")]
     Monsoon,
-    /// What ships, without stopping runs for urgent work.
+    /// The policy of the product without preemption of running attempts for urgent calls.
     #[display("no-preemption")]
     NoPreemption,
-    /// What ships, without taking upstreams out of service.
+    /// The policy of the product without ejection of unhealthy upstreams.
     #[display("no-ejection")]
     NoEjection,
-    /// What ships, without refusing early.
+    /// The policy of the product without early refusal of calls.
     #[display("no-early-refusal")]
     NoEarlyRefusal,
-    /// What ships, with deadlines alone deciding within a tier.
+    /// The policy of the product, ordered within a tier by deadlines alone.
     #[display("deadline-only")]
     DeadlineOnly,
-    /// What ships, with fair shares alone deciding within a tier.
+    /// The policy of the product, ordered within a tier by fair shares alone.
     #[display("share-only")]
     ShareOnly,
-    /// Every call at once to the next engine in turn.
+    /// Sends every call immediately, to the engines in round-robin order.
     #[display("fifo-roundrobin")]
     FifoRoundrobin,
-    /// One queue, the higher tier first, then first come first served.
+    /// Dequeues the more urgent tier first and within it in order of arrival, when a slot is free.
     #[display("strict-priority")]
     StrictPriority,
-    /// Every call at once to the engine that reported the least load.
+    /// Sends every call immediately to the engine that last reported the least load.
     #[display("least-reported-load")]
     LeastReportedLoad,
 }
 
-/// All policies; the one that ships first, then the baselines.
+/// All policies: the product's own, then the baselines, then the variants.
 pub const POLICIES: [BenchPolicy; 9] = [
     BenchPolicy::Monsoon,
     BenchPolicy::FifoRoundrobin,
@@ -62,16 +63,16 @@
 ];
 
 impl BenchPolicy {
-    /// The policy with this name.
+    /// Returns the policy with this name, or `None` if there is none.
     pub fn named(name: &str) -> Option<Self> {
         POLICIES
             .into_iter()
             .find(|policy| policy.to_string() == name)
     }
 
-    /// The plug-in that takes the dispatcher's place; none for what ships.
+    /// Returns the plug-in that replaces the kernel's dispatcher, or `None` to keep it.
     pub fn plugin(self) -> Option<Box<dyn Plugin>> {
-        let usual = DispatchSettings::default();
+        let defaults = DispatchSettings::default();
         let settings = match self {
             Self::Monsoon => return None,
             Self::FifoRoundrobin | Self::StrictPriority | Self::LeastReportedLoad => {
@@ -79,21 +80,24 @@
             }
             Self::NoPreemption => DispatchSettings {
                 preemption: false,
-                ..usual
+                ..defaults
             },
             Self::NoEjection => DispatchSettings {
                 ejection: false,
-                ..usual
+                ..defaults
             },
             Self::NoEarlyRefusal => DispatchSettings {
                 early_refusal: false,
-                ..usual
+                ..defaults
             },
             Self::DeadlineOnly => DispatchSettings {
                 lead: u64::MAX / 1_000,
-                ..usual
+                ..defaults
+            },
+            Self::ShareOnly => DispatchSettings {
+                lead: 0,
+                ..defaults
             },
-            Self::ShareOnly => DispatchSettings { lead: 0, ..usual },
         };
         Some(Box::new(WorkDispatcher::new(settings)))
     }
@@ -106,7 +110,7 @@
     reported: u32,
 }
 
-/// A simple policy in the dispatcher's place.
+/// A plug-in that implements the baseline policies.
 #[derive(Debug)]
 struct SimpleDispatcher {
     policy: BenchPolicy,
@@ -114,7 +118,7 @@
     queues: BTreeMap<Tier, VecDeque<(NodeId, WorkSpec)>>,
     queued: BTreeSet<AttemptId>,
     running: BTreeMap<AttemptId, (NodeId, UpstreamId)>,
-    turn: usize,
+    next_engine: usize,
 }
 
 impl SimpleDispatcher {
@@ -125,14 +129,14 @@
             queues: BTreeMap::new(),
             queued: BTreeSet::new(),
             running: BTreeMap::new(),
-            turn: 0,
+            next_engine: 0,
         }
     }
 
     fn configure(&mut self, config: &Arc<Config>) {
-        for (upstream, found) in config.upstreams.iter() {
+        for (upstream, state) in config.upstreams.iter() {
             let engine = SimpleEngine {
-                slots: found.spec.slots,
+                slots: state.spec.slots,
                 in_flight: 0,
                 reported: 0,
             };
@@ -143,9 +147,9 @@
     fn choose(&mut self) -> Option<UpstreamId> {
         match self.policy {
             BenchPolicy::FifoRoundrobin => {
-                self.turn += 1;
-                let turn = self.turn % self.engines.len().max(1);
-                self.engines.keys().nth(turn).copied()
+                self.next_engine += 1;
+                let next_engine = self.next_engine % self.engines.len().max(1);
+                self.engines.keys().nth(next_engine).copied()
             }
             BenchPolicy::StrictPriority => self
                 .engines
@@ -161,7 +165,7 @@
         }
     }
 
-    fn fill(&mut self, context: &mut Context<'_>) {
+    fn dispatch_queued(&mut self, context: &mut Context<'_>) {
         while !self.queued.is_empty() {
             let Some(upstream) = self.choose() else {
                 return;
@@ -179,7 +183,7 @@
         }
     }
 
-    fn ended(&mut self, attempt: AttemptId, end: AttemptEnd, context: &mut Context<'_>) {
+    fn end_attempt(&mut self, attempt: AttemptId, end: AttemptEnd, context: &mut Context<'_>) {
         let Some((entry, upstream)) = self.running.remove(&attempt) else {
             return;
         };
@@ -191,20 +195,20 @@
             ..LoadSummary::default()
         };
         context.send(entry, WorkMessage::Ended { attempt, end, load });
-        self.fill(context);
+        self.dispatch_queued(context);
     }
 
-    fn reported(&mut self, upstream: UpstreamId, report: &LoadReport) {
+    fn record_report(&mut self, upstream: UpstreamId, report: &LoadReport) {
         if let Some(engine) = self.engines.get_mut(&upstream) {
             engine.reported = report.running + report.waiting;
         }
     }
 
-    fn asked(&self, from: NodeId, attempts: &[AttemptId], context: &mut Context<'_>) {
-        let holds = |attempt: &AttemptId| {
+    fn answer_query(&self, from: NodeId, attempts: &[AttemptId], context: &mut Context<'_>) {
+        let is_held = |attempt: &AttemptId| {
             self.running.contains_key(attempt) || self.queued.contains(attempt)
         };
-        let (held, missing) = attempts.iter().copied().partition(holds);
+        let (held, missing) = attempts.iter().copied().partition(is_held);
         context.send(from, WorkMessage::Held { held, missing });
     }
 }
@@ -226,19 +230,19 @@
                     .or_default()
                     .push_back((*from, *work));
                 self.queued.insert(work.attempt);
-                self.fill(context);
+                self.dispatch_queued(context);
             }
             Event::PeerMessage {
                 from,
                 message: Message::Work(WorkMessage::Ask(attempts)),
-            } => self.asked(*from, attempts, context),
+            } => self.answer_query(*from, attempts, context),
             Event::AttemptSent(attempt) => {
                 if let Some((entry, _)) = self.running.get(attempt) {
                     context.send(*entry, WorkMessage::Started(*attempt));
                 }
             }
-            Event::AttemptEnded { attempt, end } => self.ended(*attempt, *end, context),
-            Event::UpstreamReported { upstream, report } => self.reported(*upstream, report),
+            Event::AttemptEnded { attempt, end } => self.end_attempt(*attempt, *end, context),
+            Event::UpstreamReported { upstream, report } => self.record_report(*upstream, report),
             _ => {}
         }
     }
--- a/cli/src/bench/report.rs
+++ b/cli/src/bench/report.rs
@@ -1,4 +1,4 @@
-//! Tables of figures.
+//! Text tables of the figures.
 
 use comfy_table::{Table, presets};
 
@@ -15,8 +15,8 @@
     table
 }
 
-/// Figures of one run, by class and in all.
-pub fn one(figures: &RunFigures) -> String {
+/// Renders the figures of one run: a table by class, then one row for the whole run.
+pub fn run_tables(figures: &RunFigures) -> String {
     let mut classes = table(&[
         "class",
         "tier",
@@ -41,12 +41,12 @@
             format!("{:.0} ms", class.first_token_p99_ms),
         ]);
     }
-    format!("{classes}\n\n{}", compare(std::slice::from_ref(figures)))
+    format!("{classes}\n\n{}", run_rows(std::slice::from_ref(figures)))
 }
 
-/// One line a run.
-pub fn compare(runs: &[RunFigures]) -> String {
-    let mut lines = table(&[
+/// Renders a table with one row per run.
+pub fn run_rows(runs: &[RunFigures]) -> String {
+    let mut rows = table(&[
         "policy",
         "seed",
         "urgent",
@@ -63,7 +63,7 @@
             .iter()
             .map(|(tier, progress)| format!("{tier}: {progress:.2}"))
             .collect();
-        lines.add_row([
+        rows.add_row([
             run.policy.to_string(),
             run.seed.to_string(),
             percent(run.urgent_attainment),
@@ -76,10 +76,11 @@
             run.open.to_string(),
         ]);
     }
-    lines.to_string()
+    rows.to_string()
 }
 
-/// The worst of each figure over several seeds of one policy.
+/// Combines the runs of one policy into the worst value of each figure over the seeds, or `None` if
+/// there is no run. Counts of calls are those of the first run, `busy` too.
 pub fn worst(runs: &[RunFigures]) -> Option<RunFigures> {
     let mut worst = runs.first()?.clone();
     for run in &runs[1..] {
--- a/cli/src/bench/run.rs
+++ b/cli/src/bench/run.rs
@@ -1,4 +1,4 @@
-//! One node's kernel on virtual time against fake engines.
+//! A discrete-event simulation of one node's kernel and simulated engines on virtual time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use monsoonbank_kernel::ownership::OwnerMap;
 use monsoonbank_kernel::plugin::NodeProfile;
 
-use crate::bench::engine::{EngineNews, FakeEngine};
+use crate::bench::engine::{EngineEvent, FakeEngine};
 use crate::bench::measure::{CallTrack, LoadSample, RunRecord, SAMPLE};
 use crate::bench::policy::BenchPolicy;
 use crate::bench::scenario::{FaultKind, POOL, ScenarioFile, engine_name};
@@ -28,19 +28,19 @@
 /// Virtual time after the last arrival in which calls may still end.
 const DRAIN: Duration = Duration::from_hours(6);
 
-/// Every so many cache events one is lost.
-const CACHE_GAP: u64 = 10;
+/// One in this many cache events is lost.
+const CACHE_LOSS_INTERVAL: u64 = 10;
 
 #[derive(Clone, Copy, Debug)]
-enum Happening {
-    Arrival(usize),
-    Arrive(usize, AttemptStart),
-    Cancel(usize, AttemptId),
-    Refused(AttemptId),
-    Wake(usize, u64),
-    TakeReport(usize),
-    TellReport(usize, LoadReport),
-    TellCache(usize, u64, bool),
+enum SimulationEvent {
+    CallArrival(usize),
+    AttemptArrival(usize, AttemptStart),
+    CancelArrival(usize, AttemptId),
+    ConnectionRefused(AttemptId),
+    EngineWake(usize, u64),
+    CollectReport(usize),
+    DeliverReport(usize, LoadReport),
+    DeliverCacheChange(usize, u64, bool),
     FaultBegins(usize),
     FaultEnds(usize),
     Tick,
@@ -51,12 +51,12 @@
     scenario: &'a ScenarioFile,
     kernel: Kernel,
     now: Duration,
-    agenda: BTreeMap<(Duration, u64), Happening>,
+    schedule: BTreeMap<(Duration, u64), SimulationEvent>,
     sequence: u64,
     engines: Vec<FakeEngine>,
-    wakes: Vec<u64>,
-    numbers: BTreeMap<UpstreamId, usize>,
-    places: BTreeMap<AttemptId, usize>,
+    wake_versions: Vec<u64>,
+    engine_indexes: BTreeMap<UpstreamId, usize>,
+    placements: BTreeMap<AttemptId, usize>,
     record: RunRecord,
     open: usize,
     cache_events: u64,
@@ -94,12 +94,12 @@
     }
 }
 
-/// Runs a scenario to its end.
+/// Runs a scenario to its end; calls still open after the drain time have no end in the record.
 pub fn run(scenario: &ScenarioFile, seed: u64, policy: BenchPolicy) -> RunRecord {
     let calls = plan(scenario, seed);
     let mut simulation = Simulation::new(scenario, seed, policy, calls);
-    simulation.begin();
-    simulation.go();
+    simulation.initialize();
+    simulation.run();
     simulation.record
 }
 
@@ -117,17 +117,18 @@
             kernel.replace("dispatch", plugin);
         }
         let shapes = scenario.each_engine();
-        let numbers = (0..shapes.len()).map(|n| (UpstreamId::named(&engine_name(n)), n));
+        let engine_indexes =
+            (0..shapes.len()).map(|index| (UpstreamId::named(&engine_name(index)), index));
         Self {
             scenario,
             kernel,
             now: Duration::from_secs(1),
-            agenda: BTreeMap::new(),
+            schedule: BTreeMap::new(),
             sequence: 0,
-            wakes: vec![0; shapes.len()],
-            numbers: numbers.collect(),
+            wake_versions: vec![0; shapes.len()],
+            engine_indexes: engine_indexes.collect(),
             engines: shapes.into_iter().map(FakeEngine::new).collect(),
-            places: BTreeMap::new(),
+            placements: BTreeMap::new(),
             record: RunRecord {
                 tracks: vec![CallTrack::default(); calls.len()],
                 calls,
@@ -142,88 +143,90 @@
         }
     }
 
-    fn at(&mut self, at: Duration, happening: Happening) {
+    fn schedule_at(&mut self, at: Duration, event: SimulationEvent) {
         self.sequence += 1;
-        self.agenda.insert((at, self.sequence), happening);
+        self.schedule.insert((at, self.sequence), event);
     }
 
-    fn after(&mut self, delay: Duration, happening: Happening) {
-        self.at(self.now + delay, happening);
+    fn schedule_after(&mut self, delay: Duration, event: SimulationEvent) {
+        self.schedule_at(self.now + delay, event);
     }
 
-    fn begin(&mut self) {
+    fn initialize(&mut self) {
         let config = self.scenario.config();
         let node = NodeId::named("bench");
         let owners = config.upstreams.keys().map(|upstream| (*upstream, node));
         let owners = OwnerMap {
             owners: owners.collect(),
         };
-        self.tell(Event::ConfigApplied(config));
-        self.tell(Event::MembersChanged(Arc::new(view(&profile(0)))));
-        self.tell(Event::OwnersChanged(Arc::new(owners)));
+        self.handle(Event::ConfigApplied(config));
+        self.handle(Event::MembersChanged(Arc::new(view(&profile(0)))));
+        self.handle(Event::OwnersChanged(Arc::new(owners)));
         self.now = Duration::ZERO;
         if !self.record.calls.is_empty() {
-            self.at(self.record.calls[0].at, Happening::Arrival(0));
+            self.schedule_at(self.record.calls[0].at, SimulationEvent::CallArrival(0));
         }
         for engine in 0..self.engines.len() {
-            self.at(Duration::ZERO, Happening::TakeReport(engine));
+            self.schedule_at(Duration::ZERO, SimulationEvent::CollectReport(engine));
         }
         for (index, fault) in self.scenario.faults.iter().enumerate() {
-            self.at(fault.at, Happening::FaultBegins(index));
-            self.at(fault.until, Happening::FaultEnds(index));
+            self.schedule_at(fault.at, SimulationEvent::FaultBegins(index));
+            self.schedule_at(fault.until, SimulationEvent::FaultEnds(index));
         }
-        self.at(TICK, Happening::Tick);
-        self.at(SAMPLE, Happening::Sample);
-        self.note_capacity();
+        self.schedule_at(TICK, SimulationEvent::Tick);
+        self.schedule_at(SAMPLE, SimulationEvent::Sample);
+        self.record_capacity();
     }
 
-    fn go(&mut self) {
+    fn run(&mut self) {
         let end = self.scenario.length + DRAIN;
-        while let Some(((at, _), happening)) = self.agenda.pop_first() {
+        while let Some(((at, _), event)) = self.schedule.pop_first() {
             if at > end || (at > self.scenario.length && self.open == 0) {
                 return;
             }
             self.now = at;
-            self.happen(happening);
+            self.process(event);
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrival(index) => self.arrive(index),
-            Happening::Arrive(engine, start) => self.begin_run(engine, start),
-            Happening::Cancel(engine, attempt) => self.cancel(engine, attempt),
-            Happening::Refused(attempt) => self.end(attempt, AttemptEnd::Unsent),
-            Happening::Wake(engine, number) if self.wakes[engine] == number => {
-                self.attend(engine);
+    fn process(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::CallArrival(index) => self.arrive(index),
+            SimulationEvent::AttemptArrival(engine, start) => self.begin_run(engine, start),
+            SimulationEvent::CancelArrival(engine, attempt) => self.cancel(engine, attempt),
+            SimulationEvent::ConnectionRefused(attempt) => self.end(attempt, AttemptEnd::Unsent),
+            SimulationEvent::EngineWake(engine, version)
+                if self.wake_versions[engine] == version =>
+            {
+                self.process_engine(engine);
             }
-            Happening::Wake(..) => {}
-            Happening::TakeReport(engine) => self.take_report(engine),
-            Happening::TellReport(engine, report) => {
+            SimulationEvent::EngineWake(..) => {}
+            SimulationEvent::CollectReport(engine) => self.collect_report(engine),
+            SimulationEvent::DeliverReport(engine, report) => {
                 let upstream = upstream(engine);
-                self.tell(Event::UpstreamReported { upstream, report });
+                self.handle(Event::UpstreamReported { upstream, report });
             }
-            Happening::TellCache(engine, prefix, held) => {
+            SimulationEvent::DeliverCacheChange(engine, prefix, held) => {
                 let upstream = upstream(engine);
-                self.tell(Event::CacheChanged {
+                self.handle(Event::CacheChanged {
                     upstream,
                     prefix,
                     held,
                 });
             }
-            Happening::FaultBegins(index) => self.fault(index, true),
-            Happening::FaultEnds(index) => self.fault(index, false),
-            Happening::Tick => {
-                self.tell(Event::Tick);
-                self.after(TICK, Happening::Tick);
+            SimulationEvent::FaultBegins(index) => self.apply_fault(index, true),
+            SimulationEvent::FaultEnds(index) => self.apply_fault(index, false),
+            SimulationEvent::Tick => {
+                self.handle(Event::Tick);
+                self.schedule_after(TICK, SimulationEvent::Tick);
             }
-            Happening::Sample => self.sample(),
+            SimulationEvent::Sample => self.record_sample(),
         }
     }
 
     fn arrive(&mut self, index: usize) {
         if let Some(next) = self.record.calls.get(index + 1) {
-            self.at(next.at, Happening::Arrival(index + 1));
+            self.schedule_at(next.at, SimulationEvent::CallArrival(index + 1));
         }
         let call = self.record.calls[index];
         let class = &self.scenario.classes[call.class];
@@ -244,10 +247,10 @@
             max_tokens: 0,
             prefix: call.prefix,
         };
-        self.tell(Event::CallArrived { spec, key: None });
+        self.handle(Event::CallArrived { spec, key: None });
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.kernel.handle(self.now, event, &mut actions);
         for action in actions.drain(..) {
@@ -259,88 +262,94 @@
     fn act(&mut self, action: &Action) {
         match *action {
             Action::StartAttempt(start) => self.start(start),
-            Action::CancelAttempt(attempt) => self.stop(attempt),
+            Action::CancelAttempt(attempt) => self.request_cancel(attempt),
             Action::FinishCall { call, outcome } => self.finish(call, outcome),
             _ => {}
         }
     }
 
     fn start(&mut self, start: AttemptStart) {
-        let engine = self.numbers[&start.upstream];
+        let engine = self.engine_indexes[&start.upstream];
         let attempt = start.work.attempt;
         let hop = self.scenario.hop;
         if !self.engines[engine].up {
-            self.after(hop, Happening::Refused(attempt));
+            self.schedule_after(hop, SimulationEvent::ConnectionRefused(attempt));
             return;
         }
-        self.places.insert(attempt, engine);
-        self.after(hop, Happening::Arrive(engine, start));
+        self.placements.insert(attempt, engine);
+        self.schedule_after(hop, SimulationEvent::AttemptArrival(engine, start));
     }
 
     fn begin_run(&mut self, engine: usize, start: AttemptStart) {
         let attempt = start.work.attempt;
-        if !self.places.contains_key(&attempt) {
+        if !self.placements.contains_key(&attempt) {
             return;
         }
-        self.tell(Event::AttemptSent(attempt));
+        self.handle(Event::AttemptSent(attempt));
         let index = attempt.call.sequence as usize;
         self.record.tracks[index].runs += 1;
-        self.record.tracks[index].began.get_or_insert(self.now);
+        self.record.tracks[index].first_sent.get_or_insert(self.now);
         let output = self.record.calls[index].output;
         self.engines[engine].start(self.now, start, output);
-        self.tell_cache(engine);
-        self.rewake(engine);
+        self.schedule_cache_changes(engine);
+        self.schedule_wake(engine);
     }
 
-    fn tell_cache(&mut self, engine: usize) {
+    fn schedule_cache_changes(&mut self, engine: usize) {
         let lag = self.engines[engine].shape().report_lag;
-        for (prefix, held) in std::mem::take(&mut self.engines[engine].cache_news) {
+        for (prefix, held) in std::mem::take(&mut self.engines[engine].cache_changes) {
             self.cache_events += 1;
-            if !self.cache_events.is_multiple_of(CACHE_GAP) {
-                self.after(lag, Happening::TellCache(engine, prefix, held));
+            if !self.cache_events.is_multiple_of(CACHE_LOSS_INTERVAL) {
+                self.schedule_after(
+                    lag,
+                    SimulationEvent::DeliverCacheChange(engine, prefix, held),
+                );
             }
         }
     }
 
-    fn rewake(&mut self, engine: usize) {
-        self.wakes[engine] += 1;
-        if let Some(at) = self.engines[engine].next() {
-            let number = self.wakes[engine];
-            self.at(at.max(self.now), Happening::Wake(engine, number));
+    fn schedule_wake(&mut self, engine: usize) {
+        self.wake_versions[engine] += 1;
+        if let Some(at) = self.engines[engine].next_event() {
+            let version = self.wake_versions[engine];
+            self.schedule_at(
+                at.max(self.now),
+                SimulationEvent::EngineWake(engine, version),
+            );
         }
     }
 
-    fn attend(&mut self, engine: usize) {
-        for news in self.engines[engine].news(self.now) {
-            match news {
-                EngineNews::Progress(attempt, tokens) => self.progress(attempt, tokens),
-                EngineNews::Done(attempt, tokens) => {
+    fn process_engine(&mut self, engine: usize) {
+        for event in self.engines[engine].events(self.now) {
+            match event {
+                EngineEvent::Progress(attempt, tokens) => self.progress(attempt, tokens),
+                EngineEvent::Done(attempt, tokens) => {
                     self.progress(attempt, 1);
-                    self.charge(engine, attempt);
-                    self.places.remove(&attempt);
-                    self.tell(Event::AttemptEnded {
+                    self.remove_run(engine, attempt);
+                    self.placements.remove(&attempt);
+                    self.handle(Event::AttemptEnded {
                         attempt,
                         end: AttemptEnd::Complete { tokens },
                     });
                 }
             }
         }
-        self.rewake(engine);
+        self.schedule_wake(engine);
     }
 
     fn progress(&mut self, attempt: AttemptId, tokens: u32) {
         let track = &mut self.record.tracks[attempt.call.sequence as usize];
         track.first_token.get_or_insert(self.now);
-        self.tell(Event::AttemptProgress { attempt, tokens });
+        self.handle(Event::AttemptProgress { attempt, tokens });
     }
 
-    /// Takes a run off an engine and books its cost; gives back its tokens.
-    fn charge(&mut self, engine: usize, attempt: AttemptId) -> u32 {
+    /// Removes a run from an engine, adds its cost to the call and returns its generated tokens.
+    fn remove_run(&mut self, engine: usize, attempt: AttemptId) -> u32 {
         let cost = self.engines[engine].remove(self.now, attempt);
         let track = &mut self.record.tracks[attempt.call.sequence as usize];
-        track.work += cost.all;
+        track.work += cost.total;
         if track.runs > 1 {
-            track.again += cost.read;
+            track.repeated_work += cost.prefill;
         }
         if cost.tokens > 0 {
             track.first_token.get_or_insert(self.now);
@@ -348,29 +357,32 @@
         cost.tokens
     }
 
-    fn stop(&mut self, attempt: AttemptId) {
-        let Some(engine) = self.places.get(&attempt).copied() else {
+    fn request_cancel(&mut self, attempt: AttemptId) {
+        let Some(engine) = self.placements.get(&attempt).copied() else {
             return;
         };
         let urgent = self.record.calls[attempt.call.sequence as usize].tier == Tier(0);
-        if urgent && self.engines[engine].is_fit() {
+        if urgent && self.engines[engine].is_healthy() {
             self.record.urgent_stopped += 1;
         }
-        self.after(self.scenario.hop, Happening::Cancel(engine, attempt));
+        self.schedule_after(
+            self.scenario.hop,
+            SimulationEvent::CancelArrival(engine, attempt),
+        );
     }
 
     fn cancel(&mut self, engine: usize, attempt: AttemptId) {
-        if self.places.get(&attempt) != Some(&engine) {
+        if self.placements.get(&attempt) != Some(&engine) {
             return;
         }
-        let tokens = self.charge(engine, attempt);
+        let tokens = self.remove_run(engine, attempt);
         self.end(attempt, AttemptEnd::Cancelled { tokens });
-        self.rewake(engine);
+        self.schedule_wake(engine);
     }
 
     fn end(&mut self, attempt: AttemptId, end: AttemptEnd) {
-        self.places.remove(&attempt);
-        self.tell(Event::AttemptEnded { attempt, end });
+        self.placements.remove(&attempt);
+        self.handle(Event::AttemptEnded { attempt, end });
     }
 
     fn finish(&mut self, call: CallId, outcome: CallOutcome) {
@@ -383,14 +395,15 @@
             return;
         };
         let late = matches!(reason, RefusalReason::Deadline | RefusalReason::Overloaded);
-        if late && self.record.calls[index].tier == Tier(0) && self.lower_could_give() {
+        if late && self.record.calls[index].tier == Tier(0) && self.lower_tier_above_floor() {
             self.record.urgent_shed += 1;
         }
     }
 
-    /// Whether a lower tier holds more than its floor by a slot on engines that work well.
-    fn lower_could_give(&self) -> bool {
-        let sample = self.look();
+    /// Returns whether a lower tier runs at least one slot more than 1.25 times its floor, rounded
+    /// up. The floor is a share of the slots of healthy engines; runs on every engine count.
+    fn lower_tier_above_floor(&self) -> bool {
+        let sample = self.sample_running();
         let floors = self.scenario.tiers.iter().filter(|tier| tier.tier.0 > 0);
         floors.into_iter().any(|tier| {
             let running = sample.running[usize::from(tier.tier.0.min(2))];
@@ -398,14 +411,14 @@
         })
     }
 
-    fn look(&self) -> LoadSample {
+    fn sample_running(&self) -> LoadSample {
         let mut sample = LoadSample::default();
         let tier_of = |attempt: &AttemptId| {
             let tier = self.record.calls[attempt.call.sequence as usize].tier;
             usize::from(tier.0.min(2))
         };
         for engine in &self.engines {
-            if engine.is_fit() {
+            if engine.is_healthy() {
                 sample.slots += engine.shape().slots;
             }
             for attempt in engine.running() {
@@ -415,8 +428,8 @@
         sample
     }
 
-    fn sample(&mut self) {
-        let mut sample = self.look();
+    fn record_sample(&mut self) {
+        let mut sample = self.sample_running();
         let dump = self.kernel.dump(Some("dispatch"));
         if let Some(tiers) = dump["dispatch"]["pools"][POOL]["tiers"].as_object() {
             for (tier, state) in tiers {
@@ -427,11 +440,11 @@
         }
         self.record.samples.push(sample);
         if self.now < self.scenario.length {
-            self.after(SAMPLE, Happening::Sample);
+            self.schedule_after(SAMPLE, SimulationEvent::Sample);
         }
     }
 
-    fn take_report(&mut self, number: usize) {
+    fn collect_report(&mut self, number: usize) {
         let engine = &self.engines[number];
         let shape = *engine.shape();
         if engine.up {
@@ -442,58 +455,61 @@
                 age: shape.report_lag,
                 leaving: false,
             };
-            self.after(shape.report_lag, Happening::TellReport(number, report));
+            self.schedule_after(
+                shape.report_lag,
+                SimulationEvent::DeliverReport(number, report),
+            );
         } else {
             let upstream = upstream(number);
-            self.tell(Event::UpstreamUnreachable(upstream));
+            self.handle(Event::UpstreamUnreachable(upstream));
         }
-        self.after(shape.report_every, Happening::TakeReport(number));
+        self.schedule_after(shape.report_every, SimulationEvent::CollectReport(number));
     }
 
-    fn fault(&mut self, index: usize, begins: bool) {
+    fn apply_fault(&mut self, index: usize, begins: bool) {
         let fault = self.scenario.faults[index];
         let engine = fault.engine;
         match (fault.kind, begins) {
             (FaultKind::Crash, true) => self.crash(engine),
             (FaultKind::Crash, false) => self.engines[engine].up = true,
-            (FaultKind::Slow, true) => self.engines[engine].set_factor(self.now, fault.factor),
-            (FaultKind::Hang, true) => self.engines[engine].set_factor(self.now, f64::INFINITY),
+            (FaultKind::Slow, true) => self.engines[engine].set_slowdown(self.now, fault.factor),
+            (FaultKind::Hang, true) => self.engines[engine].set_slowdown(self.now, f64::INFINITY),
             (FaultKind::Slow | FaultKind::Hang, false) => {
-                self.engines[engine].set_factor(self.now, 1.0);
+                self.engines[engine].set_slowdown(self.now, 1.0);
             }
         }
-        self.rewake(engine);
-        self.note_capacity();
+        self.schedule_wake(engine);
+        self.record_capacity();
     }
 
     fn crash(&mut self, engine: usize) {
         self.engines[engine].up = false;
         self.engines[engine].clear_cache();
-        for attempt in self.engines[engine].held() {
-            let tokens = self.charge(engine, attempt);
+        for attempt in self.engines[engine].attempts() {
+            let tokens = self.remove_run(engine, attempt);
             self.end(attempt, AttemptEnd::Broken { tokens });
         }
-        let under_way: Vec<AttemptId> = self
-            .places
+        let in_transit: Vec<AttemptId> = self
+            .placements
             .iter()
-            .filter(|(_, place)| **place == engine)
+            .filter(|(_, placed)| **placed == engine)
             .map(|(attempt, _)| *attempt)
             .collect();
-        for attempt in under_way {
+        for attempt in in_transit {
             self.end(attempt, AttemptEnd::Unsent);
         }
     }
 
-    fn note_capacity(&mut self) {
-        let offered = |engine: &FakeEngine| {
+    fn record_capacity(&mut self) {
+        let capacity_of = |engine: &FakeEngine| {
             let slots = f64::from(engine.shape().slots);
             if engine.up {
-                slots / engine.factor()
+                slots / engine.slowdown()
             } else {
                 0.0
             }
         };
-        let capacity = self.engines.iter().map(offered).sum();
+        let capacity = self.engines.iter().map(capacity_of).sum();
         self.record.capacity.push((self.now, capacity));
     }
 }
--- a/cli/src/bench/scenario.rs
+++ b/cli/src/bench/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: traffic, engines and faults of one measurement.
+//! Scenario files: the traffic, engines and faults of one simulation.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -12,30 +12,30 @@
 
 use crate::bench::BenchError;
 
-/// The pool of every scenario.
+/// Name of the one pool in every scenario.
 pub const POOL: &str = "model";
 
-/// One measurement.
+/// The settings of one simulation.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScenarioFile {
-    /// What it shows.
+    /// One-line description, printed above the text report.
     pub about: Box<str>,
-    /// Time in which calls arrive.
+    /// Virtual time in which calls arrive, from the start of the run.
     #[serde(with = "humantime_serde")]
     pub length: Duration,
-    /// One way between the node and an engine.
+    /// One-way network delay between the node and an engine.
     #[serde(default = "default_hop", with = "humantime_serde")]
     pub hop: Duration,
-    /// Tiers with their floors.
+    /// Tiers with their floors: the share of slots that each is guaranteed.
     pub tiers: Vec<TierSpec>,
-    /// Classes.
+    /// Classes of calls.
     pub classes: Vec<ClassShape>,
-    /// Engines.
+    /// Groups of identical engines; at least one engine in all.
     pub engines: Vec<EngineShape>,
-    /// Traffic.
+    /// Streams of calls.
     pub traffic: Vec<TrafficShape>,
-    /// Faults.
+    /// Faults of single engines; none if absent.
     #[serde(default)]
     pub faults: Vec<FaultShape>,
 }
@@ -44,26 +44,26 @@
     Duration::from_millis(1)
 }
 
-/// A class and the sizes of its calls.
+/// A class and the distribution of its calls' lengths.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassShape {
-    /// The name.
+    /// Name of the class, which traffic refers to.
     pub name: Box<str>,
-    /// The tier.
+    /// Tier of the class; 0 is urgent.
     pub tier: Tier,
-    /// Target for the first token.
+    /// Target for the time from arrival to the first token.
     #[serde(with = "humantime_serde")]
     pub target: Duration,
-    /// Target for the mean time between tokens.
+    /// Target for the mean time between tokens; none if absent.
     #[serde(default, with = "humantime_serde")]
     pub token_target: Option<Duration>,
-    /// Whether its calls may run more than once.
+    /// Whether its calls may run more than once; true if absent.
     #[serde(default = "default_repeatable")]
     pub repeatable: bool,
-    /// Prompt length, in tokens.
+    /// Distribution of prompt lengths, in tokens.
     pub prompt: LengthShape,
-    /// Output length, in tokens.
+    /// Distribution of output lengths, in tokens.
     pub output: LengthShape,
 }
 
@@ -71,42 +71,43 @@
     true
 }
 
-/// A log-normal length.
+/// A log-normal distribution of lengths in tokens, cut off at a maximum.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LengthShape {
-    /// Half are shorter.
+    /// Median, in tokens.
     pub median: f64,
-    /// Standard deviation of the logarithm.
+    /// Standard deviation of the natural logarithm; 0, a constant length, if absent.
     #[serde(default)]
     pub spread: f64,
-    /// None is longer.
+    /// Maximum, in tokens; longer draws are cut to it.
     pub most: u32,
 }
 
-/// Engines that are alike.
+/// A group of identical engines.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineShape {
-    /// How many.
+    /// Number of engines in the group.
     pub count: u32,
-    /// Requests that one serves at a time.
+    /// Requests that one engine runs at a time; further ones wait in its queue.
     pub slots: u32,
-    /// Time for one token of each request while it serves one.
+    /// Time for one token while the engine runs a single request.
     #[serde(with = "humantime_serde")]
     pub step: Duration,
-    /// How much longer a step takes with all slots in use, relative to one.
+    /// Relative increase of the step with all slots in use: 0.5 makes it 1.5 times as long. 0 if
+    /// absent.
     #[serde(default)]
     pub batch_slowdown: f64,
-    /// Prompt tokens read a second.
+    /// Prompt tokens processed per second.
     pub prefill_rate: f64,
-    /// Time between two load reports.
+    /// Time between two load reports; 500 ms if absent.
     #[serde(default = "default_report", with = "humantime_serde")]
     pub report_every: Duration,
-    /// Age of a load report when it arrives.
+    /// Age of a load report or cache event when it arrives at the node; 500 ms if absent.
     #[serde(default = "default_report", with = "humantime_serde")]
     pub report_lag: Duration,
-    /// Prefixes that its cache holds.
+    /// Number of prompt prefixes that the cache of one engine holds; 0, no cache, if absent.
     #[serde(default)]
     pub cached_prefixes: usize,
 }
@@ -115,32 +116,34 @@
     Duration::from_millis(500)
 }
 
-/// Calls of one class.
+/// A stream of calls of one class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrafficShape {
-    /// The class.
+    /// Name of the class.
     pub class: Box<str>,
-    /// Share of the engines' capacity that it asks for.
+    /// Offered load, as a share of the capacity of all engines.
     pub load: f64,
-    /// Workspaces that send it, evenly.
+    /// Number of workspaces that send the calls, in equal parts.
     pub workspaces: u32,
-    /// Prefix of the workspaces' names; traffic with the same one is of the same workspaces.
+    /// Prefix of the workspaces' names, `w` if absent; streams with the same prefix share
+    /// workspaces.
     #[serde(default = "default_names")]
     pub names: Box<str>,
-    /// Whether these workspaces are left out of the fairness figure.
+    /// Whether the calls are left out of the fairness index; false if absent.
     #[serde(default)]
     pub flood: bool,
-    /// When it begins.
+    /// Time of the first possible arrival, from the start of the run; 0 if absent.
     #[serde(default, with = "humantime_serde")]
     pub from: Duration,
-    /// When it ends; the end of the scenario when absent.
+    /// Time after which no call arrives; the end of the scenario if absent.
     #[serde(default, with = "humantime_serde")]
     pub until: Option<Duration>,
-    /// Bursts on top.
+    /// Periodic bursts; none if absent.
     #[serde(default)]
     pub burst: Option<BurstShape>,
-    /// Prompt prefixes that a workspace's calls share; none when 0.
+    /// Number of prompt prefixes that the calls of a workspace share; 0, no shared prefix, if
+    /// absent.
     #[serde(default)]
     pub prefixes: u32,
 }
@@ -149,35 +152,35 @@
     "w".into()
 }
 
-/// Bursts that come again and again.
+/// Periodic bursts of a stream of calls.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BurstShape {
-    /// Time from the beginning of one to the next.
+    /// Time from the start of one burst to the start of the next.
     #[serde(with = "humantime_serde")]
     pub every: Duration,
-    /// How long one takes.
+    /// Duration of one burst.
     #[serde(with = "humantime_serde")]
     pub length: Duration,
-    /// Times the usual rate.
+    /// Rate of calls during a burst, relative to the usual rate.
     pub factor: f64,
 }
 
-/// A fault of one engine.
+/// A fault of one engine during a part of the run.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultShape {
-    /// When it begins.
+    /// Start of the fault, from the start of the run.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// When it is over.
+    /// End of the fault; must be after `at`.
     #[serde(with = "humantime_serde")]
     pub until: Duration,
-    /// The engine, counted from 0.
+    /// Index of the engine, counted from 0 over all groups.
     pub engine: usize,
-    /// What happens.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// How many times longer everything takes, for a slow engine.
+    /// Slowdown of a slow engine, 10 if absent; unused for other kinds.
     #[serde(default = "default_factor")]
     pub factor: f64,
 }
@@ -186,20 +189,22 @@
     10.0
 }
 
-/// What happens to an engine.
+/// Kind of an engine's fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// It dies with all that it runs, and comes back empty.
+    /// The engine stops, loses its requests and its cache, and restarts empty at the end of the
+    /// fault.
     Crash,
-    /// Everything takes longer.
+    /// Prefill and decode are slower by a factor.
     Slow,
-    /// It takes requests and does nothing.
+    /// The engine accepts requests but makes no progress.
     Hang,
 }
 
 impl ScenarioFile {
-    /// Reads and checks a scenario.
+    /// Reads and validates a scenario file; fails if it cannot be read or a field has no usable
+    /// value.
     pub fn read(path: &Path) -> Result<Self, BenchError> {
         let file: Box<str> = path.display().to_string().into();
         let text = std::fs::read_to_string(path).map_err(|source| BenchError::File {
@@ -209,7 +214,7 @@
         Self::parse(&file, &text)
     }
 
-    /// Parses and checks the text of the scenario file called `file`.
+    /// Parses and validates the text of a scenario; errors name `file` and the field.
     pub fn parse(file: &str, text: &str) -> Result<Self, BenchError> {
         let deserializer = serde_yaml_ng::Deserializer::from_str(text);
         let scenario: Self =
@@ -252,18 +257,18 @@
         Ok(())
     }
 
-    /// A class by name.
+    /// Returns the class with this name, or `None` if the scenario has none.
     pub fn class(&self, name: &str) -> Option<&ClassShape> {
         self.classes.iter().find(|class| &*class.name == name)
     }
 
-    /// Each engine's shape.
+    /// Returns the shape of every engine, in the order of their indexes.
     pub fn each_engine(&self) -> Vec<EngineShape> {
-        let alike = |shape: &EngineShape| vec![*shape; shape.count as usize];
-        self.engines.iter().flat_map(alike).collect()
+        let repeat = |shape: &EngineShape| vec![*shape; shape.count as usize];
+        self.engines.iter().flat_map(repeat).collect()
     }
 
-    /// The configuration that the kernel gets.
+    /// Builds the configuration that the kernel under test applies.
     pub fn config(&self) -> Arc<Config> {
         let upstreams = self.each_engine();
         let upstreams = upstreams.iter().enumerate().map(|(n, shape)| UpstreamSpec {
@@ -306,38 +311,39 @@
     }
 }
 
-/// The name of an engine.
+/// Returns the upstream name of the engine with this index.
 pub fn engine_name(number: usize) -> String {
     format!("engine-{number:02}")
 }
 
 impl TrafficShape {
-    /// Names of the workspaces that send it.
+    /// Returns the names of the workspaces that send the calls.
     pub fn each_workspace(&self) -> impl Iterator<Item = String> + '_ {
         (0..self.workspaces).map(|n| format!("{}{n:04}", self.names))
     }
 }
 
 impl EngineShape {
-    /// Seconds for a token with all slots in use.
+    /// Returns the seconds per token with all slots in use.
     pub fn full_step(&self) -> f64 {
         self.step.as_secs_f64() * (1.0 + self.batch_slowdown)
     }
 
-    /// Seconds for a token with `running` slots in use.
+    /// Returns the seconds per token with `running` slots in use.
     pub fn step_at(&self, running: usize) -> f64 {
         let others = running.saturating_sub(1) as f64 / f64::from(self.slots.max(2) - 1);
         self.step.as_secs_f64() * (1.0 + self.batch_slowdown * others)
     }
 
-    /// Seconds for which a slot is held by a call while all slots are in use: the measure of work.
+    /// Returns the seconds for which a call occupies a slot while all slots are in use. This is the
+    /// measure of work everywhere in the bench; lengths are in tokens.
     pub fn work(&self, prompt: f64, output: f64) -> f64 {
         prompt / self.prefill_rate + output * self.full_step()
     }
 }
 
 impl LengthShape {
-    /// The mean, the longest left aside.
+    /// Returns the mean of the uncut distribution, at most the maximum, in tokens.
     pub fn mean(&self) -> f64 {
         (self.median * (self.spread * self.spread / 2.0).exp()).min(f64::from(self.most))
     }
--- a/cli/src/bench/traffic.rs
+++ b/cli/src/bench/traffic.rs
@@ -1,4 +1,4 @@
-//! The calls of a scenario, drawn from its seed.
+//! Generates the calls of a scenario from a seed.
 
 use std::time::Duration;
 
@@ -9,52 +9,53 @@
 
 use crate::bench::scenario::{LengthShape, ScenarioFile, TrafficShape};
 
-/// A call that will arrive.
+/// A call that arrives during the run.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedCall {
-    /// When.
+    /// Time of arrival, from the start of the run.
     pub at: Duration,
-    /// Index of its class.
+    /// Index of its class in the scenario.
     pub class: usize,
-    /// The class's tier.
+    /// Tier of its class.
     pub tier: Tier,
-    /// The workspace.
+    /// Workspace that sends it.
     pub workspace: WorkspaceId,
-    /// Whether the workspace is left out of the fairness figure.
+    /// Whether the call is left out of the fairness index.
     pub flood: bool,
-    /// Prompt length.
+    /// Prompt length, in tokens.
     pub prompt: u32,
-    /// Output length, which only the engine knows.
+    /// Output length, in tokens; only the engine uses it, the node does not receive it.
     pub output: u32,
-    /// Prefix hash; 0 for none.
+    /// Hash of the prompt prefix; 0 if it shares none.
     pub prefix: u64,
 }
 
-fn normal(random: &mut Pcg64Mcg) -> f64 {
-    // Box and Muller, 1958.
+fn draw_normal(random: &mut Pcg64Mcg) -> f64 {
+    // Box-Muller transform.
     let radius = (-2.0 * (1.0 - random.random::<f64>()).ln()).sqrt();
     radius * (std::f64::consts::TAU * random.random::<f64>()).cos()
 }
 
-fn length(shape: LengthShape, random: &mut Pcg64Mcg) -> u32 {
-    let drawn = shape.median * (shape.spread * normal(random)).exp();
+fn draw_length(shape: LengthShape, random: &mut Pcg64Mcg) -> u32 {
+    let drawn = shape.median * (shape.spread * draw_normal(random)).exp();
     (drawn.round() as u32).clamp(1, shape.most)
 }
 
-fn rate_at(traffic: &TrafficShape, base: f64, at: Duration) -> f64 {
+fn rate_at(traffic: &TrafficShape, base_rate: f64, at: Duration) -> f64 {
     let Some(burst) = traffic.burst else {
-        return base;
+        return base_rate;
     };
     let phase = at.saturating_sub(traffic.from).as_secs_f64() % burst.every.as_secs_f64();
     if phase < burst.length.as_secs_f64() {
-        base * burst.factor
+        base_rate * burst.factor
     } else {
-        base
+        base_rate
     }
 }
 
-/// Calls of one line of traffic: a Poisson process whose rate follows the bursts.
-fn line(scenario: &ScenarioFile, index: usize, seed: u64) -> Vec<PlannedCall> {
+/// Generates the calls of one stream: a Poisson process whose rate follows the bursts. Candidates
+/// are drawn at the maximum rate and thinned to the current one.
+fn stream(scenario: &ScenarioFile, index: usize, seed: u64) -> Vec<PlannedCall> {
     let traffic = &scenario.traffic[index];
     let mut random = Pcg64Mcg::seed_from_u64(seed ^ ((index as u64 + 1) << 32));
     let Some(class) = scenario
@@ -68,9 +69,9 @@
     let engines = scenario.each_engine();
     let slots: f64 = engines.iter().map(|engine| f64::from(engine.slots)).sum();
     let work = engines[0].work(shape.prompt.mean(), shape.output.mean());
-    let base = traffic.load * slots / work;
-    let most = traffic.burst.map_or(1.0, |burst| burst.factor.max(1.0)) * base;
-    let names: Vec<WorkspaceId> = traffic
+    let base_rate = traffic.load * slots / work;
+    let max_rate = traffic.burst.map_or(1.0, |burst| burst.factor.max(1.0)) * base_rate;
+    let workspaces: Vec<WorkspaceId> = traffic
         .each_workspace()
         .map(|name| WorkspaceId::named(&name))
         .collect();
@@ -81,15 +82,15 @@
     let mut at = traffic.from;
     let mut calls = Vec::new();
     loop {
-        let gap = -(1.0 - random.random::<f64>()).ln() / most;
+        let gap = -(1.0 - random.random::<f64>()).ln() / max_rate;
         at += Duration::from_secs_f64(gap);
         if at >= end {
             return calls;
         }
-        if random.random::<f64>() * most > rate_at(traffic, base, at) {
+        if random.random::<f64>() * max_rate > rate_at(traffic, base_rate, at) {
             continue;
         }
-        let workspace = names[random.random_range(0..names.len())];
+        let workspace = workspaces[random.random_range(0..workspaces.len())];
         let prefix = if traffic.prefixes == 0 {
             0
         } else {
@@ -101,17 +102,17 @@
             tier: shape.tier,
             workspace,
             flood: traffic.flood,
-            prompt: length(shape.prompt, &mut random),
-            output: length(shape.output, &mut random),
+            prompt: draw_length(shape.prompt, &mut random),
+            output: draw_length(shape.output, &mut random),
             prefix,
         });
     }
 }
 
-/// All calls in order of arrival.
+/// Generates all calls of the scenario in order of arrival.
 pub fn plan(scenario: &ScenarioFile, seed: u64) -> Vec<PlannedCall> {
-    let lines = (0..scenario.traffic.len()).flat_map(|index| line(scenario, index, seed));
-    let mut calls: Vec<PlannedCall> = lines.collect();
+    let streams = (0..scenario.traffic.len()).flat_map(|index| stream(scenario, index, seed));
+    let mut calls: Vec<PlannedCall> = streams.collect();
     calls.sort_by_key(|call| call.at);
     calls
 }
