--- a/cli/src/slopes.rs
+++ b/cli/src/slopes.rs
@@ -1,5 +1,5 @@
-//! `monsoon bench slopes`: how a node's control traffic, processor time and memory grow with the
-//! fleet, measured with the kernel itself.
+//! `monsoon bench slopes`: growth of a node's control traffic, processor time and memory with the
+//! size of the fleet, measured on kernels within one process.
 
 use std::fs;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 mod failures;
 pub mod fit;
 mod fleet;
+mod idle;
 mod messages;
 pub mod meter;
 mod owners;
-mod quiet;
 mod report;
 mod state;
 
@@ -25,29 +25,33 @@
 
 const PARTS: [&str; 4] = ["fleets", "state", "owners", "failures"];
 
-/// The command.
+/// Builds the command-line interface of `monsoon bench slopes`.
 pub fn command() -> Command {
     Command::new("slopes")
         .about("Measure how control traffic, processor time and memory grow with the fleet")
         .long_about(
             "Measure how control traffic, processor time and memory grow with the fleet. Kernels \
-             hand each other messages in this process; bytes are those of the encoded messages \
+             exchange messages in this process; bytes are those of the encoded messages \
              with IPv4, TCP and WebSocket headers and one TCP acknowledgement each.",
         )
         .arg(sizes())
         .arg(count(
             "seconds",
             "60",
-            "Time measured for each size, after a warm-up",
+            "Simulated seconds for each size, after a warm-up",
+        ))
+        .arg(count("kills", "20", "Number of nodes killed for each size"))
+        .arg(count(
+            "cut-minutes",
+            "60",
+            "Duration of the partition of a region, in minutes",
         ))
-        .arg(count("kills", "20", "Nodes killed for each size"))
-        .arg(count("cut-minutes", "60", "How long a region is cut off"))
         .arg(parts())
         .arg(
             Arg::new("from")
                 .long("from")
                 .value_name("FILE")
-                .help("Show the results in this file and measure nothing"),
+                .help("Show the results in this file instead of measuring"),
         )
         .arg(
             Arg::new("format")
@@ -83,7 +87,8 @@
         .value_parser(value_parser!(u64).range(1..=3600))
 }
 
-/// Runs the command.
+/// Makes the selected measurements, or reads them from a file, and prints them. Fails if that file
+/// cannot be read or parsed.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, CliError> {
     let report = match matches.get_one::<String>("from") {
         Some(file) => read(file)?,
@@ -129,9 +134,7 @@
     if wanted("fleets") {
         let time = Duration::from_secs(number("seconds"));
         let kills = number("kills") as usize;
-        let samples = sizes
-            .iter()
-            .map(|nodes| quiet::measure(*nodes, time, kills));
+        let samples = sizes.iter().map(|nodes| idle::measure(*nodes, time, kills));
         report.fleets = samples.collect();
         report.fit();
         report.messages = messages::measure();
--- a/cli/src/slopes/fit.rs
+++ b/cli/src/slopes/fit.rs
@@ -1,8 +1,8 @@
-//! How a figure grows with size: least squares for three shapes of growth.
+//! Least-squares fits of three growth models to figures by fleet size.
 
 use serde::{Deserialize, Serialize};
 
-/// A shape of growth.
+/// A growth model; `n` is the size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GrowthShape {
@@ -29,24 +29,24 @@
     }
 }
 
-/// The fit of one shape.
+/// The least-squares fit of one growth model to one quantity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GrowthFit {
-    /// What grows.
+    /// Name of the quantity.
     pub quantity: Box<str>,
-    /// The shape.
+    /// Growth model.
     pub shape: GrowthShape,
-    /// Value at the origin of the shape.
+    /// The constant term `a`, in the unit of the quantity.
     pub intercept: f64,
-    /// Factor of the shape.
+    /// The coefficient `b`.
     pub slope: f64,
-    /// Root mean square of what the fit leaves, in the unit of the quantity.
+    /// Root mean square of the residuals, in the unit of the quantity.
     pub residual: f64,
-    /// Smallest and largest size measured.
+    /// Smallest and largest measured size; 0 and 0 without points.
     pub range: [usize; 2],
 }
 
-/// Fits each shape to points of size and value; the best first.
+/// Fits each model to points of size and value; the fit with the smallest residual comes first.
 pub fn fits(quantity: &str, points: &[(usize, f64)]) -> Vec<GrowthFit> {
     let mut found: Vec<GrowthFit> = GrowthShape::ALL
         .into_iter()
@@ -61,17 +61,21 @@
     let basis = |size: usize| shape.basis(size as f64);
     let mean_x = points.iter().map(|(n, _)| basis(*n)).sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-    let spread: f64 = points
+    let variance: f64 = points
         .iter()
         .map(|(n, _)| (basis(*n) - mean_x).powi(2))
         .sum();
-    let common: f64 = points
+    let covariance: f64 = points
         .iter()
         .map(|(n, y)| (basis(*n) - mean_x) * (y - mean_y))
         .sum();
-    let slope = if spread > 0.0 { common / spread } else { 0.0 };
+    let slope = if variance > 0.0 {
+        covariance / variance
+    } else {
+        0.0
+    };
     let intercept = mean_y - slope * mean_x;
-    let left: f64 = points
+    let squares: f64 = points
         .iter()
         .map(|(n, y)| (y - intercept - slope * basis(*n)).powi(2))
         .sum();
@@ -81,7 +85,7 @@
         shape,
         intercept,
         slope,
-        residual: (left / count).sqrt(),
+        residual: (squares / count).sqrt(),
         range: [sizes.clone().min().unwrap_or(0), sizes.max().unwrap_or(0)],
     }
 }
--- a/cli/src/slopes/fleet.rs
+++ b/cli/src/slopes/fleet.rs
@@ -1,5 +1,5 @@
-//! Kernels that hand each other messages in one process. It counts the kernel's own messages and
-//! work; there is no network and no latency in it.
+//! A fleet of kernels that exchange encoded messages within one process. Only the kernels' own
+//! messages and work are counted; there is no network and no latency.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -13,58 +13,58 @@
 use monsoonbank_kernel::plugin::NodeProfile;
 use monsoonbank_kernel::wire::Message;
 
-/// Bytes that the daemon's frame adds to a message.
+/// Bytes that the daemon's framing adds to a message.
 const FRAME_BYTES: usize = 3;
 
-/// Messages and bytes of one node, headers included.
+/// Messages and bytes of one node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NodeTraffic {
-    /// Messages sent and received.
+    /// Number of messages sent and received.
     pub messages: u64,
-    /// Bytes sent and received; each message pays its headers and a TCP acknowledgement of its own.
+    /// Bytes sent and received; each message counts with its headers and one TCP acknowledgement.
     pub bytes: u64,
-    /// Of these, bytes of membership.
+    /// The part of `bytes` that belongs to membership messages.
     pub membership_bytes: u64,
 }
 
-struct Envelope {
+struct QueuedMessage {
     from: usize,
     to: usize,
     bytes: Vec<u8>,
 }
 
-/// What is watched for.
+/// A node and the state of it whose first detection by each other node is recorded.
 #[derive(Clone, Copy, Debug)]
-pub struct Watch {
-    /// The node whose state is watched.
+pub struct StateWatch {
+    /// Index of the observed node.
     pub node: usize,
-    /// The state.
+    /// State to detect.
     pub state: NodeState,
 }
 
-/// The fleet.
+/// A fleet of kernels on virtual time; nodes are referred to by index.
 pub struct KernelFleet {
-    /// Virtual time.
+    /// Current virtual time.
     pub now: Duration,
     /// Time between two ticks.
     pub step: Duration,
-    /// What each node sent and received since it was last cleared.
+    /// Traffic of each node since the last [`Self::clear_traffic`].
     pub traffic: Vec<NodeTraffic>,
-    /// First sightings of what is watched for.
-    pub sightings: BTreeMap<usize, Duration>,
-    watch: Option<Watch>,
+    /// Time at which each node first detected the watched state; nodes that have not are absent.
+    pub detections: BTreeMap<usize, Duration>,
+    watch: Option<StateWatch>,
     kernels: Vec<Option<Kernel>>,
     views: Vec<Option<Arc<MemberView>>>,
     names: Vec<(Box<str>, Box<str>)>,
     index: BTreeMap<NodeId, usize>,
     hosts: Vec<HostEntry>,
-    queue: VecDeque<Envelope>,
-    /// Zones that cannot talk to the others.
-    cut: BTreeSet<Box<str>>,
+    queue: VecDeque<QueuedMessage>,
+    /// Zones partitioned from all zones outside this set.
+    partitioned_zones: BTreeSet<Box<str>>,
 }
 
-/// Zones of a fleet of `nodes`: three or four while it is small, then 43 nodes a zone as in the
-/// letter's fleet.
+/// Returns the number of zones for a fleet of `nodes`: three or four for a small fleet, then one
+/// for every 43 nodes, as in the reference fleet of 980 nodes in 23 zones.
 pub fn zones_of(nodes: usize) -> usize {
     match nodes {
         0..=9 => 3,
@@ -74,7 +74,7 @@
 }
 
 impl KernelFleet {
-    /// Starts `nodes` nodes in `zones` zones, one after another within a second.
+    /// Starts `nodes` nodes, spread evenly over `zones` zones, at the same virtual time.
     pub fn start(nodes: usize, zones: usize, step: Duration) -> Self {
         let names: Vec<(Box<str>, Box<str>)> = (0..nodes)
             .map(|n| {
@@ -90,7 +90,7 @@
             now: Duration::from_secs(1),
             step,
             traffic: vec![NodeTraffic::default(); nodes],
-            sightings: BTreeMap::new(),
+            detections: BTreeMap::new(),
             watch: None,
             kernels: (0..nodes).map(|_| None).collect(),
             views: vec![None; nodes],
@@ -100,7 +100,7 @@
             names,
             hosts,
             queue: VecDeque::new(),
-            cut: BTreeSet::new(),
+            partitioned_zones: BTreeSet::new(),
         };
         for node in 0..nodes {
             fleet.restart(node, 1_000);
@@ -108,7 +108,7 @@
         fleet
     }
 
-    /// Nodes of the same zone as `node`, without it.
+    /// Returns the other nodes in the zone of `node`.
     pub fn neighbours(&self, node: usize) -> Vec<usize> {
         let zone = &self.names[node].1;
         (0..self.names.len())
@@ -116,7 +116,7 @@
             .collect()
     }
 
-    /// Nodes of a zone.
+    /// Returns the nodes of a zone.
     pub fn zone(&self, zone: usize) -> Vec<usize> {
         let name = format!("zone-{zone}");
         (0..self.names.len())
@@ -124,18 +124,18 @@
             .collect()
     }
 
-    /// Whether the node runs.
-    pub fn runs(&self, node: usize) -> bool {
+    /// Returns whether the node is running.
+    pub fn is_running(&self, node: usize) -> bool {
         self.kernels[node].is_some()
     }
 
-    /// Ends a node's run without a word.
+    /// Kills a node without a shutdown: it sends no message.
     pub fn kill(&mut self, node: usize) {
         self.kernels[node] = None;
         self.views[node] = None;
     }
 
-    /// Starts a run of a node.
+    /// Starts a node with a new kernel, under this incarnation.
     pub fn restart(&mut self, node: usize, incarnation: u64) {
         let (name, zone) = &self.names[node];
         let profile = NodeProfile {
@@ -148,53 +148,54 @@
             secret: [0; 32],
         };
         self.kernels[node] = Some(Kernel::new(profile));
-        self.give(node, Event::HostList(self.hosts.clone()));
+        self.deliver(node, Event::HostList(self.hosts.clone()));
     }
 
-    /// Cuts zones off from all others.
-    pub fn cut(&mut self, zones: impl Iterator<Item = usize>) {
-        self.cut = zones.map(|zone| format!("zone-{zone}").into()).collect();
+    /// Partitions these zones from all others; an empty list ends the partition.
+    pub fn partition(&mut self, zones: impl Iterator<Item = usize>) {
+        self.partitioned_zones = zones.map(|zone| format!("zone-{zone}").into()).collect();
     }
 
-    /// Begins to note which node sees this state.
+    /// Starts to record when each node detects this state of `node`.
     pub fn watch(&mut self, node: usize, state: NodeState) {
-        self.watch = Some(Watch { node, state });
-        self.sightings.clear();
+        self.watch = Some(StateWatch { node, state });
+        self.detections.clear();
     }
 
-    /// Begins to count traffic anew.
+    /// Resets the traffic counters of all nodes.
     pub fn clear_traffic(&mut self) {
         self.traffic.fill(NodeTraffic::default());
     }
 
-    /// Whether every running node sees every node in the expected state (of seer and node).
+    /// Returns whether the view of every running node matches `expected`, a function of the
+    /// observing and the observed node.
     pub fn agrees(&self, expected: &impl Fn(&Self, usize, usize) -> NodeState) -> bool {
-        let runs = |node: &usize| self.runs(*node);
-        (0..self.kernels.len()).filter(runs).all(|seer| {
-            let Some(view) = &self.views[seer] else {
+        let is_running = |node: &usize| self.is_running(*node);
+        (0..self.kernels.len()).filter(is_running).all(|observer| {
+            let Some(view) = &self.views[observer] else {
                 return false;
             };
-            let sees = |(id, node): (&NodeId, &usize)| {
+            let matches = |(id, node): (&NodeId, &usize)| {
                 let state = view.members.get(id).map(|member| member.state);
-                state == Some(expected(self, seer, *node))
+                state == Some(expected(self, observer, *node))
             };
-            self.index.iter().all(sees)
+            self.index.iter().all(matches)
         })
     }
 
-    fn sight(&mut self, seer: usize, view: &MemberView) {
+    fn record_detection(&mut self, observer: usize, view: &MemberView) {
         let Some(watch) = self.watch else {
             return;
         };
         let id = NodeId::named(&self.names[watch.node].0);
         let member = view.members.get(&id);
         if member.is_some_and(|member| member.state == watch.state) {
-            self.sightings.entry(seer).or_insert(self.now);
+            self.detections.entry(observer).or_insert(self.now);
         }
     }
 
-    /// Gives a node an event.
-    pub fn give(&mut self, node: usize, event: Event) {
+    /// Delivers an event to a node; a node that is not running drops it.
+    pub fn deliver(&mut self, node: usize, event: Event) {
         let Some(kernel) = &mut self.kernels[node] else {
             return;
         };
@@ -204,7 +205,7 @@
             match action {
                 Action::Send { to, message } => self.send(node, to, &message),
                 Action::UseMembers(view) => {
-                    self.sight(node, &view);
+                    self.record_detection(node, &view);
                     self.views[node] = Some(view);
                 }
                 _ => {}
@@ -222,42 +223,43 @@
         }
         let cost = (bytes.len() + FRAME_BYTES + HEADER_BYTES + ACK_BYTES) as u64;
         let membership = matches!(message, Message::Membership(_));
-        self.count(from, cost, membership);
+        self.count_message(from, cost, membership);
         let zones = (&self.names[from].1, &self.names[to].1);
-        let parted = self.cut.contains(zones.0) != self.cut.contains(zones.1);
-        if !parted && self.kernels[to].is_some() {
-            self.count(to, cost, membership);
-            self.queue.push_back(Envelope { from, to, bytes });
+        let partitioned =
+            self.partitioned_zones.contains(zones.0) != self.partitioned_zones.contains(zones.1);
+        if !partitioned && self.kernels[to].is_some() {
+            self.count_message(to, cost, membership);
+            self.queue.push_back(QueuedMessage { from, to, bytes });
         }
     }
 
-    fn count(&mut self, node: usize, cost: u64, membership: bool) {
+    fn count_message(&mut self, node: usize, cost: u64, membership: bool) {
         let traffic = &mut self.traffic[node];
         traffic.messages += 1;
         traffic.bytes += cost;
         traffic.membership_bytes += cost * u64::from(membership);
     }
 
-    fn settle(&mut self) {
-        while let Some(Envelope { from, to, bytes }) = self.queue.pop_front() {
+    fn deliver_messages(&mut self) {
+        while let Some(QueuedMessage { from, to, bytes }) = self.queue.pop_front() {
             let Ok(message) = ciborium::from_reader(&*bytes) else {
                 continue;
             };
             let from = NodeId::named(&self.names[from].0);
-            self.give(to, Event::PeerMessage { from, message });
+            self.deliver(to, Event::PeerMessage { from, message });
         }
     }
 
-    /// One tick of every node.
+    /// Advances time by one step: ticks every node, then delivers messages until none is queued.
     pub fn tick(&mut self) {
         self.now += self.step;
         for node in 0..self.kernels.len() {
-            self.give(node, Event::Tick);
+            self.deliver(node, Event::Tick);
         }
-        self.settle();
+        self.deliver_messages();
     }
 
-    /// Lets time pass.
+    /// Ticks the fleet until `time` has passed.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
--- a/cli/src/slopes/quiet.rs
+++ b/cli/src/slopes/idle.rs
@@ -1,5 +1,5 @@
-//! A quiet fleet of several sizes: bytes, processor time and memory of a node; and how soon a
-//! killed node is noticed.
+//! An idle fleet of one size: traffic, processor time and memory of a node, and how fast the others
+//! detect a killed node.
 
 use std::time::Duration;
 
@@ -12,41 +12,43 @@
 const WARM_UP: Duration = Duration::from_secs(30);
 const STEP: Duration = Duration::from_millis(20);
 
-/// One size of fleet.
+/// The figures of one fleet size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetSample {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// Bytes a second that a node sends and receives, headers included: mean over nodes.
+    /// Bytes per second that a node sends and receives, with headers: mean over nodes.
     pub bytes_per_second: f64,
-    /// The same of the busiest node.
+    /// Bytes per second of the node with the most traffic.
     pub busiest_bytes_per_second: f64,
-    /// Of the mean, bytes of membership.
+    /// The part of the mean that belongs to membership messages.
     pub membership_bytes_per_second: f64,
-    /// Messages a second that a node sends and receives: mean over nodes.
+    /// Messages per second that a node sends and receives: mean over nodes.
     pub messages_per_second: f64,
-    /// Processor time of a node a second, in microseconds; encoding and this program's own share
-    /// included, sockets not.
+    /// Processor time of a node per second, in microseconds. Includes encoding and the simulation's
+    /// own overhead, excludes sockets.
     pub processor_microseconds: f64,
     /// Memory of a node, in bytes.
     pub memory_bytes: f64,
-    /// Killed nodes that the next figures are of.
+    /// Number of nodes killed for the detection times below.
     pub kills: usize,
-    /// Time until a node of the same zone saw it dead: median, in milliseconds.
+    /// Time from a kill until a node of the same zone marks the node dead: median over pairs of
+    /// nodes, in milliseconds.
     pub zone_noticed_p50_ms: f64,
-    /// The same: 99 in 100.
+    /// 99th percentile of the detection time within the zone, in milliseconds.
     pub zone_noticed_p99_ms: f64,
-    /// Time until any node of the fleet saw it dead: 99 in 100, in milliseconds.
+    /// Time from a kill until a node of the fleet marks the node dead: 99th percentile over pairs
+    /// of nodes, in milliseconds.
     pub fleet_noticed_p99_ms: f64,
-    /// The same: the last.
+    /// Longest detection time in the fleet, in milliseconds.
     pub fleet_noticed_max_ms: f64,
-    /// Pairs of a node and a killed node that it did not see dead within 8 s.
+    /// Number of pairs of a node and a killed node that it did not mark dead within 8 s.
     pub unseen: usize,
 }
 
-/// Measures one size.
+/// Runs a fleet of `nodes` nodes idle for `time`, then kills `kills` nodes one after another.
 pub fn measure(nodes: usize, time: Duration, kills: usize) -> FleetSample {
     let before = meter::resident_bytes();
     let zones = zones_of(nodes);
@@ -58,19 +60,19 @@
     fleet.run(time);
     let spent = meter::processor_time().saturating_sub(started);
     let seconds = time.as_secs_f64();
-    let each = nodes as f64 * seconds;
-    let total = |of: fn(&crate::slopes::fleet::NodeTraffic) -> u64| {
-        fleet.traffic.iter().map(of).sum::<u64>() as f64 / each
+    let node_seconds = nodes as f64 * seconds;
+    let mean_rate = |counter: fn(&crate::slopes::fleet::NodeTraffic) -> u64| {
+        fleet.traffic.iter().map(counter).sum::<u64>() as f64 / node_seconds
     };
     let busiest = fleet.traffic.iter().map(|traffic| traffic.bytes).max();
     let mut sample = FleetSample {
         nodes,
         zones,
-        bytes_per_second: total(|traffic| traffic.bytes),
+        bytes_per_second: mean_rate(|traffic| traffic.bytes),
         busiest_bytes_per_second: busiest.unwrap_or(0) as f64 / seconds,
-        membership_bytes_per_second: total(|traffic| traffic.membership_bytes),
-        messages_per_second: total(|traffic| traffic.messages),
-        processor_microseconds: spent.as_secs_f64() * 1e6 / each,
+        membership_bytes_per_second: mean_rate(|traffic| traffic.membership_bytes),
+        messages_per_second: mean_rate(|traffic| traffic.messages),
+        processor_microseconds: spent.as_secs_f64() * 1e6 / node_seconds,
         memory_bytes: memory as f64 / nodes as f64,
         kills,
         zone_noticed_p50_ms: 0.0,
@@ -79,13 +81,14 @@
         fleet_noticed_max_ms: 0.0,
         unseen: 0,
     };
-    notice(&mut fleet, &mut sample);
-    // Kept for good: memory that this fleet gave back would hide what the next one takes.
+    measure_detection(&mut fleet, &mut sample);
+    // Never freed: memory that this fleet returned to the allocator would hide what the next one
+    // uses.
     std::mem::forget(fleet);
     sample
 }
 
-fn notice(fleet: &mut KernelFleet, sample: &mut FleetSample) {
+fn measure_detection(fleet: &mut KernelFleet, sample: &mut FleetSample) {
     let (mut zone_times, mut fleet_times) = (Vec::new(), Vec::new());
     for round in 0..sample.kills {
         let victim = (round * 7) % sample.nodes;
@@ -95,21 +98,21 @@
         let killed = fleet.now;
         fleet.run(Duration::from_secs(8));
         for node in 0..sample.nodes {
-            if !fleet.runs(node) {
+            if !fleet.is_running(node) {
                 continue;
             }
-            let Some(seen) = fleet.sightings.get(&node) else {
+            let Some(detected) = fleet.detections.get(&node) else {
                 sample.unseen += 1;
                 continue;
             };
-            let time = seen.saturating_sub(killed).as_secs_f64() * 1e3;
+            let time = detected.saturating_sub(killed).as_secs_f64() * 1e3;
             fleet_times.push(time);
             if neighbours.contains(&node) {
                 zone_times.push(time);
             }
         }
         fleet.restart(victim, 2_000 + round as u64);
-        // The rounds begin at different places of the nodes' periods.
+        // Spreads the kills over different phases of the nodes' periodic work.
         fleet.run(Duration::from_millis(6_000 + (round as u64 * 137) % 800));
     }
     sample.zone_noticed_p50_ms = quantile(&mut zone_times, 0.5);
@@ -118,7 +121,7 @@
     sample.fleet_noticed_max_ms = quantile(&mut fleet_times, 1.0);
 }
 
-/// The value that this share of the values does not exceed.
+/// Returns the quantile `share` of the values, by nearest rank; 0 without values.
 pub fn quantile(values: &mut [f64], share: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let index = (values.len() as f64 * share).ceil() as usize;
--- a/cli/src/slopes/messages.rs
+++ b/cli/src/slopes/messages.rs
@@ -1,4 +1,4 @@
-//! Sizes of the messages of membership, encoded, without headers.
+//! Encoded sizes of the membership messages, without headers.
 
 use monsoonbank_kernel::ids::{Incarnation, NodeId, UpstreamId};
 use monsoonbank_kernel::membership::MembershipMessage;
@@ -7,24 +7,24 @@
 use monsoonbank_kernel::wire::Message;
 use serde::{Deserialize, Serialize};
 
-/// Zones whose tags a message of the letter's fleet carries.
+/// Number of zones in the reference fleet; a message can carry a tag for each.
 const ZONES: u32 = 23;
 
-/// One kind of message.
+/// The size of one kind of message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MessageSample {
-    /// The message.
+    /// Description of the message.
     pub message: Box<str>,
-    /// Its size, in bytes.
+    /// Encoded size, in bytes.
     pub bytes: usize,
 }
 
-/// Measures every kind.
+/// Encodes one message of each kind.
 pub fn measure() -> Vec<MessageSample> {
     let node = NodeId::named("node-1");
     let record = NodeRecord::started(Incarnation(1_764_700_000_000));
-    let news = NodeUpdate::new(node, &record);
-    let batch = |count| UpdateBatch(vec![news; count], Vec::new(), Vec::new());
+    let update = NodeUpdate::new(node, &record);
+    let batch = |count| UpdateBatch(vec![update; count], Vec::new(), Vec::new());
     let upstream = UpstreamUpdate(UpstreamId::named("engine-1"), 1, 1);
     let pairs: Vec<u32> = (0..ZONES)
         .flat_map(|tag| [u32::MAX - tag, 100_000])
--- a/cli/src/slopes/meter.rs
+++ b/cli/src/slopes/meter.rs
@@ -1,11 +1,12 @@
-//! What the operating system counts for this process. Linux only; elsewhere the figures are 0.
+//! Processor time and memory of this process, as the operating system reports them. Linux only;
+//! elsewhere the figures are 0.
 
 use std::fs;
 use std::time::Duration;
 
 const PAGE_BYTES: u64 = 4096;
 
-/// Processor time of this thread so far.
+/// Returns the processor time that this thread has used.
 pub fn processor_time() -> Duration {
     let text = fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanos = text
@@ -15,7 +16,7 @@
     Duration::from_nanos(nanos.unwrap_or(0))
 }
 
-/// Memory of this process that is resident now, in bytes.
+/// Returns the resident memory of this process, in bytes.
 pub fn resident_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: Option<u64> = text
@@ -25,11 +26,12 @@
     pages.unwrap_or(0) * PAGE_BYTES
 }
 
-/// Processor time of the whole process so far, at the resolution of the system's clock ticks.
+/// Returns the processor time that the whole process has used, at the resolution of the system's
+/// clock ticks.
 pub fn process_time() -> Duration {
     const TICK_MILLIS: u64 = 10;
     let text = fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    // The name, in parentheses, may hold spaces.
+    // The process name, in parentheses, may contain spaces.
     let rest = text.rsplit(") ").next().unwrap_or_default();
     let field = |index| {
         let word = rest.split_whitespace().nth(index);
--- a/cli/src/slopes/owners.rs
+++ b/cli/src/slopes/owners.rs
@@ -1,4 +1,5 @@
-//! Ownership: how evenly upstreams spread, how many move when a node goes, and what that costs.
+//! Ownership of upstreams: how evenly nodes share them, how many change owner when a node leaves,
+//! and the processor time of a change.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,33 +17,33 @@
 const TRIALS: usize = 200;
 const SLOTS: u32 = 50;
 
-/// How one bound does at one size.
+/// Balance of ownership in one zone under one load bound.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BalanceSample {
-    /// Nodes in the zone.
+    /// Number of nodes in the zone.
     pub nodes: usize,
-    /// Upstreams in the zone.
+    /// Number of upstreams in the zone.
     pub upstreams: usize,
-    /// The bound, as a multiple of the mean load; none for plain rendezvous hashing.
+    /// Load bound, as a multiple of the mean load; `None` for plain rendezvous hashing.
     pub bound: Option<f64>,
-    /// Load of the busiest node over the mean: mean of the trials.
+    /// Load of the most loaded node divided by the mean load: mean over the trials.
     pub busiest_over_mean: f64,
-    /// The same of the worst trial.
+    /// The highest such ratio of any trial.
     pub worst_over_mean: f64,
-    /// Upstreams that change owner when a node goes, over those that it owned.
+    /// Upstreams that change owner when a node leaves, divided by those that it owned.
     pub moved_over_least: f64,
 }
 
-/// What a change of membership costs one node.
+/// Cost of a membership change for one node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeSample {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Upstreams.
+    /// Number of upstreams.
     pub upstreams: usize,
-    /// Processor time of all plug-ins for one node that goes or comes, in microseconds.
+    /// Time that all plug-ins take to process one node that leaves or joins, in microseconds.
     pub microseconds: f64,
-    /// Upstreams that changed owner, mean.
+    /// Mean number of upstreams that change owner when a node leaves.
     pub moved: f64,
 }
 
@@ -50,7 +51,7 @@
     (UpstreamId::named(&format!("engine-{trial}-{index}")), SLOTS)
 }
 
-/// Measures how bounds do in zones of several sizes.
+/// Measures the balance for several zone sizes and load bounds.
 pub fn balance() -> Vec<BalanceSample> {
     let zones = [(2, 4), (2, 5), (3, 4), (3, 6), (9, 18), (43, 435)];
     let bounds = [None, Some(1.0), Some(1.1), Some(LOAD_BOUND), Some(1.5)];
@@ -93,12 +94,12 @@
     }
 }
 
-/// A configuration of engines spread over zones.
+/// Builds a configuration of `upstreams` engines spread over `zones` zones.
 pub fn config(upstreams: usize, zones: usize) -> Config {
     Config::from_file(1, &file(upstreams, zones))
 }
 
-/// The same as operators write it.
+/// Builds the configuration file of `upstreams` engines spread over `zones` zones.
 pub fn file(upstreams: usize, zones: usize) -> ConfigFile {
     ConfigFile {
         pools: vec![PoolSpec {
@@ -122,7 +123,7 @@
     }
 }
 
-/// A view of nodes spread over zones.
+/// Builds a view in which `nodes` nodes, spread over `zones` zones, are live.
 pub fn view(nodes: usize, zones: usize) -> MemberView {
     let members = (0..nodes).map(|n| {
         let (name, zone) = (format!("node-{n}"), format!("zone-{}", n % zones));
@@ -142,12 +143,12 @@
     }
 }
 
-/// Measures what one node pays for each change of membership.
+/// Measures the cost for one node of other nodes leaving and joining.
 pub fn change(nodes: usize, zones: usize, upstreams: usize) -> ChangeSample {
     let mut kernel = kernel("node-0");
     let mut actions = Vec::new();
     let now = std::time::Duration::from_secs(1);
-    let whole = view(nodes, zones);
+    let full = view(nodes, zones);
     kernel.handle(
         now,
         Event::ConfigApplied(Arc::new(config(upstreams, zones))),
@@ -155,20 +156,20 @@
     );
     kernel.handle(
         now,
-        Event::MembersChanged(Arc::new(whole.clone())),
+        Event::MembersChanged(Arc::new(full.clone())),
         &mut actions,
     );
     let rounds = nodes.min(100);
     let mut views = Vec::new();
     for index in 0..rounds {
-        let mut less = whole.clone();
-        if let Some(member) = less
+        let mut reduced = full.clone();
+        if let Some(member) = reduced
             .members
             .get_mut(&NodeId::named(&format!("node-{index}")))
         {
             member.state = NodeState::Dead;
         }
-        views.extend([Arc::new(less), Arc::new(whole.clone())]);
+        views.extend([Arc::new(reduced), Arc::new(full.clone())]);
     }
     let started = Instant::now();
     for view in views {
@@ -185,14 +186,15 @@
 
 fn moved(nodes: usize, zones: usize, upstreams: usize, rounds: usize) -> f64 {
     let config = config(upstreams, zones);
-    let whole = view(nodes, zones);
-    let before = monsoonbank_kernel::ownership::assign(&config, &whole);
+    let full = view(nodes, zones);
+    let before = monsoonbank_kernel::ownership::assign(&config, &full);
     let mut moved = 0;
     for index in 0..rounds {
-        let mut less = whole.clone();
-        less.members
+        let mut reduced = full.clone();
+        reduced
+            .members
             .remove(&NodeId::named(&format!("node-{index}")));
-        let after = monsoonbank_kernel::ownership::assign(&config, &less);
+        let after = monsoonbank_kernel::ownership::assign(&config, &reduced);
         let changed = |(id, owner): &(&UpstreamId, &NodeId)| before.owners.get(id) != Some(owner);
         moved += after.owners.iter().filter(changed).count();
     }
--- a/cli/src/slopes/report.rs
+++ b/cli/src/slopes/report.rs
@@ -1,33 +1,33 @@
-//! The results, and how they are shown.
+//! The results and their rendering as Markdown tables.
 
 use serde::{Deserialize, Serialize};
 
 use crate::slopes::digest::DigestSample;
 use crate::slopes::failures::FailureSample;
 use crate::slopes::fit::{self, GrowthFit};
+use crate::slopes::idle::FleetSample;
 use crate::slopes::messages::MessageSample;
 use crate::slopes::owners::{BalanceSample, ChangeSample};
-use crate::slopes::quiet::FleetSample;
 use crate::slopes::state::StateSample;
 
-/// Everything that was measured.
+/// The results of all measurements; empty where one was not made.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SlopeReport {
-    /// Quiet fleets.
+    /// Idle fleets, by size.
     pub fleets: Vec<FleetSample>,
-    /// How they grow.
+    /// Growth of the figures of idle fleets.
     pub fits: Vec<GrowthFit>,
-    /// Sizes of messages.
+    /// Sizes of membership messages.
     pub messages: Vec<MessageSample>,
-    /// Gossip of full digests.
+    /// Cost of full-digest gossip, by fleet size.
     pub digests: Vec<DigestSample>,
-    /// Costs of state.
+    /// Memory and time by kind of state.
     pub state: Vec<StateSample>,
-    /// Costs of changes of membership.
+    /// Costs of membership changes.
     pub changes: Vec<ChangeSample>,
-    /// Balance of owners.
+    /// Balance of ownership.
     pub balance: Vec<BalanceSample>,
-    /// Failures.
+    /// Effects of failures.
     pub failures: Vec<FailureSample>,
 }
 
@@ -46,7 +46,7 @@
 ];
 
 impl SlopeReport {
-    /// Works out how the quiet fleets grow.
+    /// Fits growth models to the figures of the idle fleets, replacing earlier fits.
     pub fn fit(&mut self) {
         self.fits = QUANTITIES
             .iter()
@@ -61,7 +61,7 @@
             .collect();
     }
 
-    /// The tables of docs/CAPACITY.md.
+    /// Renders the Markdown tables of docs/CAPACITY.md, without those that have no rows.
     pub fn markdown(&self) -> String {
         let parts = [
             (self.fleets.is_empty(), self.fleet_table()),
@@ -83,15 +83,15 @@
             vec![
                 row.nodes.to_string(),
                 row.zones.to_string(),
-                whole(row.bytes_per_second),
-                whole(row.busiest_bytes_per_second),
-                tenth(row.messages_per_second),
-                tenth(row.processor_microseconds),
-                whole(row.memory_bytes / 1024.0),
-                whole(row.zone_noticed_p50_ms),
-                whole(row.zone_noticed_p99_ms),
-                whole(row.fleet_noticed_p99_ms),
-                whole(row.fleet_noticed_max_ms),
+                rounded(row.bytes_per_second),
+                rounded(row.busiest_bytes_per_second),
+                one_decimal(row.messages_per_second),
+                one_decimal(row.processor_microseconds),
+                rounded(row.memory_bytes / 1024.0),
+                rounded(row.zone_noticed_p50_ms),
+                rounded(row.zone_noticed_p99_ms),
+                rounded(row.fleet_noticed_p99_ms),
+                rounded(row.fleet_noticed_max_ms),
                 row.unseen.to_string(),
             ]
         });
@@ -127,7 +127,7 @@
         let rows = self
             .digests
             .iter()
-            .map(|row| vec![row.nodes.to_string(), whole(row.bytes_per_second)]);
+            .map(|row| vec![row.nodes.to_string(), rounded(row.bytes_per_second)]);
         table(
             "Full-digest gossip, first message only",
             "nodes | B/s a node",
@@ -140,7 +140,7 @@
             vec![
                 row.item.to_string(),
                 row.count.to_string(),
-                whole(row.bytes_each),
+                rounded(row.bytes_each),
                 format!("{:.3}", row.microseconds_each),
             ]
         });
@@ -152,8 +152,8 @@
             vec![
                 row.nodes.to_string(),
                 row.upstreams.to_string(),
-                whole(row.microseconds),
-                tenth(row.moved),
+                rounded(row.microseconds),
+                one_decimal(row.moved),
             ]
         });
         let head = "nodes | upstreams | us a change | upstreams moved";
@@ -182,9 +182,9 @@
                 row.failure.to_string(),
                 row.nodes.to_string(),
                 row.settled_seconds
-                    .map_or_else(|| "more than 60".to_owned(), whole),
-                whole(row.bytes_per_second),
-                whole(row.busiest_bytes_per_second),
+                    .map_or_else(|| "more than 60".to_owned(), rounded),
+                rounded(row.bytes_per_second),
+                rounded(row.busiest_bytes_per_second),
                 row.peak_bytes.to_string(),
             ]
         });
@@ -193,20 +193,20 @@
     }
 }
 
-fn whole(value: f64) -> String {
+fn rounded(value: f64) -> String {
     format!("{value:.0}")
 }
 
-fn tenth(value: f64) -> String {
+fn one_decimal(value: f64) -> String {
     format!("{value:.1}")
 }
 
 fn table(title: &str, head: &str, rows: impl Iterator<Item = Vec<String>>) -> String {
     let columns = head.split(" | ").count();
-    let rule = vec!["---"; columns].join(" | ");
+    let separator = vec!["---"; columns].join(" | ");
     let mut lines = vec![format!("### {title}"), String::new()];
     lines.push(format!("| {head} |"));
-    lines.push(format!("| {rule} |"));
+    lines.push(format!("| {separator} |"));
     lines.extend(rows.map(|row| format!("| {} |", row.join(" | "))));
     lines.push(String::new());
     lines.join("\n")
--- a/cli/src/slopes/state.rs
+++ b/cli/src/slopes/state.rs
@@ -1,5 +1,5 @@
-//! State and time that one node's kernel spends on each engine, workspace, rule, queued call and
-//! configuration record.
+//! Memory and time that one node's kernel needs per engine, workspace, rule, queued call,
+//! configuration record and other kinds of state.
 
 use std::sync::{Arc, mpsc};
 use std::time::{Duration, Instant};
@@ -26,21 +26,22 @@
 /// Cost of one kind of state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StateSample {
-    /// What it is.
+    /// Description of the kind of state.
     pub item: Box<str>,
-    /// How many were really held.
+    /// Number of items actually held or processed.
     pub count: usize,
-    /// Memory of each, in bytes.
+    /// Size per item, in bytes: resident memory, or the encoded size for items on the wire. 0 where
+    /// it is not measured.
     pub bytes_each: f64,
-    /// Time of taking in each, in microseconds.
+    /// Time to process one item, in microseconds.
     pub microseconds_each: f64,
 }
 
-/// Workspaces of the fleet that the capacity page works out.
+/// Number of workspaces in the reference fleet of the capacity page.
 const WORKSPACES: usize = 5_400;
 const NOW: Duration = Duration::from_secs(1);
 
-/// A kernel of its own.
+/// Creates the kernel of a node with this name in `zone-0`.
 pub fn kernel(name: &str) -> Kernel {
     Kernel::new(NodeProfile {
         node: NodeId::named(name),
@@ -53,9 +54,9 @@
     })
 }
 
-/// Runs `work`, which makes `count` of something, on a thread of its own that stays until the
-/// process ends. The allocator then takes fresh memory for every sample: nothing that an earlier
-/// one freed hides what this one takes.
+/// Runs `work`, which creates `count` items, on a new thread that is parked until the process ends,
+/// so that the items are never freed. The allocator then requests new memory for every sample, and
+/// memory freed by an earlier one does not hide what this one uses.
 fn sample<T: Send + 'static>(
     item: &str,
     count: usize,
@@ -65,14 +66,14 @@
     std::thread::spawn(move || {
         let before = meter::resident_bytes();
         let started = Instant::now();
-        let held = work();
+        let items = work();
         let spent = started.elapsed();
         let bytes = meter::resident_bytes().saturating_sub(before);
-        let told = sender.send((bytes, spent));
-        while told.is_ok() {
+        let delivered = sender.send((bytes, spent));
+        while delivered.is_ok() {
             std::thread::park();
         }
-        drop(held);
+        drop(items);
     });
     let (bytes, spent) = receiver.recv().unwrap_or_default();
     StateSample {
@@ -83,7 +84,7 @@
     }
 }
 
-/// Measures one count of every kind; `scale` is in hundredths of the letter's fleet.
+/// Measures every kind of state; `scale` is in percent of the reference fleet.
 pub fn measure(scale: usize) -> Vec<StateSample> {
     vec![
         engines(10_000 * scale / 100),
@@ -98,12 +99,12 @@
     ]
 }
 
-/// Engines in a configuration that is in force, with owners among 980 nodes.
+/// Applies a configuration of `count` engines with owners among 980 nodes.
 fn engines(count: usize) -> StateSample {
     let file = owners::file(count, 23);
     let members = Event::MembersChanged(Arc::new(owners::view(980, 23)));
     sample("engine", count, move || {
-        let mut kernel = applied(&file);
+        let mut kernel = kernel_with(&file);
         kernel.handle(NOW, members, &mut Vec::new());
         kernel
     })
@@ -124,10 +125,10 @@
         workspaces: (0..count).map(workspace).collect(),
         ..ConfigFile::default()
     };
-    sample("workspace", count, move || applied(&file))
+    sample("workspace", count, move || kernel_with(&file))
 }
 
-fn applied(file: &ConfigFile) -> Kernel {
+fn kernel_with(file: &ConfigFile) -> Kernel {
     let mut kernel = kernel("node-0");
     let config = Event::ConfigApplied(Arc::new(Config::from_file(1, file)));
     kernel.handle(NOW, config, &mut Vec::new());
@@ -149,7 +150,7 @@
     }
 }
 
-/// Rules in force.
+/// Builds a configuration with `count` rules.
 fn rules(count: usize) -> StateSample {
     let file = rule_file(count);
     sample("rule", count, move || Config::from_file(1, &file))
@@ -161,7 +162,7 @@
     file
 }
 
-/// Requests classified by `rules` rules of which only the last matches.
+/// Classifies requests with `rules` rules of which only the last matches.
 fn classifications(rules: usize) -> StateSample {
     let config = Config::from_file(1, &rule_file(rules));
     let name = format!("workspace-{}", rules - 1);
@@ -228,11 +229,11 @@
     }
 }
 
-/// Calls that wait at an owner whose one engine is full.
+/// Queues `count` calls at an owner whose one engine has no free slot.
 fn queued_calls(count: usize) -> StateSample {
     let mut file = base_file();
     file.workspaces = (0..100).map(workspace).collect();
-    let mut kernel = applied(&file);
+    let mut kernel = kernel_with(&file);
     let mut config = owners::config(1, 1);
     config.classes = Config::from_file(1, &file).classes;
     config.tiers = Config::from_file(1, &file).tiers;
@@ -252,7 +253,7 @@
     })
 }
 
-/// Records of small changes, read from the log in batches.
+/// Applies `count` records of small changes, read from the log in batches.
 fn records(count: usize) -> StateSample {
     let records: Vec<LogRecord> = (0..count).map(record).collect();
     sample("configuration record", count, move || {
@@ -271,7 +272,8 @@
     })
 }
 
-/// Each record sets one workspace of 5,400; the first that of a workspace finds it absent.
+/// Creates a record that sets one of 5,400 workspaces. The first record of a workspace replaces no
+/// earlier version.
 fn record(index: usize) -> LogRecord {
     let content = Document::Workspace(workspace(index % WORKSPACES));
     let replaces = (index + 1).saturating_sub(WORKSPACES) as u64;
@@ -284,7 +286,7 @@
     }
 }
 
-/// Reports of all engines at once, at one node.
+/// Processes one load report of each of `count` engines at one node.
 fn reports(count: usize) -> StateSample {
     let mut kernel = kernel("node-0");
     let config = Event::ConfigApplied(Arc::new(owners::config(count, 23)));
@@ -305,7 +307,7 @@
     })
 }
 
-/// Rows of the host list: 980 nodes, the rest upstreams.
+/// Applies a host list of `count` rows: 980 nodes, the rest upstreams.
 fn host_rows(count: usize) -> StateSample {
     let hosts: Vec<HostEntry> = (0..count).map(host_row).collect();
     sample("host list row", count, move || {
@@ -315,7 +317,7 @@
     })
 }
 
-/// The host list as the platform sends it: bytes of a row on the wire, and time to read it.
+/// Parses the JSON of a host list: bytes per row on the wire, and time to parse one.
 fn host_list_text(count: usize) -> StateSample {
     let hosts: Vec<HostEntry> = (0..count).map(host_row).collect();
     let text = serde_json::to_vec(&hosts).unwrap_or_default();
