--- a/cli/src/fleet.rs
+++ b/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `monsoon bench fleet`: what whole fleets of nodes do, measured on loopback sockets.
+//! `monsoon bench fleet`: measures fleets of nodes that communicate over loopback sockets.
 
 use std::fs;
 use std::time::Duration;
@@ -27,18 +27,18 @@
 
 const PARTS: [&str; 5] = ["publish", "loss", "rolling", "control", "path"];
 
-/// Speed of the stand-ins, as in the demonstration.
+/// Speed of the simulated upstreams, as in the demonstration.
 const SPEED: UpstreamSpeed = UpstreamSpeed {
     step: Duration::from_millis(20),
     work: Duration::from_millis(10),
 };
 
-/// The command.
+/// Builds the command-line interface of `monsoon bench fleet`.
 pub fn command() -> Command {
     Command::new("fleet")
-        .about("Measure what whole fleets of nodes do, on loopback sockets")
+        .about("Measure fleets of nodes on loopback sockets")
         .long_about(
-            "Measure what whole fleets of nodes do. Nodes and stand-ins for the platform and the \
+            "Measure fleets of nodes on loopback sockets. Nodes and stand-ins for the platform and the \
              upstreams run as tasks of this process with sockets of their own.",
         )
         .arg(
@@ -50,11 +50,11 @@
                 .value_parser(PossibleValuesParser::new(PARTS))
                 .help("The measurements to make; may be given again [default: all]"),
         )
-        .arg(count("nodes", "9", "Nodes, but for `control`"))
+        .arg(count("nodes", "9", "Number of nodes, except for `control`"))
         .arg(count(
             "publishes",
             "200",
-            "Changes published for each state of the log",
+            "Number of changes published for each state of the log",
         ))
         .arg(
             Arg::new("logs")
@@ -65,7 +65,7 @@
                 .value_parser(PossibleValuesParser::new(["healthy", "slow", "down"]))
                 .help("States of the log for `publish`"),
         )
-        .arg(count("kills", "10", "Nodes killed, one after another"))
+        .arg(count("kills", "10", "Number of nodes killed, one after another"))
         .arg(
             Arg::new("sizes")
                 .long("sizes")
@@ -78,14 +78,14 @@
         .arg(count(
             "seconds",
             "20",
-            "Length of a window of `control` and of a load, in seconds",
+            "Length of each load and of each `control` window, in seconds",
         ))
-        .arg(count("rate", "150", "Requests a second of a load"))
+        .arg(count("rate", "150", "Requests per second of each load"))
         .arg(
             Arg::new("output")
                 .long("output")
                 .value_name("FILE")
-                .help("Writes the results to this file, as JSON; keeps what it has of others"),
+                .help("Write the results as JSON to this file; keeps its results of other measurements"),
         )
         .arg(arguments::format())
 }
@@ -99,7 +99,7 @@
         .value_parser(value_parser!(u64).range(1..=3600))
 }
 
-/// What was asked for.
+/// The options of the command line.
 #[derive(Clone, Debug)]
 struct FleetOptions {
     nodes: u64,
@@ -128,7 +128,8 @@
     }
 }
 
-/// Runs the command.
+/// Makes the selected measurements, prints them and, with `--output`, merges them into a file.
+/// Fails at the first measurement that cannot be made.
 pub async fn run(matches: &ArgMatches) -> Result<ExitCode, CliError> {
     let options = FleetOptions::read(matches);
     let wanted = |part: &str| {
@@ -166,11 +167,11 @@
         file: file.into(),
         source,
     };
-    let kept = match fs::read_to_string(file) {
+    let existing = match fs::read_to_string(file) {
         Ok(text) => serde_json::from_str(&text).map_err(|error| failed(error.into()))?,
         Err(_) => FleetReport::default(),
     };
-    let text = format!("{:#}\n", serde_json::json!(report.or(kept)));
+    let text = format!("{:#}\n", serde_json::json!(report.or(existing)));
     fs::write(file, text).map_err(failed)
 }
 
@@ -186,7 +187,7 @@
     })
 }
 
-/// The demonstration's traffic without bursts.
+/// Returns the traffic of the demonstration without its bursts.
 fn plan(fleet: &Fleet, options: &FleetOptions) -> TrafficPlan {
     let pool = |kind| {
         let mut pools = fleet.file.pools.iter();
--- a/cli/src/fleet/loss.rs
+++ b/cli/src/fleet/loss.rs
@@ -1,4 +1,4 @@
-//! From a node's end until the others have given it up and own its upstreams.
+//! Time from the loss of a node until the others mark it dead and its upstreams have new owners.
 
 use monsoonbank_kernel::ids::NodeId;
 use serde::{Deserialize, Serialize};
@@ -8,55 +8,57 @@
 use crate::fleet::quantiles::TimeQuantiles;
 use crate::fleet::{FleetOptions, views};
 
-/// What was measured.
+/// Failover times over all kills.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LossSample {
-    /// Nodes before each kill.
+    /// Number of nodes before each kill.
     pub nodes: u64,
-    /// Upstreams that the killed nodes owned.
+    /// Number of upstreams that the killed nodes owned, over all kills.
     pub upstreams: usize,
-    /// From the kill until every other node has given the node up.
+    /// Time from a kill until every other node marks the node dead or has removed it.
     pub given_up_ms: TimeQuantiles,
-    /// From the kill until every other node sees other owners for all of its upstreams.
+    /// Time from a kill until every other node has an owner other than the killed node for every
+    /// upstream.
     pub owned_again_ms: TimeQuantiles,
 }
 
-/// Kills one node after another; a new one takes the place of each.
+/// Kills one node after another, replacing each by a new one. Fails if the others do not detect a
+/// loss within the limit.
 pub async fn measure(options: &FleetOptions) -> Result<LossSample, CliError> {
     let mut fleet = super::start(options.nodes).await?;
-    let mut given_up = Vec::new();
-    let mut owned_again = Vec::new();
+    let mut detection_times = Vec::new();
+    let mut reassignment_times = Vec::new();
     let mut upstreams = 0;
     for number in 0..options.kills {
         views::wait_for(&fleet.nodes, Instant::now(), "all nodes", |node| {
-            views::settled(node, &fleet.nodes)
+            views::has_converged(node, &fleet.nodes)
         })
         .await?;
-        let lost = fleet.nodes.remove(0);
-        let id = NodeId::named(&lost.name);
-        upstreams += lost.handle.shared().owned_upstreams().len();
+        let killed = fleet.nodes.remove(0);
+        let id = NodeId::named(&killed.name);
+        upstreams += killed.handle.shared().owned_upstreams().len();
         let start = Instant::now();
-        lost.handle.kill().await;
+        killed.handle.kill().await;
         let others = &fleet.nodes;
-        let noticed = views::wait_for(others, start, "the lost node", |node| {
-            views::given_up(node, id)
+        let detected = views::wait_for(others, start, "the killed node", |node| {
+            views::is_dead(node, id)
         });
-        let owned = views::wait_for(others, start, "the owners", |node| {
-            views::owned_by(node, |owner| *owner != id)
+        let reassigned = views::wait_for(others, start, "the owners", |node| {
+            views::owners_match(node, |owner| *owner != id)
         });
-        let (noticed, owned) = tokio::join!(noticed, owned);
-        given_up.push(noticed?);
-        owned_again.push(owned?);
-        fleet.change_host(&lost.name, |_| None);
+        let (detected, reassigned) = tokio::join!(detected, reassigned);
+        detection_times.push(detected?);
+        reassignment_times.push(reassigned?);
+        fleet.change_host(&killed.name, |_| None);
         let name = format!("fresh-{number}");
-        let fresh = fleet.start_node(&name, &lost.zone).await?;
-        fleet.nodes.push(fresh);
+        let replacement = fleet.start_node(&name, &killed.zone).await?;
+        fleet.nodes.push(replacement);
     }
     fleet.stop().await;
     Ok(LossSample {
         nodes: options.nodes,
         upstreams,
-        given_up_ms: TimeQuantiles::of(given_up),
-        owned_again_ms: TimeQuantiles::of(owned_again),
+        given_up_ms: TimeQuantiles::of(detection_times),
+        owned_again_ms: TimeQuantiles::of(reassignment_times),
     })
 }
--- a/cli/src/fleet/path.rs
+++ b/cli/src/fleet/path.rs
@@ -1,4 +1,4 @@
-//! What the way through nodes costs a stream, beside the way straight to the engine.
+//! Latency and processor time that nodes add to streams, compared with direct calls to the engine.
 
 use std::time::Duration;
 
@@ -15,65 +15,68 @@
 use crate::slopes::meter;
 use crate::traffic::{ClassTraffic, RequestShape, TrafficPlan, WorkspaceSource};
 
-/// The engine's step is short, so that its jitter hides little of what the nodes add.
+/// The step of the engine is short so that its jitter hides little of the latency that nodes add.
 const SPEED: UpstreamSpeed = UpstreamSpeed {
     step: Duration::from_millis(2),
     work: Duration::from_millis(10),
 };
 
-/// Slots of the engine: more than the load fills.
+/// Slots of the engine: more than the load uses.
 const SLOTS: u32 = 500;
 
-/// Tokens of an answer.
+/// Number of tokens in an answer.
 const TOKENS: u32 = 64;
 
 const PROMPT_BYTES: usize = 400;
 
 const SEED: u64 = 1;
 
-/// What was measured for a way.
+/// The figures of one path.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PathRow {
-    /// The way.
+    /// Name of the path: `direct`, `one hop` or `two hops`.
     pub way: Box<str>,
-    /// Time to the first token, in milliseconds; the ways in turn within one load.
+    /// Median time to the first token, in milliseconds, from one load that alternates between
+    /// paths.
     pub p50_ms: f64,
-    /// The 99th percentile of the same.
+    /// 99th percentile of the time to the first token, in milliseconds, from the same load.
     pub p99_ms: f64,
-    /// What the way adds to the median of the direct way, in milliseconds.
+    /// Difference of the median from that of the direct path, in milliseconds.
     pub added_p50_ms: f64,
-    /// What it adds to the 99th percentile.
+    /// Difference of the 99th percentile from that of the direct path, in milliseconds.
     pub added_p99_ms: f64,
-    /// Whole answers, a load of this way alone.
+    /// Number of complete answers in a load on this path alone.
     pub whole: u64,
-    /// Calls that ended otherwise.
+    /// Number of calls in that load that ended in any other way.
     pub others: u64,
-    /// Tokens a second that reached callers, a load of this way alone.
+    /// Tokens of complete answers per second in that load.
     pub tokens_per_second: f64,
-    /// Processor time of the whole process for 1,000 tokens, in milliseconds.
+    /// Processor time of the whole process per 1,000 tokens in that load, in milliseconds.
     pub process_ms: f64,
-    /// The same without that of the direct way: the nodes' part, in milliseconds.
+    /// Processor time per 1,000 tokens beyond that of the direct path, which is the nodes' share,
+    /// in milliseconds; 0 for the direct path.
     pub nodes_ms: f64,
 }
 
-/// What was measured.
+/// The figures of all paths.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PathTable {
-    /// Requests a second.
+    /// Requests per second of each load.
     pub rate: f64,
     /// Length of each load, in seconds.
     pub seconds: u64,
-    /// Tokens of an answer.
+    /// Number of tokens in an answer.
     pub tokens: u32,
-    /// Direct, one hop, two hops.
+    /// Paths in the order direct, one hop, two hops.
     pub ways: Vec<PathRow>,
 }
 
-/// Measures the direct way, one node (the owner) and two nodes.
+/// Measures the direct path, the path through the engine's owner and the path through another node
+/// to the owner. Fails if the fleet does not start or converge.
 pub async fn measure(options: &FleetOptions) -> Result<PathTable, CliError> {
-    let fleet = Fleet::start(one_engine(super::config()?), 2, SPEED).await?;
+    let fleet = Fleet::start(with_one_engine(super::config()?), 2, SPEED).await?;
     views::wait_for(&fleet.nodes, Instant::now(), "all nodes", |node| {
-        views::settled(node, &fleet.nodes)
+        views::has_converged(node, &fleet.nodes)
     })
     .await?;
     let ways = ways(&fleet);
@@ -104,7 +107,7 @@
     time: Duration,
     direct: Option<f64>,
 ) -> PathRow {
-    let (own, base) = (
+    let (latency, direct_latency) = (
         mixed.ways[index].first_token_ms,
         mixed.ways[0].first_token_ms,
     );
@@ -113,10 +116,10 @@
     let process_ms = time.as_secs_f64() * 1000.0 / (tokens / 1000.0);
     PathRow {
         way: alone.ways[0].name.clone(),
-        p50_ms: own.p50,
-        p99_ms: own.p99,
-        added_p50_ms: own.p50 - base.p50,
-        added_p99_ms: own.p99 - base.p99,
+        p50_ms: latency.p50,
+        p99_ms: latency.p99,
+        added_p50_ms: latency.p50 - direct_latency.p50,
+        added_p99_ms: latency.p99 - direct_latency.p99,
         whole: counts.whole,
         others: counts.sent - counts.whole,
         tokens_per_second: tokens / alone.seconds as f64,
@@ -125,10 +128,10 @@
     }
 }
 
-/// The configuration with one engine, and one upstream of each other pool in its zone.
-fn one_engine(mut file: ConfigFile) -> ConfigFile {
+/// Reduces a configuration to one engine and one upstream of each other pool, all in one zone.
+fn with_one_engine(mut file: ConfigFile) -> ConfigFile {
     let zone = file.upstreams[0].zone.clone();
-    let pools = file.pools.iter().filter_map(|pool| {
+    let upstreams = file.pools.iter().filter_map(|pool| {
         let mut upstreams = file.upstreams.iter();
         let first = upstreams.find(|spec| spec.pool == pool.name)?;
         let slots = if pool.kind == PoolKind::Model {
@@ -142,11 +145,11 @@
             ..first.clone()
         })
     });
-    file.upstreams = pools.collect();
+    file.upstreams = upstreams.collect();
     file
 }
 
-/// Direct first; then the engine's owner, then the other node.
+/// Returns the direct path, then that through the engine's owner, then that through the other node.
 fn ways(fleet: &Fleet) -> Vec<LoadWay> {
     let direct = fleet.engines.values().map(|engine| LoadWay {
         name: "direct".into(),
@@ -159,10 +162,10 @@
         .map(|name| UpstreamId::named(name))
         .collect();
     let nodes = fleet.nodes.iter().map(|node| {
-        let own = node.handle.shared().owned_upstreams();
-        let owner = engines.iter().any(|engine| own.contains(engine));
+        let owned = node.handle.shared().owned_upstreams();
+        let is_owner = engines.iter().any(|engine| owned.contains(engine));
         LoadWay {
-            name: if owner { "one hop" } else { "two hops" }.into(),
+            name: if is_owner { "one hop" } else { "two hops" }.into(),
             address: node.handle.callers.to_string().into(),
             direct: false,
         }
@@ -173,8 +176,8 @@
 }
 
 fn plan(fleet: &Fleet, options: &FleetOptions) -> TrafficPlan {
-    let unlimited = fleet.file.workspaces.iter();
-    let workspace = unlimited
+    let workspaces = fleet.file.workspaces.iter();
+    let workspace = workspaces
         .filter(|spec| spec.calls_per_second.is_none() && spec.concurrent_calls.is_none())
         .map(|spec| WorkspaceSource {
             name: spec.name.clone(),
--- a/cli/src/fleet/publish.rs
+++ b/cli/src/fleet/publish.rs
@@ -1,4 +1,4 @@
-//! From a change of configuration until it is in force on every node.
+//! Time from the publication of a configuration change until every node applies it.
 
 use std::time::Duration;
 
@@ -16,41 +16,42 @@
 use crate::fleet::quantiles::TimeQuantiles;
 use crate::fleet::{FleetOptions, views};
 
-/// Weights that changes set in turn; each differs from the one before.
+/// Number of weights that changes cycle through, so that each differs from the one before.
 const WEIGHTS: u64 = 50;
 
-/// Tries of a change that the log did not confirm.
-const TRIES: u32 = 20;
+/// Maximum number of attempts for a change that the log does not confirm.
+const MAX_ATTEMPTS: u32 = 20;
 
-/// Time that a new fleet gets to settle, and that a log gets after it was down.
+/// Wait after the start of a fleet, and after the log recovers from an outage.
 const PAUSE: Duration = Duration::from_millis(200);
 
 const SLOW_MILLIS: u64 = 1000;
 
-/// What was measured with the log in one state.
+/// Propagation times of changes with the log in one state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PublishSample {
-    /// State of the log.
+    /// State of the log: `healthy`, `slow` or `down`.
     pub log: Box<str>,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: u64,
-    /// From the request until it was answered as accepted.
+    /// Time from the request until the response that accepts it.
     pub accepted_ms: TimeQuantiles,
-    /// From the request until it is in force on every node.
+    /// Time from the request until every node has applied the change.
     pub in_force_ms: TimeQuantiles,
-    /// From the answer until it is in force on every node.
+    /// Time from the response until every node has applied the change; 0 if all did before it.
     pub accepted_to_in_force_ms: TimeQuantiles,
-    /// Requests that the log did not confirm, and that were sent again with the same identifier.
+    /// Number of retries, with the same identifier, of requests that the log did not confirm.
     pub sent_again: u64,
 }
 
-/// Measures for each state of the log that was asked for.
+/// Measures a new fleet for each selected state of the log. Fails if a change is not accepted or
+/// not applied within the limit.
 pub async fn measure(options: &FleetOptions) -> Result<Vec<PublishSample>, CliError> {
     let mut samples = Vec::new();
     for log in &options.logs {
         let fleet = super::start(options.nodes).await?;
         views::wait_for(&fleet.nodes, Instant::now(), "all nodes", |node| {
-            views::settled(node, &fleet.nodes)
+            views::has_converged(node, &fleet.nodes)
         })
         .await?;
         sleep(PAUSE).await;
@@ -86,7 +87,7 @@
         let node = &fleet.nodes[number as usize % fleet.nodes.len()];
         let client = NodeClient::new(&node.handle.operators.to_string(), Some(OPERATOR_TOKEN));
         let start = Instant::now();
-        let (found, again) = send(&client, &record).await?;
+        let (new_version, retries) = send(&client, &record).await?;
         let answered = start.elapsed();
         if log == "down" {
             fleet.log.set_faults(LogFaults {
@@ -95,7 +96,7 @@
             });
         }
         let workspace = WorkspaceId::named(&fleet.file.workspaces[0].name);
-        let everywhere = views::wait_for(&fleet.nodes, start, "the change", |node| {
+        let applied = views::wait_for(&fleet.nodes, start, "the change", |node| {
             let config = node.handle.shared().config();
             let found = config.workspaces.get(&workspace);
             found.is_some_and(|found| found.weight == weight)
@@ -105,11 +106,11 @@
             fleet.log.set_faults(healthy);
             sleep(PAUSE).await;
         }
-        version = found;
-        sent_again += again;
+        version = new_version;
+        sent_again += retries;
         accepted.push(answered);
-        in_force.push(everywhere);
-        after.push(everywhere.saturating_sub(answered));
+        in_force.push(applied);
+        after.push(applied.saturating_sub(answered));
     }
     Ok(PublishSample {
         log: log.into(),
@@ -121,17 +122,18 @@
     })
 }
 
-/// Sends a change until it is accepted; its version, and how often it was sent again.
+/// Sends a change until it is accepted; returns its version and the number of retries. Fails if the
+/// change is rejected or the log does not confirm any attempt.
 async fn send(client: &NodeClient, record: &ChangeRecord) -> Result<(u64, u64), CliError> {
     let body = json!(record);
-    let mut told: Box<str> = "".into();
-    for again in 0..TRIES {
-        told = client.post("/v1/changes", &body).await?;
-        match serde_json::from_str(&told) {
-            Ok(PublishResult::Accepted { version }) => return Ok((version, u64::from(again))),
+    let mut response: Box<str> = "".into();
+    for retry in 0..MAX_ATTEMPTS {
+        response = client.post("/v1/changes", &body).await?;
+        match serde_json::from_str(&response) {
+            Ok(PublishResult::Accepted { version }) => return Ok((version, u64::from(retry))),
             Ok(PublishResult::Unavailable) => {}
             _ => break,
         }
     }
-    Err(CliError::NotAccepted { told })
+    Err(CliError::NotAccepted { told: response })
 }
--- a/cli/src/fleet/quantiles.rs
+++ b/cli/src/fleet/quantiles.rs
@@ -7,18 +7,18 @@
 /// Quantiles of a time, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TimeQuantiles {
-    /// Times measured.
+    /// Number of measured times.
     pub count: usize,
-    /// Half are at most this.
+    /// Median.
     pub p50: f64,
-    /// 99 in 100 are at most this; the longest when there are fewer than 100.
+    /// 99th percentile; the longest time when there are fewer than 100.
     pub p99: f64,
-    /// The longest.
+    /// Longest time.
     pub max: f64,
 }
 
 impl TimeQuantiles {
-    /// The quantiles of these times, by nearest rank.
+    /// Computes the quantiles of these times by nearest rank; 0 without times.
     pub fn of(mut times: Vec<Duration>) -> Self {
         times.sort_unstable();
         let rank = |share: f64| {
--- a/cli/src/fleet/report.rs
+++ b/cli/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! The results.
+//! The results of the fleet measurements and their text rendering.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,33 +8,34 @@
 use crate::fleet::publish::PublishSample;
 use crate::fleet::rolling::{LoadRow, RollingSample};
 
-/// Everything that was measured.
+/// The results of all measurements; absent where one was not made.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FleetReport {
-    /// Changes of configuration, by state of the log.
+    /// Propagation of configuration changes, by state of the log.
     pub publish: Vec<PublishSample>,
-    /// Lost nodes.
+    /// Failover after the loss of a node.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub loss: Option<LossSample>,
-    /// All nodes replaced under load.
+    /// Replacement of all nodes under load.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rolling: Option<RollingSample>,
-    /// Control traffic.
+    /// Control traffic and resources, by fleet size.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub control: Option<ControlTable>,
-    /// The way of streams.
+    /// Latency and processor time that nodes add to streams.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub path: Option<PathTable>,
 }
 
 impl FleetReport {
-    /// These results, and the other's where these have none.
+    /// Merges two reports: these results, and those of `other` where these have none.
     pub fn or(mut self, other: Self) -> Self {
         let measured = |log: &str| self.publish.iter().any(|sample| &*sample.log == log);
-        let kept = other.publish.into_iter();
-        let kept: Vec<PublishSample> = kept.filter(|sample| !measured(&sample.log)).collect();
-        self.publish.extend(kept);
+        let remaining = other.publish.into_iter();
+        let remaining: Vec<PublishSample> =
+            remaining.filter(|sample| !measured(&sample.log)).collect();
+        self.publish.extend(remaining);
         Self {
             publish: self.publish,
             loss: self.loss.or(other.loss),
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Prints the results for people.
+    /// Prints the results as text to standard output.
     pub fn print(&self) {
         for sample in &self.publish {
             println!("publish, log {}, {} nodes:", sample.log, sample.nodes);
--- a/cli/src/fleet/rolling.rs
+++ b/cli/src/fleet/rolling.rs
@@ -1,4 +1,5 @@
-//! All nodes replaced one after another under load, beside the same load without.
+//! Replaces all nodes one after another under load, and compares with the same load without
+//! replacements.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,36 +18,37 @@
 use crate::fleet::{FleetOptions, views};
 use crate::tally::ClassRow;
 
-/// Longest wait for a node's planned stop.
-const STOP_LIMIT: Duration = Duration::from_mins(1);
+/// Longest wait for the planned stop of a node.
+const DRAIN_LIMIT: Duration = Duration::from_mins(1);
 
-/// Time that callers' last answers get to leave a stopped node's sockets.
+/// Wait for a drained node to flush the last answers to callers from its sockets.
 const FLUSH_TIME: Duration = Duration::from_millis(200);
 
 /// Seed of both loads.
 const SEED: u64 = 1;
 
-/// What became of a class's calls.
+/// The outcomes of the calls of one class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadRow {
-    /// The class.
+    /// Name of the class.
     pub class: Box<str>,
-    /// Calls made.
+    /// Number of calls sent.
     pub sent: u64,
-    /// Whole answers.
+    /// Number of complete answers.
     pub whole: u64,
-    /// Refused: did not run.
+    /// Number of refused calls, which did not run.
     pub refused: u64,
-    /// Refused calls by reason.
+    /// Refused calls by reason; empty if absent.
     #[serde(default)]
     pub refusals: BTreeMap<Box<str>, u64>,
-    /// May have run.
+    /// Number of calls that may have run, those with a truncated stream included.
     pub unknown: u64,
-    /// No final answer, or tokens missing.
+    /// Number of calls without a final answer, or with missing tokens.
     pub lost: u64,
-    /// A token twice, somebody else's answer, or a call that may not be repeated ran twice.
+    /// Number of calls with a duplicate token, with the answer of another call, or that ran twice
+    /// although they may not be repeated.
     pub doubled: u64,
-    /// Share of calls that met the class's target.
+    /// Share of calls that met the target of the class, from 0 to 1; 0 if unknown.
     pub attainment: f64,
 }
 
@@ -67,52 +69,53 @@
     }
 }
 
-/// What was measured.
+/// The outcomes of both loads.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RollingSample {
-    /// Nodes, each replaced once.
+    /// Number of nodes, each of which is replaced once.
     pub nodes: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How long requests arrived, in seconds.
+    /// Time in which requests arrive, in seconds.
     pub seconds: u64,
-    /// From the order to leave until the node had left.
+    /// Time from the drain request to the end of the drain.
     pub left_ms: TimeQuantiles,
-    /// By class, nothing replaced; the urgent one first.
+    /// Outcomes by class without replacements; the urgent class comes first.
     pub kept: Vec<LoadRow>,
-    /// By class, every node replaced.
+    /// Outcomes by class while every node is replaced.
     pub replaced: Vec<LoadRow>,
 }
 
-/// Least time of load for a node's replacement: a node takes 6 s to leave.
-const TIME_A_NODE: Duration = Duration::from_secs(7);
+/// Minimum duration of the load per node: a node needs 6 s to drain.
+const TIME_PER_NODE: Duration = Duration::from_secs(7);
 
-/// The same load twice, on a fleet each.
+/// Runs the same load on two fleets, the second with replacements. Fails if a fleet does not start
+/// or a node does not drain in time.
 pub async fn measure(options: &FleetOptions) -> Result<RollingSample, CliError> {
-    let length = options.length.max(TIME_A_NODE * options.nodes as u32);
+    let length = options.length.max(TIME_PER_NODE * options.nodes as u32);
     let options = FleetOptions {
         length,
         ..options.clone()
     };
-    let (kept, _) = load(&options, false).await?;
-    let (replaced, left) = load(&options, true).await?;
+    let (kept, _) = run_load(&options, false).await?;
+    let (replaced, drain_times) = run_load(&options, true).await?;
     Ok(RollingSample {
         nodes: options.nodes,
         rate: options.rate,
         seconds: options.length.as_secs(),
-        left_ms: TimeQuantiles::of(left),
+        left_ms: TimeQuantiles::of(drain_times),
         kept,
         replaced,
     })
 }
 
-async fn load(
+async fn run_load(
     options: &FleetOptions,
-    replacing: bool,
+    replace: bool,
 ) -> Result<(Vec<LoadRow>, Vec<Duration>), CliError> {
     let fleet = super::start(options.nodes).await?;
     views::wait_for(&fleet.nodes, Instant::now(), "all nodes", |node| {
-        views::settled(node, &fleet.nodes)
+        views::has_converged(node, &fleet.nodes)
     })
     .await?;
     let plan = super::plan(&fleet, options);
@@ -129,44 +132,45 @@
         killed,
         &progress,
     );
-    let replacing = async {
-        if replacing {
+    let replacements = async {
+        if replace {
             replace_all(&fleet, start, options.length).await
         } else {
             Ok((Vec::new(), Vec::new()))
         }
     };
-    let (calls, replaced) = tokio::join!(traffic, replacing);
-    let (fresh, left) = replaced?;
+    let (calls, replaced) = tokio::join!(traffic, replacements);
+    let (new_nodes, drain_times) = replaced?;
     let rows = report::rows(&fleet, &plan, &calls);
-    for node in &fresh {
+    for node in &new_nodes {
         node.handle.kill().await;
     }
     fleet.stop().await;
-    Ok((rows.iter().map(LoadRow::from).collect(), left))
+    Ok((rows.iter().map(LoadRow::from).collect(), drain_times))
 }
 
-/// Replaces the nodes in turn, spread over the load; the new ones, and how long each took to leave.
+/// Replaces the nodes one after another, spread evenly over the load. Returns the new nodes and the
+/// drain time of each old one.
 async fn replace_all(
     fleet: &Fleet,
     start: Instant,
     length: Duration,
 ) -> Result<(Vec<FleetNode>, Vec<Duration>), CliError> {
-    let mut fresh = Vec::new();
-    let mut left = Vec::new();
+    let mut new_nodes = Vec::new();
+    let mut drain_times = Vec::new();
     let count = fleet.nodes.len();
     for (index, node) in fleet.nodes.iter().enumerate() {
         let share = (index as f64 + 0.5) / count as f64;
         sleep_until(start + length.mul_f64(share)).await;
-        left.push(leave(fleet, node).await?);
+        drain_times.push(retire(fleet, node).await?);
         let name = format!("fresh-{}", index + 1);
-        fresh.push(fleet.start_node(&name, &node.zone).await?);
+        new_nodes.push(fleet.start_node(&name, &node.zone).await?);
     }
-    Ok((fresh, left))
+    Ok((new_nodes, drain_times))
 }
 
-/// Stops a node as planned and takes it out of the host list; how long it took to finish.
-async fn leave(fleet: &Fleet, node: &FleetNode) -> Result<Duration, CliError> {
+/// Drains a node, stops it and removes it from the host list. Returns the time the drain took.
+async fn retire(fleet: &Fleet, node: &FleetNode) -> Result<Duration, CliError> {
     let leaving = |row| {
         Some(HostRow {
             leaving: true,
@@ -176,14 +180,14 @@
     fleet.change_host(&node.name, leaving);
     let start = Instant::now();
     node.handle.drain();
-    let finished = timeout(STOP_LIMIT, node.handle.finished()).await;
+    let finished = timeout(DRAIN_LIMIT, node.handle.finished()).await;
     finished.map_err(|_| CliError::NotShown {
         node: node.name.clone(),
         what: "the end of its planned stop",
     })?;
-    let took = start.elapsed();
+    let drain_time = start.elapsed();
     sleep(FLUSH_TIME).await;
     node.handle.kill().await;
     fleet.change_host(&node.name, |_| None);
-    Ok(took)
+    Ok(drain_time)
 }
