--- a/cli/tests/bench/main.rs
+++ b/cli/tests/bench/main.rs
@@ -1,4 +1,4 @@
-//! `monsoon bench` as a program.
+//! Runs `monsoon bench` as a program.
 
 use std::process::{Command, Output};
 
@@ -12,13 +12,13 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_bytes() {
-    let one = bench("small.yaml", &["--seed", "7", "--format", "json"]);
-    let two = bench("small.yaml", &["--seed", "7", "--format", "json"]);
-    assert!(one.status.success());
-    assert_eq!(one.stdout, two.stdout);
-    let other = bench("small.yaml", &["--seed", "8", "--format", "json"]);
-    assert_ne!(one.stdout, other.stdout);
+fn the_same_seed_gives_identical_output() {
+    let first = bench("small.yaml", &["--seed", "7", "--format", "json"]);
+    let second = bench("small.yaml", &["--seed", "7", "--format", "json"]);
+    assert!(first.status.success());
+    assert_eq!(first.stdout, second.stdout);
+    let other_seed = bench("small.yaml", &["--seed", "8", "--format", "json"]);
+    assert_ne!(first.stdout, other_seed.stdout);
 }
 
 #[test]
@@ -38,14 +38,17 @@
             .sum::<f64>()
     };
     for baseline in ["fifo-roundrobin", "strict-priority", "least-reported-load"] {
-        assert!(share("monsoon") > share(baseline), "{baseline} is better");
+        assert!(
+            share("monsoon") > share(baseline),
+            "{baseline} has a goodput share at least as high"
+        );
     }
-    let shed = runs.iter().filter(|run| run["policy"] == "monsoon");
-    assert!(shed.into_iter().all(|run| run["urgent_shed"] == 0));
+    let own_runs = runs.iter().filter(|run| run["policy"] == "monsoon");
+    assert!(own_runs.into_iter().all(|run| run["urgent_shed"] == 0));
 }
 
 #[test]
-fn an_unknown_field_is_named() {
+fn an_unknown_scenario_field_is_reported() {
     let output = bench("unknown.yaml", &[]);
     assert!(!output.status.success());
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -56,12 +59,12 @@
 }
 
 #[test]
-fn the_picture_is_an_svg() {
+fn plot_writes_an_svg_file() {
     let file = std::env::temp_dir().join(format!("monsoon-bench-{}.svg", std::process::id()));
     let path = file.display().to_string();
     let output = bench("small.yaml", &["--plot", &path]);
     assert!(output.status.success());
-    let picture = std::fs::read_to_string(&file).expect("the picture");
-    std::fs::remove_file(&file).expect("it can be removed");
-    assert!(picture.starts_with("<svg") && picture.contains("attainment"));
+    let svg = std::fs::read_to_string(&file).expect("the SVG file");
+    std::fs::remove_file(&file).expect("the SVG file can be removed");
+    assert!(svg.starts_with("<svg") && svg.contains("attainment"));
 }
--- a/cli/tests/capacity.rs
+++ b/cli/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! docs/CAPACITY.md shows what docs/capacity/slopes.json holds.
+//! Checks that the tables in docs/CAPACITY.md are those of docs/capacity/slopes.json.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -20,6 +20,6 @@
     let shown = page
         .split_once("<!-- slopes:begin -->\n")
         .and_then(|(_, rest)| rest.split_once("<!-- slopes:end -->"));
-    let (shown, _) = shown.expect("the page has the marks that the tables stand between");
+    let (shown, _) = shown.expect("the page has the markers around the tables");
     assert_eq!(shown.trim(), tables.trim());
 }
--- a/cli/tests/fleet/main.rs
+++ b/cli/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Whole fleets, started by the tool's binary.
+//! Runs the commands that start whole fleets, and checks the classification of answers.
 
 mod support;
 #[path = "../../src/verify.rs"]
@@ -27,18 +27,19 @@
 }
 
 demos! {
-    tauhere_keeps_its_promises: "tauhere", "4";
-    bengal_keeps_its_promises: "bengal", "5";
+    the_tauhere_demo_ends_every_call_once: "tauhere", "4";
+    the_bengal_demo_ends_every_call_once: "bengal", "5";
 }
 
-/// Every call has exactly one end, and none of the ends that may not be.
+/// Checks that every call of a class ended exactly once and that no call was lost, crossed,
+/// doubled, run twice or run after a refusal.
 fn check_class(class: &Value) {
     let count = |name: &str| class[name].as_u64().expect("a count");
-    let ends: u64 = ["whole", "refused", "unknown", "cut"]
+    let outcomes: u64 = ["whole", "refused", "unknown", "cut"]
         .map(count)
         .iter()
         .sum();
-    assert_eq!(count("sent"), ends, "{class:#}");
+    assert_eq!(count("sent"), outcomes, "{class:#}");
     for name in ["lost", "crossed", "doubled", "ran_twice", "refused_but_ran"] {
         assert_eq!(count(name), 0, "{name}: {class:#}");
     }
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn load_takes_every_way_in_turn() {
+fn load_sends_to_every_target() {
     let fleet = ServedFleet::start("2");
     let target = format!("node={}", fleet.callers);
     let (code, report) = run_json(&[
@@ -88,7 +89,7 @@
 
 verdicts! {
     every_token_once_is_whole: "w1 w2 w3 w2 " => Whole;
-    nothing_is_short: "" => Short;
+    an_empty_answer_is_short: "" => Short;
     missing_end_is_short: "w1 w2 w3 " => Short;
     missing_middle_is_short: "w1 w3 w2 " => Short;
     repeated_token_is_doubled: "w1 w1 w2 w3 w2 " => Doubled;
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn bench_fleet_publishes() {
+fn bench_fleet_measures_publishing() {
     let (code, report) = run_json(&[
         "bench",
         "fleet",
--- a/cli/tests/fleet/support.rs
+++ b/cli/tests/fleet/support.rs
@@ -1,4 +1,4 @@
-//! Runs the tool, once or for as long as a test needs a fleet.
+//! Runs the tool to completion, or in the background as long as a test needs a fleet.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Stdio};
@@ -9,7 +9,8 @@
     Command::new(env!("CARGO_BIN_EXE_monsoon"))
 }
 
-/// Runs the tool to its end; its exit code and the JSON that it printed.
+/// Runs the tool to completion and returns its exit code (`None` if a signal ended it) and the JSON
+/// from its standard output. Panics with the standard error if the output is not JSON.
 pub fn run_json(arguments: &[&str]) -> (Option<i32>, Value) {
     let output = monsoon().args(arguments).output().expect("the tool runs");
     let report = serde_json::from_slice(&output.stdout);
@@ -20,17 +21,17 @@
     )
 }
 
-/// A fleet that runs until it is dropped.
+/// A demonstration fleet in a child process, which is killed on drop.
 pub struct ServedFleet {
     child: Child,
-    /// The first node's callers' address.
+    /// Address at which the first node accepts callers.
     pub callers: String,
-    /// The first engine's address.
+    /// Address of the first engine.
     pub engine: String,
 }
 
 impl ServedFleet {
-    /// Starts a fleet and reads its addresses.
+    /// Starts a fleet of `nodes` nodes and reads the addresses that it prints.
     pub fn start(nodes: &str) -> Self {
         let mut child = monsoon()
             .args(["demo", "--serve", "--nodes", nodes])
@@ -61,7 +62,7 @@
 
 impl Drop for ServedFleet {
     fn drop(&mut self) {
-        // A fleet that ended by itself needs no end.
+        // The kill fails if the process has already ended, which is fine.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
