--- a/daemon/src/completions.rs
+++ b/daemon/src/completions.rs
@@ -25,9 +25,9 @@
 /// One of the two completion endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompletionKind {
-    /// `/v1/chat/completions`.
+    /// The endpoint `/v1/chat/completions`, whose prompt is a list of messages.
     Chat,
-    /// `/v1/completions`.
+    /// The endpoint `/v1/completions`, whose prompt is a text.
     Text,
 }
 
--- a/daemon/src/frame.rs
+++ b/daemon/src/frame.rs
@@ -10,7 +10,7 @@
 /// The parts of a caller's request that an upstream needs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestParts {
-    /// HTTP method.
+    /// HTTP method of the request to the upstream, such as `POST`.
     pub method: Box<str>,
     /// Path and query, as sent to the upstream.
     pub path: Box<str>,
@@ -18,7 +18,7 @@
     pub content_type: Option<Box<str>>,
     /// The caller's idempotency key; `None` if it sent none.
     pub key: Option<Box<str>>,
-    /// Request body.
+    /// Whole body of the request; empty if the caller sent none.
     pub body: Bytes,
 }
 
--- a/daemon/src/gateway/admission.rs
+++ b/daemon/src/gateway/admission.rs
@@ -32,13 +32,13 @@
 pub struct Call {
     /// Decoded head of the request.
     pub head: CallHead,
-    /// HTTP method.
+    /// HTTP method, which is forwarded unchanged.
     pub method: Method,
     /// Path and query, unchanged.
     pub target: Uri,
     /// End-to-end headers, which are forwarded to the upstream.
     pub headers: HeaderMap,
-    /// Request body.
+    /// Whole body of the request, which is kept for further attempts.
     pub body: Bytes,
     /// Digest of the call's content, the same for each attempt at the same call.
     pub content: ContentDigest,
@@ -48,13 +48,15 @@
     pub pool: Box<str>,
     /// Properties of the pool's engines; `None` for a pool of plain services.
     pub engine: Option<EngineSpec>,
-    /// Whether no other class of the pool requires shorter pauses between events.
+    /// Whether its class has a target for the gaps between events and no other class of the rule's
+    /// pools has a shorter one.
     pub tight: bool,
     /// Tier of the call; 0 is the most urgent.
     pub tier: u8,
-    /// Number of tiers.
+    /// Number of effective tiers in the configuration.
     pub tiers: u8,
-    /// Workspace of the caller; `None` if the rule needs no key.
+    /// Workspace that the caller's key identifies; `None` if none is configured, or if the rule is
+    /// public and no known key was sent.
     pub workspace: Option<Box<str>>,
     /// Time at which the head was read.
     pub started: Duration,
--- a/daemon/src/gateway/decisions.rs
+++ b/daemon/src/gateway/decisions.rs
@@ -56,14 +56,14 @@
     ConfigurationRejected {
         /// `store`, or the name of the node that it was fetched from.
         source: &'a str,
-        /// Reason for the event.
+        /// Error in the text.
         reason: &'a str,
     },
     /// The state of an upstream changed.
     UpstreamChanged {
         /// Id of the upstream.
         upstream: &'a str,
-        /// Pool of the upstream or call.
+        /// Pool of the upstream.
         pool: &'a str,
         /// Reason why it accepts no new calls; `None` if it accepts them.
         left: Option<&'a str>,
@@ -94,7 +94,7 @@
     StoreLost {
         /// Reader whose calls are affected, such as `configuration` or `registry`.
         reader: &'a str,
-        /// Reason for the event.
+        /// Error of the failed call.
         reason: &'a str,
     },
     /// The store answers again.
@@ -193,7 +193,7 @@
         received: usize,
         /// Duration of the fetch, in ms.
         took_ms: u64,
-        /// Reason for the event.
+        /// Error of the fetch.
         reason: &'a str,
     },
     /// A call was rejected before an upstream was chosen.
@@ -202,9 +202,9 @@
         call: &'a str,
         /// Status of the answer.
         status: u16,
-        /// Reason for the event.
+        /// Reason for the rejection, as sent to the caller.
         reason: &'a str,
-        /// Version of the configuration that was applied to the call.
+        /// Version of the configuration in force; 0 if there is none.
         version: u64,
     },
     /// A call was matched to a rule.
@@ -215,7 +215,7 @@
         content: &'a str,
         /// Name of the first matching rule.
         rule: &'a str,
-        /// Pool of the upstream or call.
+        /// Pool that the rule selected for the call.
         pool: &'a str,
         /// Tier of the call; 0 is the most urgent.
         tier: u8,
@@ -233,7 +233,8 @@
         /// Whether an upstream with capacity was found.
         found: bool,
     },
-    /// All upstreams of a pool asked for a pause, so a call to it is rejected at once.
+    /// All upstreams of a pool that a call could be sent to pause for longer than it may wait, so
+    /// it is rejected.
     PoolPaused {
         /// Id of the call.
         call: &'a str,
--- a/daemon/src/gateway/duties.rs
+++ b/daemon/src/gateway/duties.rs
@@ -25,7 +25,7 @@
 
 /// Interval at which the holder of the lease, or a node that is to claim it, checks what is due.
 const ACTIVE_INTERVAL: Duration = Duration::from_millis(100);
-/// The same interval at a node that knows of a holder.
+/// The same interval at any other node.
 const IDLE_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval between reads of a node that waits for a lease to expire.
 const READ_INTERVAL: Duration = Duration::from_millis(900);
@@ -188,7 +188,8 @@
         true
     }
 
-    /// Returns the time since the holder's last notice, as far as this node knows.
+    /// Returns the time since the holder's last notice, as far as this node knows; the time since
+    /// its start if it received none.
     fn silence(&self, now: Duration) -> Duration {
         self.received
             .get()
--- a/daemon/src/gateway/endpoints.rs
+++ b/daemon/src/gateway/endpoints.rs
@@ -109,7 +109,7 @@
 }
 
 /// Answers with the addresses of nodes that accept calls: those of the caller's availability zone,
-/// or of all zones if it has none.
+/// or of all zones if it names none or no node of its zone accepts calls.
 fn addresses(gateway: &Gateway, zone: Option<&str>) -> Reply {
     let own = peers::own_heartbeat(gateway);
     let fleet = gateway.fleet.borrow();
--- a/daemon/src/gateway/metrics.rs
+++ b/daemon/src/gateway/metrics.rs
@@ -26,7 +26,8 @@
     pub first_piece: HistogramVec,
     /// Calls to the store, by reader and outcome.
     pub store_calls: IntCounterVec,
-    /// Bytes of configurations and registries received, by source and by whether they were used.
+    /// Bytes of configurations, registries and crash reports received, by source and by whether
+    /// they were used.
     pub received_bytes: IntCounterVec,
     /// Bytes of heartbeats sent to other nodes.
     pub heartbeat_bytes: IntCounter,
--- a/daemon/src/gateway/relay.rs
+++ b/daemon/src/gateway/relay.rs
@@ -34,15 +34,14 @@
 /// Largest answer that is buffered before it is forwarded, in bytes. Plain services answer with a
 /// few kB.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
-/// Number of hosts that may fail to accept a connection before a call is rejected. Each costs a few
-/// ms, or the connection's time limit if the host is down.
+/// Number of attempts in which a call was not sent after which it is rejected. A failed connection
+/// costs a few ms, or its time limit if the host is down.
 const MAX_FAILED_CONNECTS: usize = 8;
 /// `Retry-After` of a rejected call: about the time in which a full engine frees slots.
 const BUSY_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// Longest `Retry-After`, since upstreams may be added before a long pause ends.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
-/// Added to `Retry-After` for each rank if a whole pool pauses, so that the most urgent callers
-/// return first.
+/// Added to `Retry-After` for each tier if a whole pool pauses, so that urgent ones return first.
 const RANK_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Progress of a call over its attempts.
--- a/daemon/src/gateway/settings.rs
+++ b/daemon/src/gateway/settings.rs
@@ -28,7 +28,7 @@
     pub store: StoreSettings,
     /// Resources that the host grants the process.
     pub limits: HostLimits,
-    /// Time limits.
+    /// Time limits on trust in the store and on the shutdown.
     pub times: TimeSettings,
     /// Retry budget of the fleet.
     pub retries: RetrySettings,
@@ -63,7 +63,7 @@
         deserialize_with = "seconds"
     )]
     pub usage_window: Duration,
-    /// Time after the end of a window at which its report is due.
+    /// Time after the end of a window until which its report is in time.
     #[serde(
         rename = "usage_late_s",
         default = "default_late",
@@ -85,9 +85,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 #[display(rename_all = "lowercase")]
 pub enum DutyName {
-    /// Reporting each workspace's usage.
+    /// Reporting each workspace's usage to the platform.
     Usage,
-    /// Ordering engines.
+    /// Ordering the engines of each pool from the platform.
     Autoscale,
 }
 
@@ -107,13 +107,13 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// For callers' requests.
+    /// Address for callers' requests.
     pub callers: SocketAddr,
-    /// For readiness checks.
+    /// Address for readiness checks.
     pub ready: SocketAddr,
-    /// For lookups of the addresses that callers may use.
+    /// Address for lookups of the addresses that callers may use.
     pub lookup: SocketAddr,
-    /// For operators' requests.
+    /// Address for operators' requests.
     pub operators: SocketAddr,
     /// Port for metrics, on the IP address of `callers`.
     pub metrics_port: u16,
@@ -150,7 +150,7 @@
     pub cores: f64,
 }
 
-/// Time limits.
+/// Time limits of the node, in milliseconds in the settings file.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TimeSettings {
@@ -167,11 +167,11 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Retries per call in the window.
+    /// Retries in the window for each call in it.
     pub ratio: f64,
     /// Retries in a window that are permitted regardless of the number of calls.
     pub slack: f64,
-    /// Length of the window.
+    /// Length of the sliding window in which calls and retries are counted.
     #[serde(rename = "window_s", deserialize_with = "seconds")]
     pub window: Duration,
 }
--- a/daemon/src/gateway/sync.rs
+++ b/daemon/src/gateway/sync.rs
@@ -38,7 +38,8 @@
 const MAX_START_DELAY: Duration = Duration::from_secs(4);
 /// Interval at which a starting node checks whether other nodes have sent what it lacks.
 const START_INTERVAL: Duration = Duration::from_millis(20);
-/// First backoff after a failed call; doubles up to `MAX_BACKOFF`.
+/// First backoff after a failed call; doubles up to `MAX_BACKOFF`. Each is shortened at random by
+/// up to half.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 /// Longest backoff after a failed call. The store's recovery is noticed within this time.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
@@ -227,8 +228,8 @@
     }
 }
 
-/// Reads the newest configuration. Returns the offset to continue from; `None` if the pages were
-/// not all of one era.
+/// Reads the newest configuration. Returns the offset to continue from; `None` if the store's era
+/// is another than in its last answer to this reader.
 async fn newest_configuration(reader: &mut StoreReader) -> Result<Option<u64>, StoreError> {
     let timeout = reader.timeout();
     let snapshot = reader.client.newest(names::OPERATOR_TOPIC, timeout).await?;
--- a/daemon/src/gateway/waiting.rs
+++ b/daemon/src/gateway/waiting.rs
@@ -95,7 +95,7 @@
     true
 }
 
-/// Returns whether all upstreams pause until the call has waited long enough.
+/// Returns whether every upstream that the call could be sent to pauses at least until `until`.
 fn pauses_beyond(gateway: &Gateway, call: &Call, progress: &CallProgress, until: Duration) -> bool {
     let now = gateway.now();
     let eligible_in =
@@ -114,7 +114,7 @@
 }
 
 /// Returns the time until which a call may wait: for a fraction of the time that is left, and no
-/// longer than leaves its caller's limit for the first event after sending.
+/// longer than its caller waits for the first event, less the expected time of that event.
 fn waits_until(gateway: &Gateway, call: &Call) -> Duration {
     let now = gateway.now();
     let wait_limit = call.deadline.saturating_sub(now).mul_f64(WAIT_FRACTION);
--- a/daemon/src/refusal.rs
+++ b/daemon/src/refusal.rs
@@ -17,7 +17,7 @@
     pub status: StatusCode,
     /// Machine-readable error code.
     pub code: &'static str,
-    /// Human-readable description.
+    /// Explanation of the error for a human reader.
     pub message: Box<str>,
     /// Outcome of the call: `not_run`, or `unknown` if it may have run.
     pub outcome: &'static str,
--- a/daemon/src/settings.rs
+++ b/daemon/src/settings.rs
@@ -17,7 +17,7 @@
     pub name: Box<str>,
     /// Availability zone of the host.
     pub zone: Box<str>,
-    /// Listen addresses.
+    /// Addresses on which the node accepts connections.
     pub listen: ListenSettings,
     /// Addresses of the platform's services.
     pub platform: PlatformSettings,
--- a/kernel/benches/decision.rs
+++ b/kernel/benches/decision.rs
@@ -1,6 +1,5 @@
 //! Cost of a dispatch decision with many calls queued: one run ends, and the next one starts.
 //!
-//!
 //! Besides Criterion's means it prints percentiles of single decisions and the memory per queued
 //! call, which Criterion does not measure.
 
--- a/kernel/benches/traffic.rs
+++ b/kernel/benches/traffic.rs
@@ -1,7 +1,6 @@
 //! Traffic per node for the exchange of configuration, and the time until a change is in force on
 //! every node, in virtual time, by number of nodes.
 //!
-//!
 //! Run with `cargo bench -p monsoonbank-kernel --bench traffic`. Messages are counted as CBOR with
 //! the headers of WebSocket (6 B), TCP (32 B) and IP (20 B), and an acknowledgement (52 B); reads
 //! of the log are counted as JSON with [`HTTP_BYTES`] for the request, the headers and the
--- a/kernel/examples/owner_choice.rs
+++ b/kernel/examples/owner_choice.rs
@@ -1,10 +1,8 @@
 //! Compares strategies for distributing calls over engines: prints the time that calls wait for a
 //! slot.
 //!
-//!
 //! `cargo run --release -p monsoonbank-kernel --example owner_choice`
 //!
-//!
 //! Every strategy gets the same calls with the same service times. A message between two nodes
 //! takes 1 ms. `owner/...`: the entry node offers a call to the owner of some engines, which counts
 //! its slots exactly. `direct`: every node sends to every engine, to the better of two by the
--- a/kernel/examples/waiting_calls.rs
+++ b/kernel/examples/waiting_calls.rs
@@ -1,10 +1,8 @@
 //! Compares policies for urgent calls that wait long at their owner: prints attainment, time to
 //! first token, and wasted work.
 //!
-//!
 //! `cargo run --release -p monsoonbank-kernel --example waiting_calls`
 //!
-//!
 //! The kernels of three nodes run in virtual time, 1 ms apart, with six engines of ten slots. Calls
 //! are urgent, with a target of 1 s; an engine serves one in 0.4 s on average. For a third of the
 //! run the engines of node 1 are ten times slower.
--- a/kernel/src/config/document.rs
+++ b/kernel/src/config/document.rs
@@ -82,13 +82,13 @@
 pub enum Document {
     /// The tier list.
     Tiers(Vec<TierSpec>),
-    /// A class.
+    /// One class of calls, with its tier and its targets.
     Class(ClassSpec),
-    /// A workspace.
+    /// One workspace, with its token, weight and limits.
     Workspace(WorkspaceSpec),
-    /// A pool.
+    /// One pool of interchangeable upstreams.
     Pool(PoolSpec),
-    /// An upstream.
+    /// One upstream, with the pools that it may serve.
     Upstream(UpstreamSpec),
     /// The ordered rule list.
     Rules(Vec<RuleSpec>),
--- a/kernel/src/config/spec.rs
+++ b/kernel/src/config/spec.rs
@@ -41,7 +41,7 @@
     pub repeatable: bool,
 }
 
-/// A workspace.
+/// A workspace, which callers identify by a token, with its weight and its limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkspaceSpec {
@@ -68,10 +68,10 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PoolKind {
-    /// Model engines.
+    /// Engines that run a model and answer with tokens.
     #[display("model")]
     Model,
-    /// Plain services.
+    /// Plain services, whose answers have no tokens.
     #[display("service")]
     Service,
 }
@@ -181,10 +181,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ConfigFile {
-    /// Service tiers.
+    /// Tiers and their guaranteed shares of slots.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub tiers: Vec<TierSpec>,
-    /// Request classes.
+    /// Classes of calls and their latency targets.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub classes: Vec<ClassSpec>,
     /// Workspaces with their tokens, weights and limits.
--- a/kernel/src/dispatch/fair.rs
+++ b/kernel/src/dispatch/fair.rs
@@ -1,7 +1,6 @@
 //! The queue of one tier: workspaces share it fairly, and each workspace's calls are ordered by
 //! earliest deadline.
 //!
-//!
 //! Every workspace has a start tag: the cost that it has been served, divided by its weight
 //! (start-time fair queueing, Goyal et al. 1996). A workspace whose tag is within `lead` of the
 //! smallest one is eligible, and among eligible workspaces the earliest deadline is served first
--- a/kernel/src/dispatch/finished.rs
+++ b/kernel/src/dispatch/finished.rs
@@ -33,7 +33,7 @@
         self.attempts.contains(&attempt)
     }
 
-    /// Drops attempts that have expired.
+    /// Drops attempts that have expired, and the oldest ones while too many are retained.
     pub fn expire(&mut self, now: Duration) {
         while let Some((at, attempt)) = self.order.front().copied() {
             if now < at + RETENTION && self.order.len() < MAX_RETAINED {
--- a/kernel/src/dispatch/floors.rs
+++ b/kernel/src/dispatch/floors.rs
@@ -36,7 +36,7 @@
 
 impl TierFloor {
     /// Adds the time since the last update to the credit: the floor less the slots in use, in
-    /// slot-seconds.
+    /// slot-seconds. Without queued work the credit does not exceed zero.
     pub fn update_credit(&mut self, now: Duration, slots: u32, running: u32, waiting: bool) {
         let time = now.saturating_sub(self.updated).as_secs_f64();
         self.updated = now;
@@ -58,7 +58,7 @@
         f64::from(running + 1) <= floor || (self.credit > 0.0 && may_catch_up)
     }
 
-    /// How far the tier is below its floor, relative to the floor.
+    /// How far the tier is below its floor, including its credit, relative to the floor.
     pub fn shortfall(&self, slots: u32, running: u32) -> f64 {
         let floor = self.slots(slots);
         (floor - f64::from(running) + self.credit) / floor.max(f64::MIN_POSITIVE)
--- a/kernel/src/dispatch/health.rs
+++ b/kernel/src/dispatch/health.rs
@@ -9,7 +9,7 @@
 /// Duration of the first ejection; each further one doubles it.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
 
-/// Longest ejection.
+/// Duration that the doubling of ejections does not exceed.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
 
 /// Failure score at which an upstream is ejected.
@@ -26,10 +26,10 @@
         /// When this node became the owner.
         since: Duration,
     },
-    /// In service.
+    /// Assigned work up to its slots.
     #[default]
     Healthy,
-    /// Out of service.
+    /// Assigned no work: it failed, was too slow or requested a pause.
     Ejected {
         /// When to probe it.
         until: Duration,
@@ -53,7 +53,7 @@
 /// An upstream's health and the failures that led to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineHealth {
-    /// Current state.
+    /// Whether it may be assigned work; [`HealthState::Healthy`] by default.
     pub state: HealthState,
     failure_score: u32,
     ejections: u32,
--- a/kernel/src/dispatch/pool.rs
+++ b/kernel/src/dispatch/pool.rs
@@ -217,8 +217,8 @@
         tiers.next().map(|(tier, _)| *tier)
     }
 
-    /// The tier that gets the next free slot: a lower one that is due its floor, else the highest
-    /// with queued work.
+    /// The tier that gets the next free slot: the lower one furthest below its floor that is due
+    /// it, else the highest with queued work.
     fn next_tier(&self, slots: u32) -> Option<Tier> {
         let mut waiting = self
             .tiers
@@ -291,7 +291,7 @@
         tier.add_victim(key, item);
     }
 
-    /// Asks a run to stop, so that it is requeued once its slot is free, or dropped if it was
+    /// Marks a run as stopping, so that it is requeued once its slot is free, or dropped if it was
     /// cancelled. Returns whether this is the first request to stop it.
     pub fn stop(&mut self, key: WorkKey, cause: StopCause, arena: &mut WorkArena) -> bool {
         let item = &mut arena[key];
--- a/kernel/src/dispatch/state.rs
+++ b/kernel/src/dispatch/state.rs
@@ -11,7 +11,7 @@
 /// Number of decisions since the process started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DispatchCounts {
-    /// Runs started.
+    /// Runs that were started on an upstream, including those of requeued work.
     pub started: u64,
     /// Runs stopped for work of a higher tier.
     pub preempted: u64,
--- a/kernel/src/dispatch/tier.rs
+++ b/kernel/src/dispatch/tier.rs
@@ -10,7 +10,7 @@
 /// The state of one tier of one pool.
 #[derive(Debug, Default)]
 pub struct TierState {
-    /// Queued work.
+    /// Work that waits for a slot, shared fairly among workspaces.
     pub queue: FairQueue,
     /// The tier's guaranteed fraction of slots.
     pub floor: TierFloor,
--- a/kernel/src/dispatch/work.rs
+++ b/kernel/src/dispatch/work.rs
@@ -62,7 +62,7 @@
 /// A run of a piece of work on an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkRun {
-    /// The upstream.
+    /// Upstream whose slot the run occupies.
     pub upstream: UpstreamId,
     /// When it was dispatched.
     pub started: Duration,
--- a/kernel/src/event.rs
+++ b/kernel/src/event.rs
@@ -84,7 +84,7 @@
     },
     /// A message from another node, or one that this node sent to itself.
     PeerMessage {
-        /// The sender.
+        /// Node that sent the message; this node for its own messages.
         from: NodeId,
         /// The decoded message.
         message: Message,
@@ -177,7 +177,7 @@
     /// Send a message to another node. The edge adds the request body to an offer or a relayed
     /// call.
     Send {
-        /// The receiver.
+        /// Node that the message is sent to; may be this node.
         to: NodeId,
         /// The message without any request body.
         message: Message,
--- a/kernel/src/gateway/cache.rs
+++ b/kernel/src/gateway/cache.rs
@@ -22,7 +22,7 @@
 /// Time and occupancy at which a cache is examined.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheMoment {
-    /// Current time.
+    /// Time of the examination, on the monotonic clock.
     pub now: Duration,
     /// Maximum number of tokens that running calls may occupy.
     pub held_tokens: u32,
--- a/kernel/src/gateway/capacity.rs
+++ b/kernel/src/gateway/capacity.rs
@@ -24,7 +24,8 @@
 const PREFILL_SHARE: f64 = 0.5;
 /// Prompt tokens that an engine prefills in one step.
 const CHUNK_TOKENS: u32 = 2048;
-/// Share of a reserved engine's slots with tight streams above which it accepts no longer prompt.
+/// Share of a reserved engine's slots with tight streams from which on it accepts no longer prompt
+/// than one step of prefill, except of tight streams.
 const UNDISTURBED_SHARE: f64 = 0.125;
 /// Calls per slot of a plain service, which queues a few and ends each within some ms.
 const PLAIN_CALLS_PER_SLOT: f64 = 3.0;
@@ -65,8 +66,9 @@
 }
 
 /// Estimate of calls that other nodes sent but have not reported yet: one from each node that ranks
-/// before this one, or, for each of this node's own unreported calls, as many as other nodes have
-/// for each of its reported ones.
+/// before this one, up to a share of the slots, or, if that is more, as many for each of this
+/// node's own unreported calls as other nodes have for each of its reported ones, at most one by
+/// each sender.
 fn unreported_calls(place: CandidatePlace, input: &ChoiceInput) -> f64 {
     let load = &place.candidate.upstream.load;
     let slots = f64::from(place.candidate.upstream.entry.slots);
--- a/kernel/src/gateway/choice.rs
+++ b/kernel/src/gateway/choice.rs
@@ -82,7 +82,7 @@
     pub cache_tokens: u64,
     /// Upstreams that the call was already sent to.
     pub tried: &'a [UpstreamKey],
-    /// Current time.
+    /// Time of the selection, on the monotonic clock.
     pub now: Duration,
 }
 
@@ -105,7 +105,7 @@
     pub fetch_from: Option<UpstreamKey>,
 }
 
-/// Upstream that has the most of a call's prompt cached.
+/// Upstream that has prefilled the most of a call's prompt and is not backed off.
 #[derive(Clone, Copy, Debug)]
 struct FetchSource {
     key: UpstreamKey,
--- a/kernel/src/gateway/content.rs
+++ b/kernel/src/gateway/content.rs
@@ -43,7 +43,7 @@
 pub struct ContentParts<'a> {
     /// Host that is called.
     pub host: &'a str,
-    /// HTTP method.
+    /// HTTP method, such as `POST`.
     pub method: &'a str,
     /// Path and query.
     pub target: &'a str,
--- a/kernel/src/gateway/crashes.rs
+++ b/kernel/src/gateway/crashes.rs
@@ -197,7 +197,7 @@
     }
 
     /// Records that a call with this content was answered successfully. Returns whether that ends
-    /// its quarantine.
+    /// its quarantine. The record of content that was never quarantined is removed.
     pub fn record_answer(&mut self, content: ContentDigest, now: Duration) -> bool {
         let Some(record) = self.records.get(&content) else {
             return false;
--- a/kernel/src/gateway/duty.rs
+++ b/kernel/src/gateway/duty.rs
@@ -175,7 +175,8 @@
         self.state.renew_now(now);
     }
 
-    /// Record that claims or renews the lease; `None` if none is due.
+    /// Record that claims or renews the lease; `None` if none is due or the topic must be read
+    /// first.
     pub fn claim(&mut self, now: Duration) -> Option<DutyClaim> {
         let (era, at) = (self.era?, self.end?);
         let lease = self.state.claim(self.node, self.incarnation, now)?;
--- a/kernel/src/gateway/fleet.rs
+++ b/kernel/src/gateway/fleet.rs
@@ -42,7 +42,7 @@
     pub heartbeat: NodeHeartbeat,
     /// Time at which its newest heartbeat was received; `None` if none was.
     pub last_heartbeat_at: Option<Duration>,
-    /// Time at which any heartbeat, its own or another node's, contained its card.
+    /// Time at which a heartbeat, its own or another node's, last contained its card.
     mentioned_at: Duration,
     /// Time since when this node has sent it heartbeats and expects some in return.
     expected_since: Option<Duration>,
@@ -202,7 +202,8 @@
         }
     }
 
-    /// Removes nodes that no heartbeat has mentioned for a minute.
+    /// Removes nodes that no heartbeat has mentioned for a minute, and the work of nodes whose own
+    /// heartbeats stopped half a minute ago.
     pub fn expire(&mut self, now: Duration) {
         self.peers
             .retain(|_, peer| peer.mentioned_at + EXPIRED_AFTER > now);
--- a/kernel/src/gateway/fleet/shares.rs
+++ b/kernel/src/gateway/fleet/shares.rs
@@ -33,7 +33,8 @@
 
 impl FleetView {
     /// This node's share of a limit. Each zone gets a part by its size if every zone can send one
-    /// request at once; otherwise the upstream's own zone gets all of it.
+    /// request at once; otherwise the upstream's own zone gets all of it. A limit that is not
+    /// confirmed is divided evenly among all nodes.
     pub fn limit_share(&self, limit: SharedLimit, now: Duration) -> LimitShare {
         let rate = limit.per_second.max(MIN_RATE);
         let size = f64::from(self.size(now).max(1));
--- a/kernel/src/gateway/gossip.rs
+++ b/kernel/src/gateway/gossip.rs
@@ -19,7 +19,7 @@
 /// The same interval on a node with calls: about as often as an engine under load starts and ends
 /// one.
 const BUSY_TICK: Duration = Duration::from_millis(50);
-/// The same interval on a node that has received no heartbeat: when all nodes start at once, seeds
+/// The same interval on a node that knows no other live one: when all nodes start at once, seeds
 /// may begin to listen after its first request.
 const SEEK_TICK: Duration = Duration::from_millis(100);
 /// Tolerance for late timers: a heartbeat that is due within it is not deferred to the next check.
@@ -68,9 +68,9 @@
     /// No node: there is no urgent change.
     #[default]
     None,
-    /// Nodes that send calls.
+    /// Hubs, and nodes that send calls.
     Calls,
-    /// All nodes.
+    /// Every node of the fleet, to which hubs propagate it.
     All,
 }
 
@@ -81,14 +81,14 @@
     pub busy: bool,
     /// Which nodes have to receive a change at once.
     pub urgency: GossipUrgency,
-    /// Current time.
+    /// Time of the check, on the monotonic clock.
     pub now: Duration,
 }
 
 /// Receivers and contents of the heartbeats that are due.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GossipPlan {
-    /// Nodes of its zone that receive its work at upstreams.
+    /// Nodes of its zone, the hubs among them, that receive its work at upstreams.
     pub near: Vec<SocketAddr>,
     /// Nodes of its zone that receive the state in force, without its work.
     pub zone: Vec<SocketAddr>,
@@ -105,12 +105,12 @@
 /// Selection of the seeds that receive a heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SeedChoice {
-    /// No seed.
+    /// No seed, as no heartbeat to them is due.
     #[default]
     None,
     /// The next one in turn, since all nodes of a starting fleet ask the seeds repeatedly.
     Next,
-    /// All seeds.
+    /// Every seed in the settings.
     All,
 }
 
--- a/kernel/src/gateway/health.rs
+++ b/kernel/src/gateway/health.rs
@@ -56,8 +56,8 @@
     }
 
     /// Records that the upstream failed a call or rejected it. An upstream that fails most calls
-    /// fails them fast, so that it looks idle and would attract ever more: it is backed off.
-    /// Returns whether a back-off begins.
+    /// fails them fast, so that it looks idle and would attract ever more: it is backed off. An
+    /// unproven one is backed off at any failure. Returns whether a back-off begins.
     pub fn failed(&mut self, now: Duration) -> bool {
         self.count_failure();
         let failing =
@@ -103,12 +103,12 @@
         self.reports_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it is backed off.
+    /// Whether it gets no calls now: its back-off has not ended, or a trial call is in flight.
     pub fn is_backed_off(&self, now: Duration) -> bool {
         !self.backoff_left(now).is_zero()
     }
 
-    /// Time until its back-off ends; zero if it is not backed off.
+    /// Time until its back-off or its trial ends; zero if it is not backed off.
     pub fn backoff_left(&self, now: Duration) -> Duration {
         let until = self.backoff_until.max(self.trial_until).unwrap_or(now);
         until.saturating_sub(now)
--- a/kernel/src/gateway/heartbeat.rs
+++ b/kernel/src/gateway/heartbeat.rs
@@ -111,7 +111,7 @@
     pub store_age_ms: Option<u64>,
     /// Digest of the upstreams that it knows and of those that left.
     pub registry_digest: u64,
-    /// Whether it has received no heartbeat yet and asks for the cards of others.
+    /// Whether it knows no other live node and asks for the cards of others.
     pub seeking: bool,
     /// Whether it is a reply, which needs no reply itself.
     pub is_reply: bool,
@@ -119,7 +119,7 @@
     pub fleet_size: u32,
     /// Number of nodes in its availability zone if it is a hub; otherwise 0.
     pub zone_size: u32,
-    /// Short hashes of the nodes that callers of its zone are directed to, if it is a hub.
+    /// Short hashes of the nodes that callers of its zone are directed to; empty if it is no hub.
     pub entries: Vec<u64>,
     /// Cards of other nodes that it received heartbeats from itself.
     pub cards: Vec<NodeCard>,
@@ -139,7 +139,7 @@
     pub parts: Vec<(u64, u64)>,
     /// Its wall-clock time, in Unix ms; 0 where no duty needs it.
     pub unix_ms: u64,
-    /// Holder of the duties, as far as it knows.
+    /// Holder of the duties, as far as it knows; `None` if it knows of none.
     pub holder: Option<HolderNotice>,
     /// Calls by workspace; empty unless it is sent to the holder.
     pub usage: Vec<WindowUsage>,
--- a/kernel/src/gateway/outcome.rs
+++ b/kernel/src/gateway/outcome.rs
@@ -2,14 +2,14 @@
 
 use crate::gateway::rules::CallSafety;
 
-/// Result of an attempt that ended before any of its answer was forwarded.
+/// Result of an attempt without a complete answer. Part of a stream may have been forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum AttemptEnd {
-    /// Nothing was sent: no connection was established.
+    /// Nothing was sent: no connection was established, or there was no capacity or no time left.
     #[display("not_sent")]
     NotSent,
-    /// Nothing was sent: the upstream accepts no calls any more, or the call's content is
-    /// quarantined.
+    /// Nothing was sent: the upstream accepts no calls any more or requested a pause, or the call's
+    /// content is quarantined.
     #[display("withheld")]
     Withheld,
     /// Nothing was sent: nothing listens at the upstream's address.
--- a/kernel/src/gateway/pace.rs
+++ b/kernel/src/gateway/pace.rs
@@ -52,7 +52,7 @@
         Duration::from_secs_f64(first + event * (events - 1.0).max(0.0))
     }
 
-    /// Expected time until the first event of a stream.
+    /// Expected time until the first event of a stream; zero before the first stream was recorded.
     pub fn expected_first_event(&self) -> Duration {
         self.expected_duration(1.0)
     }
--- a/kernel/src/gateway/reports.rs
+++ b/kernel/src/gateway/reports.rs
@@ -34,7 +34,7 @@
 /// Moment of a check for due reports, in time since 1970.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportMoment {
-    /// Current time.
+    /// Time of the check, as agreed by the fleet.
     pub now: Duration,
     /// Time from which on nodes may know that this one is the holder.
     pub held_since: Duration,
@@ -60,8 +60,9 @@
         }
     }
 
-    /// Windows that are final and not in the log yet, the oldest first. Those without calls need no
-    /// report and are left out.
+    /// Windows that are final and not in the log yet, the oldest first. Windows without calls need
+    /// no report and are left out, as are those whose report cannot be in time. There are none
+    /// while a new holder still collects counts.
     pub fn to_write(&self, ledger: &UsageLedger, moment: ReportMoment) -> Vec<FinalWindow> {
         let now = moment.now;
         if now < moment.held_since + COLLECT_TIME {
@@ -123,7 +124,8 @@
         self.windows.keys().next_back().copied().unwrap_or(0)
     }
 
-    /// Removes windows whose reports are past their time. Returns those that were not accepted.
+    /// Removes windows that ended longer ago than twice the time for a report. Returns those that
+    /// were not accepted.
     pub fn expire(&mut self, ledger: &UsageLedger, now: Duration) -> Vec<u64> {
         let late = self.late;
         let mut missed = Vec::new();
--- a/kernel/src/gateway/rules.rs
+++ b/kernel/src/gateway/rules.rs
@@ -240,7 +240,7 @@
         self.pools.get(name)
     }
 
-    /// All pools.
+    /// Pools of the configuration, in order of their names.
     pub fn pools(&self) -> impl Iterator<Item = &PoolSpec> {
         self.pools.values()
     }
--- a/kernel/src/gateway/scaling.rs
+++ b/kernel/src/gateway/scaling.rs
@@ -74,9 +74,9 @@
 /// Number of engines of an availability zone that accept calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneEngines {
-    /// Firm engines.
+    /// Number of firm engines, which the platform does not reclaim.
     pub firm: u32,
-    /// Spot engines.
+    /// Number of spot engines, which the platform may reclaim.
     pub spot: u32,
 }
 
@@ -200,7 +200,8 @@
         }
     }
 
-    /// Next order that is due, if any. `zones` are those in which the pool runs.
+    /// Next order that is due; `None` if there is none, or if the pool is larger than
+    /// `LARGEST_POOL`. `zones` are those in which the pool runs.
     pub fn next_order(
         &mut self,
         spec: &ScalingSpec,
@@ -329,7 +330,8 @@
         }
     }
 
-    /// Number of firm engines that the load requires.
+    /// Number of firm engines by which the pool is sized: its baseline, or less once the load has
+    /// been known for `PEAK_RETENTION` and its peak, with a margin, required less.
     pub fn needed(&self, now: Duration) -> u32 {
         let peak = self.peaks.front().map_or(0, |(_, peak)| *peak);
         let is_known = self.first_at.is_some_and(|at| now >= at + PEAK_RETENTION);
--- a/kernel/src/gateway/throttle.rs
+++ b/kernel/src/gateway/throttle.rs
@@ -49,7 +49,7 @@
 /// One node's share of an upstream's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitShare {
-    /// Requests per second.
+    /// Rate at which requests may be sent, per second.
     pub per_second: f64,
     /// Maximum number of requests that may be sent at once after an idle time.
     pub burst: f64,
@@ -105,7 +105,7 @@
     }
 
     /// Report of the limit to other nodes, where `run` is the hash of the upstream's run; `None` if
-    /// it is too old to send.
+    /// there was none or it is too old to send.
     pub fn report(&self, run: u64, now: Duration) -> Option<LimitReport> {
         let advertised = self
             .advertised
--- a/kernel/src/keys.rs
+++ b/kernel/src/keys.rs
@@ -1,7 +1,6 @@
 //! Idempotency keys: each is minted by one run of one node, and only that run may run its call,
 //! once.
 //!
-//!
 //! The text of a key is `mb1.NODE.INCARNATION.SEQUENCE.SECOND.MAC`: the minter, a number that the
 //! minter never uses twice, the second of the minter's clock at which the key was minted, and a
 //! message authentication code over these fields and the workspace (HMAC-SHA-256 of RFC 2104 and
--- a/kernel/src/leases.rs
+++ b/kernel/src/leases.rs
@@ -1,6 +1,5 @@
 //! The lease on sending orders to engines, and the orders themselves.
 //!
-//!
 //! One node at a time sends orders: the holder of the lease on the log. A node that wants an order
 //! sent forwards it to the holder, or to the node that should claim the lease, and repeats this
 //! until it receives the outcome. Identical orders are sent once.
--- a/kernel/src/leases/lease.rs
+++ b/kernel/src/leases/lease.rs
@@ -1,6 +1,5 @@
 //! The state of a lease: claims chained on the log, whose offsets are the fencing tokens.
 //!
-//!
 //! The claimant counts a lease from before its append, and all other nodes from when they read it.
 //! For the claimant it therefore never ends later than for anyone else (C. Gray and D. Cheriton,
 //! "Leases", 1989).
--- a/kernel/src/leases/orders.rs
+++ b/kernel/src/leases/orders.rs
@@ -52,7 +52,7 @@
 /// An order that has ended, and the nodes that wanted it.
 #[derive(Clone, Debug)]
 pub struct EndedOrder {
-    /// The order.
+    /// Order as its requesters sent it.
     pub request: OrderRequest,
     /// How it ended.
     pub outcome: OrderOutcome,
--- a/kernel/src/limits.rs
+++ b/kernel/src/limits.rs
@@ -1,6 +1,5 @@
 //! Fleet-wide rate and concurrency limits of workspaces.
 //!
-//!
 //! Each limited workspace has one limiter among the live nodes, chosen by rendezvous hashing. A
 //! node with demand requests a share from the limiter and receives it as a short lease; the limiter
 //! divides the limit among the demands by max-min fairness. While the limiter is unreachable, a
@@ -32,9 +31,9 @@
 /// A share of a workspace's limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitShare {
-    /// Calls per second.
+    /// Number of calls that may be admitted per second.
     pub rate: f64,
-    /// Concurrent calls.
+    /// Number of admitted calls that may be open at a time.
     pub concurrent: u32,
 }
 
@@ -55,7 +54,7 @@
     Grant {
         /// Workspace whose limits are granted.
         workspace: WorkspaceId,
-        /// New share.
+        /// Share that replaces the receiver's current one.
         share: LimitShare,
         /// Duration of the lease, counted from the arrival of the message.
         length: Duration,
@@ -79,7 +78,7 @@
 const UNLIMITED_RATE: f64 = 1e9;
 const UNLIMITED_CALLS: u32 = 1_000_000_000;
 
-/// Most calls of one workspace that wait for a share or for their turn.
+/// Most calls of one workspace that wait at a node for a share or for their turn.
 const MAX_WAITING_CALLS: usize = 1_024;
 
 /// Admits calls within the limits of their workspaces.
--- a/kernel/src/limits/allowance.rs
+++ b/kernel/src/limits/allowance.rs
@@ -224,7 +224,7 @@
         self.wanted = LimitShare::default();
     }
 
-    /// Whether the demand is due to be sent again.
+    /// Whether the demand is due to be sent again: it changed much, or was last sent long ago.
     pub fn should_renew(&self, now: Duration) -> bool {
         if now < self.demand_sent + MIN_DEMAND_INTERVAL || self.first_demand.is_none() {
             return false;
--- a/kernel/src/limits/ledger.rs
+++ b/kernel/src/limits/ledger.rs
@@ -9,14 +9,14 @@
 /// Duration of the lease on a share.
 pub const SHARE_LENGTH: Duration = Duration::from_secs(20);
 
-/// Shortest time between two unsolicited messages to one holder.
+/// Shortest time between any message to a holder and one that reduces its share.
 const MIN_SHRINK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time for the holders of a former limiter's shares to report them to the new one. Until then the
 /// new limiter grants nobody more than it already has, or than an even share.
 const TAKEOVER_TIME: Duration = Duration::from_secs(3);
 
-/// Factor above its fair share from which a holder's share is reduced.
+/// Factor by which a holder's rate may be above or below its fair share before it is adjusted.
 const TOLERANCE: f64 = 1.1;
 
 /// A share to be sent to a node.
@@ -24,7 +24,7 @@
 pub struct ShareGrant {
     /// Receiver of the share.
     pub node: NodeId,
-    /// New share.
+    /// Share that replaces the receiver's current one.
     pub share: LimitShare,
     /// Duration of the lease.
     pub length: Duration,
@@ -48,7 +48,8 @@
     pub limits: LimitShare,
     /// Number of live nodes.
     pub nodes: usize,
-    /// When this node replaced another limiter; `None` if it did not do so recently.
+    /// When this node replaced another limiter; `None` if it was the limiter already before the
+    /// last change of membership.
     pub became_limiter: Option<Duration>,
 }
 
@@ -98,7 +99,7 @@
     pub wanted: LimitShare,
     /// Share that it has by an unexpired lease.
     pub held: LimitShare,
-    /// Share of this node if all live nodes get the same.
+    /// Share of the sender if all live nodes get the same.
     pub even: LimitShare,
 }
 
--- a/kernel/src/routing.rs
+++ b/kernel/src/routing.rs
@@ -1,7 +1,6 @@
 //! The entry node's plug-in: chooses the owner that each call is offered to, and reports exactly
 //! one outcome per call.
 //!
-//!
 //! The outcome is one of: the whole response; `not_run`, only if no part of the call ran;
 //! `unknown`. A call that is not repeatable is offered to another owner only while no part of it
 //! can have run. Any other call is resumed elsewhere after the tokens that its caller already has.
--- a/kernel/src/routing/attempt.rs
+++ b/kernel/src/routing/attempt.rs
@@ -1,6 +1,5 @@
 //! One attempt of a call as its entry node tracks it, and what its end means for the call.
 //!
-//!
 //! The criterion is what has left the socket. An attempt that the owner returned before sending any
 //! byte of it to an upstream did not run. An attempt that the owner was about to send, or that the
 //! entry node can no longer track, may have run: the message that reports it may have been lost
--- a/kernel/src/routing/checks.rs
+++ b/kernel/src/routing/checks.rs
@@ -23,7 +23,8 @@
 const CANCEL_TIME: Duration = Duration::from_secs(5);
 /// The most urgent tier, whose calls are moved when they wait long at an owner.
 const MOVED_TIER: Tier = Tier(0);
-/// Fraction of the time left at the offer after which such a call is moved.
+/// Fraction of the time that such a call had left when it was admitted after which it is moved,
+/// counted from the offer.
 const MOVE_SHARE: f64 = 0.5;
 
 type QueryBatch = BTreeMap<NodeId, Vec<AttemptId>>;
--- a/kernel/src/routing/load.rs
+++ b/kernel/src/routing/load.rs
@@ -22,8 +22,8 @@
 }
 
 impl OwnerLoad {
-    /// Work per slot ahead of the call; infinite for an owner that just reported no healthy slot.
-    /// `configured` is the owner's number of slots by the configuration.
+    /// Work per slot ahead of the call; infinite for an owner that reported no healthy slot within
+    /// the last two seconds. `configured` is the owner's number of slots by the configuration.
     pub fn ahead(&self, spec: &CallSpec, configured: u32, now: Duration) -> f64 {
         let open = f64::from(self.open_offers);
         let Some((at, summary)) = self.summary else {
--- a/kernel/src/routing/open.rs
+++ b/kernel/src/routing/open.rs
@@ -31,7 +31,7 @@
     /// Numbers of the attempts that were withdrawn before they were known to have started, and
     /// whose owners have not yet confirmed that they did not run.
     pub unconfirmed: Vec<u32>,
-    /// Owners that returned or failed it.
+    /// Owners that returned or failed it, or at which it waited long; cleared if no other is left.
     pub tried: Vec<NodeId>,
     /// Why the newest attempt did not run; the reason sent if the call is given up.
     pub refusal: RefusalReason,
--- a/kernel/src/routing/owners.rs
+++ b/kernel/src/routing/owners.rs
@@ -1,6 +1,5 @@
 //! Selection of the owner that a call is offered to.
 //!
-//!
 //! Candidates are the nodes that own upstreams of the call's pool. Their load is estimated from the
 //! newest load summary, the offers made since, and this node's offers that are still open. A small
 //! number of candidates is compared in full; of a large number, two are drawn (M. Mitzenmacher,
@@ -27,10 +26,11 @@
 const DRAWS: u8 = 2;
 /// Load per slot below which an owner has capacity.
 const CAPACITY_LOAD: f64 = 0.9;
-/// Load per slot by which an owner in another availability zone must be better.
+/// Load per slot by which an owner in another availability zone must be better than the best near
+/// one, if that has no capacity.
 const ZONE_MARGIN: f64 = 0.25;
 /// Load per slot by which another owner must be better than the one that probably has the prefix
-/// cached.
+/// cached, if that has no capacity.
 const PREFIX_MARGIN: f64 = 0.25;
 /// Load per slot added for a suspected node.
 const SUSPECT_LOAD: f64 = 10.0;
