--- a/daemon/src/changes.rs
+++ b/daemon/src/changes.rs
@@ -72,8 +72,7 @@
         state.evict_oldest();
     }
 
-    /// Records how many nodes an accepted change has reached. Has no effect if its status is no longer
-    /// kept.
+    /// Records how many nodes an accepted change has reached, if its status is still kept.
     pub fn update_progress(&self, request: RequestTicket, progress: PublishProgress) {
         let mut state = self.state();
         let Some(id) = state.ids.get(&request).cloned() else {
--- a/daemon/src/frame.rs
+++ b/daemon/src/frame.rs
@@ -39,8 +39,7 @@
     Choices {
         /// JSON text of the array.
         json: Box<str>,
-        /// Whether it carries a token. Chunks without one do not count as progress when a stream is
-        /// resumed.
+        /// Whether it carries a token. Chunks without one are no progress when a stream is resumed.
         token: bool,
     },
     /// The `usage` object of a completion, as JSON text.
@@ -79,8 +78,7 @@
     /// Owner to entry: a chunk of an attempt's answer, with its index.
     #[serde(rename = "c")]
     Chunk(AttemptId, u32, Chunk),
-    /// Minter of the idempotency key to relaying node: a chunk of a relayed call's answer, with its
-    /// index.
+    /// Minter of the key to relaying node: a chunk of a relayed call's answer, with its index.
     #[serde(rename = "r")]
     Relayed(CallId, u32, Chunk),
 }
--- a/daemon/src/gateway.rs
+++ b/daemon/src/gateway.rs
@@ -95,8 +95,7 @@
     pub crashes: RefCell<CrashLedger>,
     /// Retry budgets, by pool.
     pub budgets: RefCell<BTreeMap<Box<str>, RetryBudget>>,
-    /// Prompt parts sent to upstreams since the last heartbeat: tokens, part id, hash of the
-    /// upstream's run.
+    /// Prompt parts sent to upstreams since the last heartbeat: tokens, part id, hash of the run.
     pub sent_parts: RefCell<BTreeSet<(u32, u64, u64)>>,
     /// Observed pace of streams.
     pub paces: RefCell<BTreeMap<StreamKind, StreamPace>>,
@@ -232,8 +231,7 @@
 
     /// Records the era of an answer from the store. After a new era begins, the store runs from a
     /// copy that is some seconds old: an entry that this copy lacks is not proof of removal until
-    /// writers have had time to write it again. So the store counts as having just failed and
-    /// recovered.
+    /// writers have had time to write it again. The store counts as just recovered from a failure.
     pub fn observe_store_era(&self, era: u64) {
         let known = self.store_era.get();
         if known.is_some_and(|known| known >= era) {
--- a/daemon/src/gateway/admission.rs
+++ b/daemon/src/gateway/admission.rs
@@ -21,8 +21,7 @@
 use crate::gateway::decisions::{Decision, millis};
 use crate::gateway::reply::{self, Reply};
 
-/// `Retry-After` for callers of a node without a configuration, which is usually loaded within that
-/// time.
+/// `Retry-After` for callers of a node without a configuration, which is usually loaded by then.
 const START_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Time for a call that states no deadline.
 const DEFAULT_TIMEOUT: Duration = Duration::from_mins(1);
@@ -92,8 +91,7 @@
     }
 }
 
-/// Reads a request to its end and matches it to a rule. The error is the answer to a rejected
-/// request.
+/// Reads a request to its end and matches it to a rule. The error is the answer if it is rejected.
 pub async fn admit(gateway: &Gateway, request: Request<Incoming>) -> Result<Rc<Call>, Reply> {
     let started = gateway.now();
     let (parts, body) = request.into_parts();
--- a/daemon/src/gateway/connections.rs
+++ b/daemon/src/gateway/connections.rs
@@ -22,15 +22,12 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time for which sent bytes may stay unacknowledged before the connection counts as broken.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Idle time after which the operating system sends a keepalive probe, and the time between two
-/// probes.
+/// Idle time after which the operating system sends a keepalive probe, and time between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest idle time of a connection for a call that must not be repeated, if the upstream
-/// announces no idle timeout. A connection that the upstream closes at the moment of sending loses
-/// the call.
+/// announces no idle timeout. One that the upstream closes at the moment of sending loses the call.
 const IDLE_AT_MOST_ONCE: Duration = Duration::from_millis(1500);
-/// Longest idle time of a connection for a call that may be repeated, if the upstream announces no
-/// idle timeout.
+/// Longest idle time of a connection for a repeatable call, if the upstream announces no timeout.
 const IDLE_IDEMPOTENT: Duration = Duration::from_secs(4);
 /// Fraction of an announced idle timeout that is used.
 const ANNOUNCED_FRACTION: f64 = 0.5;
@@ -152,8 +149,7 @@
     })
 }
 
-/// Disables Nagle's algorithm and sets the timeouts after which an unresponsive peer breaks the
-/// connection.
+/// Disables Nagle's algorithm, and limits the time for which the peer may be unresponsive.
 pub fn set_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/daemon/src/gateway/decisions.rs
+++ b/daemon/src/gateway/decisions.rs
@@ -48,8 +48,7 @@
         bytes: usize,
         /// Time for decoding the text, in us. No call progresses meanwhile.
         decode_us: u64,
-        /// Time since another node first advertised this version or a newer one, in ms; `None` if
-        /// none did.
+        /// Time since a node first advertised this or a newer version, in ms; `None` if none did.
         lag_ms: Option<u64>,
     },
     /// A configuration was rejected; the previous one stays in force.
@@ -124,8 +123,7 @@
         workspaces: usize,
         /// Number of calls of these workspaces.
         calls: u64,
-        /// Age of the oldest input: the last counts of the node that has been silent longest, in
-        /// ms.
+        /// Age of the oldest input, the last counts of the node that is silent longest, in ms.
         oldest_input_ms: u64,
     },
     /// The usage of a window was sent to the platform.
@@ -295,8 +293,7 @@
     LimitChanged {
         /// Id of the upstream.
         upstream: &'a str,
-        /// Requests per second from all nodes together; `None` if the upstream no longer announces
-        /// a limit.
+        /// Requests per second from all nodes together; `None` if the limit has ended.
         per_second: Option<f64>,
         /// `own`, or the name of the node that reported it.
         source: &'a str,
@@ -316,8 +313,7 @@
         content: &'a str,
         /// Id of the upstream.
         upstream: &'a str,
-        /// Number of upstream runs that have crashed under this content so far, as far as this node
-        /// knows.
+        /// Number of upstream runs that have crashed under this content, as far as this node knows.
         crashes: usize,
     },
     /// The quarantine of a content began or ended.
--- a/daemon/src/gateway/duties.rs
+++ b/daemon/src/gateway/duties.rs
@@ -1,5 +1,4 @@
-//! Duties are calls to the platform that one node at a time makes, under a lease in the store's
-//! log.
+//! Duties: calls to the platform that one node at a time makes, under a lease in the store's log.
 //!
 //! One task claims and renews the lease and stores what a holder must not lose; `reports` and
 //! `scaling` make the calls.
--- a/daemon/src/gateway/endpoints.rs
+++ b/daemon/src/gateway/endpoints.rs
@@ -39,8 +39,8 @@
 const BASE_NAME: &str = "base=";
 /// Path of registry entries, for other nodes.
 const REGISTRY_PATH: &str = "/registry";
-/// Query parameter of the registry path: digests of the other node's entries, as consecutive
-/// hexadecimal numbers.
+/// Query parameter of the registry path: digests of the other node's entries, as hexadecimal
+/// numbers without separators.
 const KNOWN_NAME: &str = "known=";
 /// Hexadecimal digits of each digest.
 const KNOWN_DIGITS: usize = 8;
@@ -201,8 +201,7 @@
     }
 }
 
-/// Builds an answer that is streamed as the connection accepts it, so that the permit lasts until
-/// the end.
+/// Builds an answer that is streamed as the connection accepts it; the permit lasts until its end.
 fn in_pieces(bytes: Bytes, permit: TransferPermit) -> Reply {
     let pieces = futures_util::stream::unfold((bytes, permit), |(mut rest, permit)| async move {
         if rest.is_empty() {
--- a/daemon/src/gateway/fetch.rs
+++ b/daemon/src/gateway/fetch.rs
@@ -164,8 +164,7 @@
     Crashes,
 }
 
-/// Fetches what this node lacks, the smallest part first. The first failed fetch ends it and is
-/// recorded.
+/// Fetches what this node lacks, the smallest part first. A failed fetch ends it and is recorded.
 async fn fetch_all(gateway: &Gateway, peer: &str, address: SocketAddr, missing: MissingParts) {
     if missing.crashes {
         let source = FetchSource::new(peer, address, FetchPart::Crashes);
@@ -295,8 +294,7 @@
     Ok(body::read_to_end(response.into_body(), FETCH_TIMEOUT, on_piece).await?)
 }
 
-/// Sends a request on a new connection, which closes when the handle returned with the answer is
-/// dropped.
+/// Sends a request on a new connection, which closes when the returned handle is dropped.
 async fn begin(
     address: SocketAddr,
     path: &str,
--- a/daemon/src/gateway/quarantine.rs
+++ b/daemon/src/gateway/quarantine.rs
@@ -90,8 +90,7 @@
     QuarantineError { pause }
 }
 
-/// Records that the connection to an upstream broke during a call. `run` is the hash of the
-/// upstream's run.
+/// Records that the connection to an upstream broke during a call. `run` is the hash of its run.
 pub fn record_crash(gateway: &Gateway, call: &Call, upstream: &str, run: u64) {
     let now = gateway.now();
     let change = gateway
--- a/daemon/src/gateway/relay.rs
+++ b/daemon/src/gateway/relay.rs
@@ -31,8 +31,7 @@
 use crate::gateway::work::WorkGuard;
 use crate::gateway::{liveness, notices, quarantine, stream, usage, waiting};
 
-/// Largest answer that is buffered before it is forwarded, in bytes. Plain services answer with a
-/// few kB.
+/// Largest answer that is buffered to be forwarded, in bytes. Plain services answer with a few kB.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 /// Number of attempts in which a call was not sent after which it is rejected. A failed connection
 /// costs a few ms, or its time limit if the host is down.
--- a/daemon/src/gateway/scaling.rs
+++ b/daemon/src/gateway/scaling.rs
@@ -180,8 +180,7 @@
     });
 }
 
-/// Counts the engines of a pool that accept calls, in each availability zone in which the pool has
-/// ever run.
+/// Counts the engines of a pool that accept calls, in each availability zone in which it ever ran.
 fn zone_engines(gateway: &Gateway, pool: &str) -> BTreeMap<Box<str>, ZoneEngines> {
     let registry = gateway.registry.borrow();
     let mut zones: BTreeMap<Box<str>, ZoneEngines> = BTreeMap::new();
--- a/daemon/src/gateway/settings.rs
+++ b/daemon/src/gateway/settings.rs
@@ -32,8 +32,7 @@
     pub times: TimeSettings,
     /// Retry budget of the fleet.
     pub retries: RetrySettings,
-    /// Calls to the platform that one node at a time makes; `None` if the platform has no such
-    /// duties.
+    /// Calls to the platform that one node at a time makes; `None` if the platform has none.
     #[serde(default)]
     pub duties: Option<DutySettings>,
 }
@@ -48,8 +47,7 @@
     pub names: Vec<Box<str>>,
     /// Calls per second that the platform accepts, for all duties together.
     pub calls_per_s: f64,
-    /// Length of the lease: the next holder makes no call earlier than this after another holder's
-    /// last call.
+    /// Length of the lease: a holder makes no call earlier than this after another holder's last.
     #[serde(
         rename = "lease_ms",
         default = "default_lease",
--- a/daemon/src/gateway/stream.rs
+++ b/daemon/src/gateway/stream.rs
@@ -1,5 +1,4 @@
-//! Forwards a stream one complete event at a time, and resumes it at another upstream if its
-//! upstream fails.
+//! Forwards a stream one complete event at a time, and resumes it elsewhere if its upstream fails.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/daemon/src/gateway/sync.rs
+++ b/daemon/src/gateway/sync.rs
@@ -1,5 +1,4 @@
-//! Reads the platform's store continuously: the operator's configuration and the registry of
-//! upstreams.
+//! Follows the platform's store: the operator's configuration and the registry of upstreams.
 
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -33,8 +32,7 @@
 /// Time for which a starting node leaves the store to the seeds. They read it at once, and they and
 /// the hubs then propagate what all others need. A random delay of up to the same length is added.
 const SEED_HEAD_START: Duration = Duration::from_millis(150);
-/// Time after which a starting node that still lacks data reads the store, even if other nodes read
-/// it.
+/// Time after which a starting node that still lacks data reads the store, even if others do.
 const MAX_START_DELAY: Duration = Duration::from_secs(4);
 /// Interval at which a starting node checks whether other nodes have sent what it lacks.
 const START_INTERVAL: Duration = Duration::from_millis(20);
@@ -238,8 +236,7 @@
     Ok(same_era.then_some(snapshot.end))
 }
 
-/// Reads the records from an offset. Returns the offset to continue from; `None` if the store's era
-/// has changed.
+/// Reads the records from an offset. Returns the offset to continue from; `None` in a new era.
 async fn read_configuration(
     reader: &mut StoreReader,
     from: u64,
--- a/daemon/src/gateway/work.rs
+++ b/daemon/src/gateway/work.rs
@@ -22,8 +22,8 @@
 }
 
 impl WorkGuard {
-    /// Adds a call that is about to be sent to the upstream's load, and its prompt parts to the
-    /// next heartbeat.
+    /// Adds a call that is about to be sent to the load of its upstream, and the parts of its
+    /// prompt that other nodes may not know of to the next heartbeat.
     pub fn begin(gateway: &Rc<Gateway>, call: &Rc<Call>, choice: &UpstreamChoice) -> Self {
         let now = gateway.now();
         let prompt = &call.head.prompt;
--- a/daemon/src/operators.rs
+++ b/daemon/src/operators.rs
@@ -1,5 +1,4 @@
-//! HTTP interface for operators: health, metrics, state dump, draining, orders and configuration
-//! changes.
+//! HTTP interface for operators: health, metrics, state dump, draining, orders and configuration.
 
 use std::sync::Arc;
 
--- a/kernel/src/call.rs
+++ b/kernel/src/call.rs
@@ -74,8 +74,7 @@
     /// The node is leaving.
     #[display("leaving")]
     Leaving,
-    /// The idempotency key was not issued by this node, has expired, or belongs to another
-    /// workspace.
+    /// The idempotency key was not issued by this node, expired, or is another workspace's.
     #[display("key")]
     Key,
     /// No configuration is in force yet.
@@ -124,8 +123,7 @@
         /// Tokens forwarded before the connection broke.
         tokens: u32,
     },
-    /// The router cancelled the attempt, because the caller left or a more urgent call preempted
-    /// it.
+    /// The router cancelled the attempt: the caller left, or a more urgent call preempted it.
     Cancelled {
         /// Tokens forwarded before the cancellation.
         tokens: u32,
--- a/kernel/src/config.rs
+++ b/kernel/src/config.rs
@@ -1,5 +1,4 @@
-//! The configuration that operators publish: tiers, classes, workspaces, pools, upstreams and
-//! rules.
+//! Configuration that operators publish: tiers, classes, workspaces, pools, upstreams and rules.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/kernel/src/config/check.rs
+++ b/kernel/src/config/check.rs
@@ -300,8 +300,7 @@
     check_name(&pool.name, faults);
 }
 
-/// Validates one document of a configuration, including the names that it refers to; returns all
-/// errors found.
+/// Validates one document of a configuration and the names that it refers to; returns all errors.
 pub fn check_document(config: &Config, document: &Document) -> Vec<ConfigFault> {
     let mut faults = FaultList::default();
     match document {
--- a/kernel/src/config/rules.rs
+++ b/kernel/src/config/rules.rs
@@ -233,8 +233,7 @@
 
 type RuleSet = Box<[u64]>;
 
-/// For each value of one field, the rules that may match: those that list the value, and those that
-/// list none.
+/// For each value of one field, the rules that may match: those that list it or list no value.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct FieldIndex {
     any: RuleSet,
--- a/kernel/src/configuration.rs
+++ b/kernel/src/configuration.rs
@@ -60,8 +60,7 @@
 }
 
 impl ConfigurationStore {
-    /// Folds records from the log or from another node in order of offset, and buffers those that
-    /// arrive early.
+    /// Folds records from the log or from another node in order of offset, and buffers early ones.
     fn fold_records(&mut self, records: &[LogRecord], context: &mut Context<'_>) {
         for entry in records {
             if entry.offset == self.fold.next() {
--- a/kernel/src/configuration/fold.rs
+++ b/kernel/src/configuration/fold.rs
@@ -104,8 +104,7 @@
         self.retained.iter().filter_map(|id| self.results.get(id))
     }
 
-    /// The result of a change; `None` if its record was not folded or its result is no longer
-    /// retained.
+    /// The result of a change; `None` if its record was not folded or it is no longer retained.
     pub fn result(&self, id: &str) -> Option<&PublishResult> {
         self.results.get(id).map(|change| &change.result)
     }
--- a/kernel/src/dispatch/admission.rs
+++ b/kernel/src/dispatch/admission.rs
@@ -12,8 +12,7 @@
 const LONG_SLACK: Duration = Duration::from_secs(30);
 
 /// Factor by which the estimated wait must exceed the slack before work is rejected on arrival. The
-/// estimate is rough, and work admitted in error is still rejected when its latest start has
-/// passed.
+/// estimate is rough, and work admitted in error is still rejected after its latest start.
 const WAIT_FACTOR: f64 = 1.5;
 
 /// Completed runs required before wait estimates are used.
@@ -99,8 +98,7 @@
         self.time_for(spec.tier, above + ahead)
     }
 
-    /// Time in which the tier completes work of this cost, or `None` while there are too few
-    /// samples.
+    /// Time in which the tier completes work of this cost, or `None` with too few samples.
     fn time_for(&self, tier: Tier, cost: u64) -> Option<Duration> {
         if self.timing.slot_rate.samples() < MIN_SAMPLES {
             return None;
--- a/kernel/src/dispatch/choice.rs
+++ b/kernel/src/dispatch/choice.rs
@@ -1,5 +1,4 @@
-//! Upstream selection: the least loaded upstream, weighted by speed, with a bonus for a cached
-//! prefix.
+//! Upstream selection: the least loaded one, weighted by speed, with a bonus for a cached prefix.
 
 use std::collections::BTreeMap;
 
--- a/kernel/src/dispatch/engine.rs
+++ b/kernel/src/dispatch/engine.rs
@@ -129,8 +129,7 @@
 }
 
 impl PrefixHints {
-    /// Records that the prefix is cached or was just used; evicts the least recently used one when
-    /// full.
+    /// Records that the prefix is cached or was just used; evicts the least recently used if full.
     pub fn add(&mut self, prefix: u64) {
         if prefix == 0 {
             return;
--- a/kernel/src/dispatch/fair.rs
+++ b/kernel/src/dispatch/fair.rs
@@ -1,5 +1,4 @@
-//! The queue of one tier: workspaces share it fairly, and each workspace's calls are ordered by
-//! earliest deadline.
+//! The queue of one tier: workspaces share it fairly, and each one's calls are ordered by deadline.
 //!
 //! Every workspace has a start tag: the cost that it has been served, divided by its weight
 //! (start-time fair queueing, Goyal et al. 1996). A workspace whose tag is within `lead` of the
@@ -25,8 +24,7 @@
 /// Cost by which a workspace of weight 1 may be ahead of the one served least.
 pub const DEFAULT_LEAD: u64 = 8_192;
 
-/// Width, as a power of two in milliseconds, of the deadline intervals by which queued cost is
-/// summed.
+/// Width, as a power of two in ms, of the deadline intervals by which queued cost is summed.
 const BUCKET_BITS: u32 = 8;
 
 #[derive(Debug)]
--- a/kernel/src/dispatch/floors.rs
+++ b/kernel/src/dispatch/floors.rs
@@ -65,8 +65,7 @@
     }
 }
 
-/// The floor of a tier as a fraction of slots: 0 for the highest tier, always above 0 for the
-/// others.
+/// The floor of a tier as a fraction of slots: 0 for the highest tier, above 0 for the others.
 pub fn floor_share(config: &Config, tier: Tier) -> f64 {
     if tier.0 == 0 {
         return 0.0;
--- a/kernel/src/dispatch/notifier.rs
+++ b/kernel/src/dispatch/notifier.rs
@@ -55,8 +55,7 @@
         self.sent.retain(|(_, other), _| *other != node);
     }
 
-    /// The updates that are due, up to the bound for one tick; the next call continues after the
-    /// last one.
+    /// The updates that are due, up to the bound for one tick; the next call goes on from there.
     pub fn due(
         &mut self,
         now: Duration,
--- a/kernel/src/dispatch/preemption.rs
+++ b/kernel/src/dispatch/preemption.rs
@@ -50,8 +50,7 @@
         }
     }
 
-    /// Number of queued calls of the tier that miss their latest start unless a slot is freed for
-    /// them.
+    /// Number of queued calls of the tier that miss their latest start unless slots are freed.
     fn at_risk(&self, now: Duration, tier: Tier) -> u32 {
         let Some(state) = self
             .tiers
--- a/kernel/src/dispatch/runs.rs
+++ b/kernel/src/dispatch/runs.rs
@@ -1,5 +1,4 @@
-//! The life cycle of a run on an upstream, and the statistics taken from it: speed, health and
-//! output lengths.
+//! The life cycle of a run on an upstream, and its statistics: speed, health and output lengths.
 
 use std::time::Duration;
 
@@ -11,8 +10,7 @@
 use crate::dispatch::work::{MAX_REQUEUES, StopCause, WorkArena, WorkItem, WorkKey, WorkRun};
 use crate::ids::UpstreamId;
 
-/// Multiple of the pool's median seconds per token above which an upstream is ejected as a
-/// straggler.
+/// Multiple of the pool's median seconds per token above which a straggler is ejected.
 const STRAGGLER_FACTOR: f64 = 3.0;
 
 /// Multiple of the pool's median seconds per token up to which a straggler counts as recovered.
@@ -356,8 +354,7 @@
 }
 
 /// The end that is sent to the entry node. It includes the tokens of earlier runs of the same
-/// attempt, and says that the attempt did not run only if no run of it can have reached an
-/// upstream.
+/// attempt, and reports it as not run only if no run of it can have reached an upstream.
 fn total_end(item: &WorkItem, ran_before: bool, end: AttemptEnd) -> AttemptEnd {
     let forwarded = item.forwarded;
     match end {
--- a/kernel/src/event.rs
+++ b/kernel/src/event.rs
@@ -151,8 +151,7 @@
         attempt: AttemptId,
         /// Tokens of this attempt that were forwarded to the caller.
         tokens: u32,
-        /// Whether any byte of the offer was written to the socket; true when this node is the
-        /// owner.
+        /// Whether any byte of the offer was written to the socket; true if this node is the owner.
         sent: bool,
     },
     /// An upstream that was leaving is back in service and may receive work again.
@@ -174,8 +173,7 @@
 /// An output of the kernel, carried out by the process around it.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send a message to another node. The edge adds the request body to an offer or a relayed
-    /// call.
+    /// Send a message to another node. The edge adds the body to an offer or a relayed call.
     Send {
         /// Node that the message is sent to; may be this node.
         to: NodeId,
--- a/kernel/src/gateway/cache.rs
+++ b/kernel/src/gateway/cache.rs
@@ -15,8 +15,7 @@
 /// Share of the cache that is assumed to be available for parts. Generated tokens, and prompts in
 /// lost heartbeats, occupy space too.
 const USABLE_SHARE: f64 = 0.9;
-/// Number of recorded parts above which old ones are removed: limits memory to some 100 kB per
-/// engine.
+/// Number of parts above which old ones are removed: limits memory to some 100 kB per engine.
 const MAX_PARTS: usize = 4096;
 
 /// Time and occupancy at which a cache is examined.
@@ -42,8 +41,7 @@
 }
 
 impl PromptCache {
-    /// Records that a call of this node adds `tokens` to the cache of an engine, which holds `size`
-    /// tokens.
+    /// Records that a call of this node adds `tokens` to an engine's cache of `size` tokens.
     pub fn record_tokens(&mut self, tokens: u32, size: u64) {
         self.size = Some(size);
         self.own_tokens += u64::from(tokens);
--- a/kernel/src/gateway/capacity.rs
+++ b/kernel/src/gateway/capacity.rs
@@ -11,8 +11,7 @@
 /// Share of the KV cache that calls may occupy. The rest is for tokens cached between calls.
 const CACHE_SHARE: f64 = 0.85;
 /// Share of slots and cache that the least urgent calls leave free. A surge fills all engines up to
-/// the share of the least urgent tier, so the difference between two tiers has to fit a prompt or
-/// two.
+/// the share of the least urgent tier, so the difference between tiers has to fit a prompt or two.
 const RESERVED_SHARE: f64 = 0.3;
 /// Maximum share of an engine's slots that a node leaves to nodes that rank before it there.
 /// Without this order all nodes would take the slot that becomes free, since all learn of it from
--- a/kernel/src/gateway/choice.rs
+++ b/kernel/src/gateway/choice.rs
@@ -1,8 +1,6 @@
-//! Selects the upstream that gets a call, and the upstream from which it fetches cached parts of
-//! the prompt.
+//! Selects the upstream that gets a call, and the one from which it fetches cached prompt parts.
 //!
-//! Costs are in thousandths of the call's own latency target: a cost of 1,000 is a wait as long as
-//! the target.
+//! Costs are in thousandths of the call's latency target: 1,000 is a wait as long as the target.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -191,8 +189,7 @@
     pub rank: usize,
 }
 
-/// Largest number of tokens of the prompt's shared parts that any upstream has cached or is about
-/// to prefill.
+/// Largest number of tokens of shared parts that any upstream has cached or is about to prefill.
 fn known_tokens(all: &[UpstreamCandidate], input: &ChoiceInput) -> u32 {
     let tokens = all.iter().map(|candidate| cached_tokens(candidate, input));
     tokens.max().unwrap_or(0)
--- a/kernel/src/gateway/crashes.rs
+++ b/kernel/src/gateway/crashes.rs
@@ -98,8 +98,7 @@
         self.runs.len() >= QUARANTINE_CRASHES
     }
 
-    /// Whether all nodes have to agree on the record: the content is quarantined or was cleared
-    /// before.
+    /// Whether all nodes have to agree on the record: the content is quarantined or was cleared.
     fn is_decided(&self) -> bool {
         self.is_quarantined() || self.round > 0
     }
@@ -161,8 +160,7 @@
 }
 
 impl CrashLedger {
-    /// Records that the connection to this run of an upstream broke during a call with this
-    /// content.
+    /// Records that the connection to a run of an upstream broke during a call with this content.
     pub fn record_crash(&mut self, content: ContentDigest, run: u64, now: Duration) -> CrashChange {
         let known = self.records.get(&content);
         let report = CrashReport {
@@ -218,8 +216,7 @@
     }
 
     /// Decides whether a call with this content may be sent. `may_try` returns whether this node is
-    /// the one that makes trials. A trial covers one attempt: each further one needs a new
-    /// decision.
+    /// the one that makes trials. A trial is one attempt: each further one needs a new decision.
     pub fn decide(
         &self,
         content: ContentDigest,
@@ -283,8 +280,7 @@
         reports.take(MAX_UPDATES).collect()
     }
 
-    /// Reports on all contents that are quarantined or were cleared, on which all nodes have to
-    /// agree.
+    /// Reports on contents that are quarantined or were cleared, on which all nodes have to agree.
     pub fn decided_reports(&self, now: Duration) -> Vec<CrashReport> {
         let decided = self
             .records
@@ -295,8 +291,7 @@
             .collect()
     }
 
-    /// Digest of the quarantined and cleared contents, to compare with other nodes; 0 if there are
-    /// none.
+    /// Digest of the quarantined and cleared contents, to compare with other nodes; 0 if none.
     pub fn digest(&self) -> u64 {
         self.digest
     }
--- a/kernel/src/gateway/duty.rs
+++ b/kernel/src/gateway/duty.rs
@@ -1,5 +1,4 @@
-//! The lease on the platform's duties: requests to the platform that only one node at a time may
-//! send.
+//! The lease on the platform's duties: requests to the platform that one node at a time may send.
 //!
 //! Its records are in a topic of the platform's log. They are appended on condition that the topic
 //! ends at a given offset, so an accepted claim was made with all earlier records known. The log
@@ -175,8 +174,7 @@
         self.state.renew_now(now);
     }
 
-    /// Record that claims or renews the lease; `None` if none is due or the topic must be read
-    /// first.
+    /// Record that claims or renews the lease; `None` if none is due or the topic is unread.
     pub fn claim(&mut self, now: Duration) -> Option<DutyClaim> {
         let (era, at) = (self.era?, self.end?);
         let lease = self.state.claim(self.node, self.incarnation, now)?;
@@ -250,8 +248,7 @@
         &self.engines
     }
 
-    /// Sets the number of engines that this holder decided on for a pool; the next renewal persists
-    /// it.
+    /// Sets the number of engines decided on for a pool, which the next renewal persists.
     pub fn decide_engines(&mut self, pool: &str, total: u32) {
         self.engines.insert(pool.into(), total);
     }
--- a/kernel/src/gateway/entries.rs
+++ b/kernel/src/gateway/entries.rs
@@ -2,8 +2,7 @@
 
 use crate::gateway::heartbeat::NodeHeartbeat;
 
-/// Minimum number of entries of an availability zone, so that after the loss of one two others
-/// remain.
+/// Minimum number of entries of an availability zone, so that two remain after the loss of one.
 const MIN_ENTRIES: usize = 3;
 /// The same minimum if the next node has much less capacity than the entries: after the loss of
 /// one, one remains.
--- a/kernel/src/gateway/fleet.rs
+++ b/kernel/src/gateway/fleet.rs
@@ -249,8 +249,7 @@
         1 + live.count() as u32
     }
 
-    /// Number of nodes of the fleet as counted by the hubs, but at least the number that this node
-    /// knows.
+    /// Number of nodes of the fleet as counted by the hubs, but at least that of nodes known here.
     pub fn size(&self, now: Duration) -> u32 {
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         let mut reported = 0;
--- a/kernel/src/gateway/fleet/hubs.rs
+++ b/kernel/src/gateway/fleet/hubs.rs
@@ -12,8 +12,7 @@
 
 /// Number of hubs of an availability zone: after the loss of two at once, one remains.
 const HUBS: usize = 3;
-/// Time without a heartbeat after which nodes that send to a hub skip it: two of its heartbeats may
-/// be lost.
+/// Time without a heartbeat after which nodes that send to a hub skip it: two may be lost.
 const HUB_SILENT_AFTER: Duration = Duration::from_millis(2500);
 /// Time without a heartbeat after which a hub no longer counts as a reader of the store: one
 /// heartbeat may be lost.
--- a/kernel/src/gateway/gossip.rs
+++ b/kernel/src/gateway/gossip.rs
@@ -16,8 +16,7 @@
 
 /// Interval between two checks for due heartbeats, on a node without calls.
 const IDLE_TICK: Duration = Duration::from_millis(200);
-/// The same interval on a node with calls: about as often as an engine under load starts and ends
-/// one.
+/// The same interval on a node with calls: about as often as a busy engine starts and ends one.
 const BUSY_TICK: Duration = Duration::from_millis(50);
 /// The same interval on a node that knows no other live one: when all nodes start at once, seeds
 /// may begin to listen after its first request.
@@ -27,8 +26,7 @@
 
 /// Interval between heartbeats of a hub without calls to the other hubs of its zone.
 const HUB_INTERVAL: Duration = Duration::from_millis(800);
-/// Interval between heartbeats to hubs from a node without calls that is no hub: its state seldom
-/// changes.
+/// Interval between heartbeats to hubs from other nodes without calls: their state seldom changes.
 const MEMBER_INTERVAL: Duration = Duration::from_millis(800);
 /// Time within which a hub sends a heartbeat to each node of its zone. With three hubs a node
 /// receives one about every 0.3 s.
--- a/kernel/src/gateway/health.rs
+++ b/kernel/src/gateway/health.rs
@@ -38,8 +38,7 @@
 }
 
 impl UpstreamHealth {
-    /// Records that the first part of a successful answer arrived: the upstream is no longer backed
-    /// off.
+    /// Records that the first part of a successful answer arrived, which ends a back-off.
     pub fn answered(&mut self, now: Duration) {
         self.backoffs = 0;
         self.backoff_until = None;
--- a/kernel/src/gateway/heartbeat.rs
+++ b/kernel/src/gateway/heartbeat.rs
@@ -106,8 +106,7 @@
     pub version: u64,
     /// Whether the store answers it, as far as it knows.
     pub store_reachable: bool,
-    /// Time since the store answered any node that it knows of, in ms; `None` if it knows of no
-    /// answer.
+    /// Time since the store answered any node, as far as it knows, in ms; `None` if it never did.
     pub store_age_ms: Option<u64>,
     /// Digest of the upstreams that it knows and of those that left.
     pub registry_digest: u64,
@@ -189,8 +188,7 @@
         self.work.as_ref().is_some_and(|work| !work.is_empty())
     }
 
-    /// Time since the store answered any node that the sender knows of; `None` if it knows of no
-    /// answer.
+    /// Time since the store answered any node, as far as the sender knows; `None` if it never did.
     pub fn store_age(&self) -> Option<Duration> {
         self.store_age_ms.map(Duration::from_millis)
     }
--- a/kernel/src/gateway/lag.rs
+++ b/kernel/src/gateway/lag.rs
@@ -1,5 +1,4 @@
-//! Tracks how long a node has lacked a version that others have, and when it reads the version from
-//! the store.
+//! Tracks how long a node lacks a version that others have, and when it reads it from the store.
 
 use std::time::Duration;
 
--- a/kernel/src/gateway/load.rs
+++ b/kernel/src/gateway/load.rs
@@ -55,8 +55,7 @@
 /// Time within which the other sending nodes of a zone learn of a call: two heartbeat intervals.
 const UNREPORTED_TIME: Duration = Duration::from_millis(100);
 
-/// Prompt tokens that an engine prefills in a ms. It serves only as a scale: engines in use prefill
-/// about 50.
+/// Prompt tokens that an engine prefills per ms, as a scale: engines in use prefill about 50.
 pub const TOKENS_PER_MS: f64 = 50.0;
 /// Time from sending a call to the end of its prefill, in addition to the prefill of prompts queued
 /// before it: its own prompt and some steps.
@@ -106,8 +105,7 @@
         self.own.prompt_tokens = self.own.prompt_tokens.saturating_sub(tokens);
     }
 
-    /// Removes a call from this node's work. Its prompt must have been removed with `record_prefill`
-    /// before.
+    /// Removes a call from this node's work, after its prompt was removed with `record_prefill`.
     pub fn end(&mut self, item: WorkItem) {
         self.own.calls = self.own.calls.saturating_sub(1);
         self.own.held_tokens = self.own.held_tokens.saturating_sub(item.held_tokens);
--- a/kernel/src/gateway/outcome.rs
+++ b/kernel/src/gateway/outcome.rs
@@ -67,8 +67,7 @@
     }
 }
 
-/// Decides the next step after an attempt. `may_retry` is whether time, attempts and budget allow
-/// one more.
+/// Decides the next step after an attempt. `may_retry`: time, attempts and budget allow one more.
 pub fn next_step(
     end: AttemptEnd,
     safety: CallSafety,
--- a/kernel/src/gateway/pace.rs
+++ b/kernel/src/gateway/pace.rs
@@ -44,8 +44,7 @@
         self.expected_duration(events * COUNTED_SHARE) <= left
     }
 
-    /// Expected duration of a stream with this number of events; zero before the first stream was
-    /// recorded.
+    /// Expected duration of a stream with this number of events; zero before any was recorded.
     pub fn expected_duration(&self, events: f64) -> Duration {
         let first = self.first.unwrap_or_default();
         let event = self.event.unwrap_or_default();
--- a/kernel/src/gateway/partition.rs
+++ b/kernel/src/gateway/partition.rs
@@ -14,8 +14,7 @@
 
 /// Share of a reserved engine's slots that tight streams fill before one more engine is reserved:
 /// the rest is for a burst until the next heartbeats of other nodes, and for short calls beside
-/// them. A lower share would let streams occupy most of a zone's engines in a surge of long
-/// prompts.
+/// them. A lower share would give streams most of a zone's engines in a surge of long prompts.
 const TIGHT_FILL: f64 = 0.85;
 /// Share of an engine's slots that other calls fill: their long prompts fill its cache before more
 /// slots are taken.
--- a/kernel/src/gateway/pause.rs
+++ b/kernel/src/gateway/pause.rs
@@ -9,8 +9,7 @@
 }
 
 impl UpstreamPause {
-    /// Records that the upstream accepts no calls for a while. A shorter pause does not end a
-    /// longer one.
+    /// Records that the upstream accepts no calls for a while. A longer pause is not shortened.
     pub fn extend(&mut self, pause: Duration, now: Duration) {
         self.until = self.until.max(Some(now.saturating_add(pause)));
     }
--- a/kernel/src/gateway/registry.rs
+++ b/kernel/src/gateway/registry.rs
@@ -190,8 +190,7 @@
         Some(key)
     }
 
-    /// Records that an upstream announced in an answer that it leaves. Returns whether that is a
-    /// change.
+    /// Records that an upstream announced in an answer that it leaves. Returns whether that is new.
     pub fn record_announcement(&mut self, key: UpstreamKey, now: Duration) -> bool {
         let upstream = self.upstreams.get_mut(&key);
         let is_change = upstream.is_some_and(|upstream| upstream.leave(LeavingCause::Announced));
--- a/kernel/src/gateway/reports.rs
+++ b/kernel/src/gateway/reports.rs
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Newest window in the log; 0 if there is none. Nodes need not send counts up to it again.
+    /// Newest window in the log; 0 if there is none. All windows up to it are in the log or past
+    /// their time, so nodes need not send their counts again.
     pub fn written_through(&self) -> u64 {
         self.windows.keys().next_back().copied().unwrap_or(0)
     }
--- a/kernel/src/gateway/rules.rs
+++ b/kernel/src/gateway/rules.rs
@@ -1,5 +1,4 @@
-//! The ordered rules that determine a call's class and pool, and the keys that authenticate
-//! callers.
+//! The rules that determine a call's class and pool, in order, and the keys of callers.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
--- a/kernel/src/gateway/scaling.rs
+++ b/kernel/src/gateway/scaling.rs
@@ -41,8 +41,7 @@
 const UNANSWERED_DELAY: Duration = Duration::from_secs(1);
 /// Time after their start within which ordered engines appear in the registry.
 const LATE_START: Duration = Duration::from_secs(3);
-/// Time between two orders for fewer spot engines, each of which drains an engine and loses its
-/// cache.
+/// Time between two orders for fewer spot engines, each of which drains one and loses its cache.
 const SHRINK_INTERVAL: Duration = Duration::from_secs(20);
 
 /// The platform's terms for ordering a pool's engines.
@@ -354,8 +353,7 @@
         self.first_at.is_some() && kinds.any(|kind| kind == EngineKind::Firm)
     }
 
-    /// Number of spot engines that each zone has to add to replace those of zones where none are
-    /// available.
+    /// Number of spot engines that each zone has to add for zones where none are available.
     fn spot_shortage(
         &self,
         zones: &BTreeMap<Box<str>, ZoneEngines>,
--- a/kernel/src/gateway/throttle.rs
+++ b/kernel/src/gateway/throttle.rs
@@ -1,5 +1,4 @@
-//! Limits that overloaded upstreams advertise: requests per second that they accept from all nodes
-//! together.
+//! Limits that overloaded upstreams advertise: requests per second from all nodes together.
 
 use std::time::Duration;
 
--- a/kernel/src/gateway/usage.rs
+++ b/kernel/src/gateway/usage.rs
@@ -125,8 +125,7 @@
         at >= end + MAX_SETTLE_TIME || awaited.all(|updated| *updated >= end)
     }
 
-    /// Age of the oldest report that counts for a window, at a time since 1970; zero if there is
-    /// none.
+    /// Age of the oldest report that counts for a window, at a time since 1970; zero without any.
     pub fn oldest_input(&self, window: u64, at: Duration) -> Duration {
         let sources = self
             .remote
--- a/kernel/src/gateway/waiting.rs
+++ b/kernel/src/gateway/waiting.rs
@@ -1,8 +1,7 @@
 //! Queue of calls that wait for capacity at an upstream: the most urgent first, and among equals
 //! those that can still meet their target.
 //!
-//! With more calls than capacity, an order by deadline alone would make every call wait until it is
-//! late.
+//! With more calls than capacity, an order by deadline alone would make all calls late.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/kernel/src/keys.rs
+++ b/kernel/src/keys.rs
@@ -1,5 +1,4 @@
-//! Idempotency keys: each is minted by one run of one node, and only that run may run its call,
-//! once.
+//! Idempotency keys: each is minted by one run of a node; only that run may run its call, once.
 //!
 //! The text of a key is `mb1.NODE.INCARNATION.SEQUENCE.SECOND.MAC`: the minter, a number that the
 //! minter never uses twice, the second of the minter's clock at which the key was minted, and a
--- a/kernel/src/limits.rs
+++ b/kernel/src/limits.rs
@@ -64,8 +64,7 @@
     },
 }
 
-/// Most demand messages that a node sends at one tick, to stay within the budget of control
-/// traffic.
+/// Most demand messages of a node at one tick, to stay within the budget of control traffic.
 const MAX_DEMANDS_PER_TICK: usize = 4;
 
 /// Demand messages that a node sends per second over all workspaces, and the largest burst. Without
--- a/kernel/src/limits/allowance.rs
+++ b/kernel/src/limits/allowance.rs
@@ -15,16 +15,14 @@
 /// Shortest time between two demand messages.
 const MIN_DEMAND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Fraction of its time left that a call above the rate may wait for its turn, and the longest such
-/// wait.
+/// Fraction of its time left that a call above the rate may wait, and the longest such wait.
 const PACE_SHARE: f64 = 0.25;
 const LONGEST_PACE: Duration = Duration::from_secs(5);
 
 /// Shortest time between two demand messages while calls wait for a larger share.
 const MIN_GROWTH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a call waits for a larger share: the limiter may have to reclaim it from another node
-/// first.
+/// How long a call waits for a larger share: the limiter may first have to reclaim it.
 const GROWTH_WAIT: Duration = Duration::from_millis(100);
 
 /// Time after which unchanged demand is sent again.
@@ -36,8 +34,7 @@
 /// Averaging time of the arrival rate, in seconds.
 const RATE_WINDOW: f64 = 2.0;
 
-/// Factor by which the requested share exceeds the measured demand, so that small growth needs no
-/// message.
+/// Factor by which the requested share exceeds the demand, so that small growth needs no message.
 const HEADROOM: f64 = 1.25;
 
 /// A call that waits for a share of its workspace's limits.
@@ -181,8 +178,7 @@
         waited.as_secs_f64() + turn <= longest.as_secs_f64()
     }
 
-    /// Refills a token bucket that contains at most one second's worth of calls, and at least one
-    /// call.
+    /// Refills a token bucket, whose size is one second's worth of calls, and at least one call.
     fn refill(&mut self, now: Duration, rate: f64) {
         let time = now.saturating_sub(self.refilled).as_secs_f64();
         self.refilled = now;
@@ -206,8 +202,7 @@
         }
     }
 
-    /// Whether an arrival must send the demand at once: there is no share, and no demand was sent
-    /// recently.
+    /// Whether an arrival must send the demand at once: there is no share or recent demand.
     pub fn needs_first_share(&self, now: Duration) -> bool {
         self.leased_share(now).is_none()
             && (self.first_demand.is_none() || now >= self.demand_sent + MIN_DEMAND_INTERVAL)
--- a/kernel/src/membership.rs
+++ b/kernel/src/membership.rs
@@ -1,5 +1,4 @@
-//! The plug-in that tracks which nodes exist, which are live or leaving, and which upstreams are
-//! leaving.
+//! The plug-in that tracks which nodes exist, are live or leaving, and which upstreams leave.
 //!
 //! The platform's host list defines which nodes exist. Nodes of one group probe each other to
 //! detect failures ([`group`], [`probe`]). Updates are gossiped: sent to the group at once,
--- a/kernel/src/membership/gossip.rs
+++ b/kernel/src/membership/gossip.rs
@@ -16,8 +16,7 @@
 /// zone to its own zone.
 const BACKUP_BRIDGE_DELAY: Duration = Duration::from_millis(300);
 
-/// Number of bridges per zone that propagate its updates at once; the others take part in repairs
-/// only.
+/// Number of bridges per zone that propagate its updates at once; others only repair differences.
 const PROPAGATING_BRIDGES: usize = 2;
 
 impl MembershipTable {
--- a/kernel/src/membership/group.rs
+++ b/kernel/src/membership/group.rs
@@ -8,8 +8,7 @@
 use crate::membership::table::NodeTable;
 use crate::plugin::NodeProfile;
 
-/// Largest fleet, in nodes, that forms a single group. In a larger fleet each availability zone is
-/// a group.
+/// Largest fleet, in nodes, that forms one group; in a larger one each availability zone is one.
 pub const SMALL_FLEET: usize = 40;
 
 /// Number of nodes per zone that exchange messages with other zones.
@@ -58,8 +57,7 @@
         group
     }
 
-    /// The next node after `node` on the ring, which `node` probes regularly; `None` if the ring is
-    /// empty.
+    /// The next node on the ring, which `node` probes regularly; `None` if the ring is empty.
     pub fn successor(&self, node: NodeId) -> Option<NodeId> {
         let next = self.ring.partition_point(|other| *other < node);
         self.ring.get(next).or(self.ring.first()).copied()
--- a/kernel/src/membership/message.rs
+++ b/kernel/src/membership/message.rs
@@ -1,5 +1,4 @@
-//! Messages of the membership protocol. Tuples and one-letter names keep a probe at a few tens of
-//! bytes.
+//! Messages of the membership protocol. Tuples and short names keep a probe at a few tens of bytes.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,8 +12,7 @@
 /// Size of a TCP acknowledgement without data, in bytes (IPv4 and TCP with timestamps).
 pub const ACK_BYTES: usize = 52;
 
-/// Whether an upstream is leaving: upstream, version, flags (1: leaving, 2: reported by the
-/// upstream itself).
+/// Whether an upstream leaves: upstream, version, flags (1: leaving, 2: reported by the upstream).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamUpdate(pub UpstreamId, pub u32, pub u8);
 
@@ -47,8 +45,7 @@
     /// Acknowledges a ping: its sequence number, digest of the sender's records, updates.
     #[serde(rename = "a")]
     Ack(u32, u32, UpdateBatch),
-    /// Requests that the receiver ping another node and report an acknowledgement: sequence number,
-    /// node.
+    /// Requests that the receiver ping a node and report an acknowledgement: sequence number, node.
     #[serde(rename = "i")]
     ProbeFor(u32, NodeId),
     /// Reports that the node of a [`MembershipMessage::ProbeFor`] acknowledged: its sequence
--- a/kernel/src/membership/probe.rs
+++ b/kernel/src/membership/probe.rs
@@ -351,8 +351,7 @@
         }
     }
 
-    /// Closes a probe that only succeeded indirectly: the target is live, but the link to it is
-    /// suspect.
+    /// Closes a probe that only succeeded indirectly: the target is live, the link to it suspect.
     pub(super) fn handle_reached(&mut self, sequence: u32, now: Duration) {
         if let Some(probe) = self.prober.probes.remove(&sequence) {
             self.suspect_link(probe.target, now);
--- a/kernel/src/membership/sync.rs
+++ b/kernel/src/membership/sync.rs
@@ -14,8 +14,7 @@
 use crate::membership::zone::zone_tag;
 use crate::plugin::Context;
 
-/// Time without new updates before a difference is repaired; updates in transit resolve most
-/// differences.
+/// Time without new updates before a difference is repaired; updates in transit resolve most.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
 /// Minimum time between two repairs that a node requests.
 const MIN_REPAIR_GAP: Duration = Duration::from_millis(500);
@@ -69,8 +68,7 @@
         self.rows.get(peer).is_some_and(|row| row.zone == self.zone)
     }
 
-    /// Digests by tag of the records that this node and `peer` share; digests that are 0 are left
-    /// out.
+    /// Digests by tag of the records that this node and `peer` share; zeros are left out.
     fn shared_digests(&self, peer: NodeId) -> BTreeMap<u32, u32> {
         let same_zone = self.is_in_own_zone(peer);
         let mut digests: BTreeMap<u32, u32> = BTreeMap::new();
@@ -99,8 +97,7 @@
         }
     }
 
-    /// Requests a repair from a peer at the first tick of a run. Before that the edges have no
-    /// addresses.
+    /// Requests a repair at the first tick of a run. Before that the edges have no addresses.
     pub(super) fn tick_repair(&mut self, context: &mut Context<'_>) {
         if self.repair.requested {
             return;
--- a/kernel/src/ownership.rs
+++ b/kernel/src/ownership.rs
@@ -1,5 +1,4 @@
-//! The plug-in that assigns every upstream to one owner node, by rendezvous hashing with bounded
-//! loads.
+//! The plug-in that assigns each upstream to one owner, by rendezvous hashing with bounded loads.
 //!
 //! Rendezvous hashing after Thaler and Ravishankar ("Using name-based mappings to increase hit
 //! rates", 1998); the bound after Mirrokni, Thorup and Zadimoghaddam ("Consistent hashing with
@@ -58,8 +57,7 @@
     zones
 }
 
-/// Nodes that may own upstreams. A suspect node keeps its upstreams, so that a short pause moves
-/// none.
+/// Nodes that may own upstreams. A suspect node keeps its own, so that a short pause moves none.
 fn nodes_by_zone(view: &MemberView) -> NodesByZone {
     let mut zones = NodesByZone::new();
     for (node, member) in &view.members {
--- a/kernel/src/plugin.rs
+++ b/kernel/src/plugin.rs
@@ -86,8 +86,7 @@
     /// The plug-in's section of the state dump. It must not contain secrets, prompts or keys.
     fn dump(&self) -> Value;
 
-    /// Number of calls and other pieces of work in this plug-in that must end before the node may
-    /// exit.
+    /// Number of calls and other work in this plug-in that must end before the node may exit.
     fn open_work(&self) -> usize {
         0
     }
@@ -102,8 +101,7 @@
 pub struct Registration {
     /// Name of the plug-in and of its section in the state dump.
     pub name: &'static str,
-    /// Position in the handling order: each event goes to the plug-ins in ascending order of this
-    /// number.
+    /// Position in the handling order: each event goes to the plug-ins in ascending order.
     pub order: u8,
     /// Creates the plug-in for a node.
     pub build: fn(&NodeProfile) -> Box<dyn Plugin>,
--- a/kernel/src/routing.rs
+++ b/kernel/src/routing.rs
@@ -123,8 +123,7 @@
         }
     }
 
-    /// Reports the outcome of a call to its caller, the node that relayed it and the other
-    /// plug-ins.
+    /// Reports the outcome of a call to its caller, the relaying node and the other plug-ins.
     fn send_outcome(
         &mut self,
         call: CallId,
--- a/kernel/src/routing/attempt.rs
+++ b/kernel/src/routing/attempt.rs
@@ -50,8 +50,7 @@
     Returned(ReturnReason),
     /// The owner reported how it ended.
     Ended(AttemptEnd),
-    /// The edge forwards no more of its tokens, because the link broke or the attempt was
-    /// withdrawn.
+    /// The edge forwards no more of its tokens: the link broke or the attempt was withdrawn.
     Lost {
         /// Tokens of this attempt that were forwarded to the caller.
         tokens: u32,
--- a/kernel/src/routing/checks.rs
+++ b/kernel/src/routing/checks.rs
@@ -102,8 +102,7 @@
         }
     }
 
-    /// Adds a query to the owner of each open attempt, or withdraws an attempt whose owner does not
-    /// reply.
+    /// Adds a query to the owner of each open attempt, or withdraws one whose owner does not reply.
     fn query_owners(&mut self, call: CallId, queries: &mut QueryBatch, context: &mut Context<'_>) {
         let Some(open) = self.calls.get_mut(&call) else {
             return;
--- a/kernel/src/routing/keyed.rs
+++ b/kernel/src/routing/keyed.rs
@@ -1,5 +1,4 @@
-//! Calls with an idempotency key: run here if this run of this node minted the key, relayed to the
-//! minter otherwise.
+//! Calls with an idempotency key: run here if this run minted the key, else relayed to the minter.
 
 use std::time::Duration;
 
@@ -87,8 +86,7 @@
         }
     }
 
-    /// Relays a call to the node that minted its key, or ends it as `unknown` if that run has
-    /// ended.
+    /// Relays a call to the minter of its key, or ends it as `unknown` if that run has ended.
     fn relay(
         &mut self,
         spec: CallSpec,
@@ -170,8 +168,7 @@
         self.finish_relayed(call, minter, CallOutcome::Unknown, context);
     }
 
-    /// Ends the calls relayed to a node that is unreachable or gone as `unknown`, since it may have
-    /// run them.
+    /// Ends calls relayed to a node that is unreachable or gone as `unknown`: it may have run them.
     pub(super) fn end_relayed_to(&mut self, node: NodeId, context: &mut Context<'_>) {
         let lost: Vec<CallId> = self
             .relayed
--- a/kernel/src/routing/offers.rs
+++ b/kernel/src/routing/offers.rs
@@ -20,8 +20,7 @@
 const SEARCH_TIME: Duration = Duration::from_secs(5);
 /// `retry_after` of a call that did not run, unless a better value is known.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Shortest and longest time without a message after which an owner is first queried about an
-/// attempt.
+/// Shortest and longest time without a message before an owner is first queried about an attempt.
 const QUERY_INTERVALS: [Duration; 2] = [Duration::from_secs(2), Duration::from_secs(30)];
 
 /// When a call is retried, and whether the retry budget pays for it.
--- a/kernel/src/routing/open.rs
+++ b/kernel/src/routing/open.rs
@@ -87,8 +87,7 @@
     }
 
     /// The call as it would be offered now. A call that has run in part is past its own target; it
-    /// gets half of the original target again, so that the owner neither rejects it nor queues it
-    /// last.
+    /// gets half of the original target again, so that it is neither rejected nor queued last.
     pub fn offer_spec(&self, now: Duration) -> CallSpec {
         let left = self.deadline.saturating_sub(now);
         let least = if self.may_have_run() {
--- a/kernel/src/routing/owners.rs
+++ b/kernel/src/routing/owners.rs
@@ -168,8 +168,7 @@
         self.loads.values().map(|load| load.open_offers).sum()
     }
 
-    /// The owner to offer a call to, or `None` if there is none besides `tried` and backed-off
-    /// nodes.
+    /// The owner to offer a call to; `None` if all are in `tried` or backed off.
     pub fn choose(
         &self,
         spec: &CallSpec,
--- a/kernel/src/wire.rs
+++ b/kernel/src/wire.rs
@@ -78,8 +78,7 @@
     },
 }
 
-/// Messages about a call with an idempotency key that reached a node other than the issuer of the
-/// key.
+/// Messages about a call with an idempotency key that reached another node than the key's issuer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RelayMessage {
