--- a/daemon/src/calls.rs
+++ b/daemon/src/calls.rs
@@ -43,7 +43,7 @@
     followers: Vec<CallId>,
 }
 
-/// What was done with a chunk of an answer.
+/// Result of the delivery of a chunk of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
     /// Forwarded to the caller, or discarded because the caller has disconnected.
--- a/daemon/src/gateway/relay.rs
+++ b/daemon/src/gateway/relay.rs
@@ -76,7 +76,7 @@
 
 /// An attempt that produced no answer to forward.
 pub struct FailedAttempt {
-    /// How the attempt ended.
+    /// Kind of the failure, which decides whether the call is retried.
     pub end: AttemptEnd,
     /// Details, for the decision line and the caller.
     pub reason: Box<str>,
--- a/daemon/src/links.rs
+++ b/daemon/src/links.rs
@@ -38,7 +38,7 @@
 /// timestamps (RFC 9293) and the header of a masked WebSocket frame (RFC 6455).
 const HEADER_BYTES: u64 = 20 + 32 + 8;
 
-/// Why a link failed.
+/// Reason why a link failed.
 #[derive(Debug, Error)]
 enum LinkError {
     #[error("{0}")]
--- a/daemon/src/platform.rs
+++ b/daemon/src/platform.rs
@@ -61,7 +61,7 @@
     });
 }
 
-/// Why a request to the platform failed.
+/// Reason why a request to the platform failed.
 #[derive(Debug, Error)]
 enum PlatformError {
     #[error("{0}")]
--- a/kernel/src/call.rs
+++ b/kernel/src/call.rs
@@ -52,7 +52,7 @@
     pub resume_from: u32,
 }
 
-/// Why a call was rejected without having run.
+/// Reason why a call was rejected without having run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
@@ -85,7 +85,7 @@
     Cancelled,
 }
 
-/// How a call ended. Every call has exactly one outcome.
+/// End of a call. Every call has exactly one outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum CallOutcome {
@@ -105,7 +105,7 @@
     Unknown,
 }
 
-/// How one attempt ended, as observed by the owner of the upstream.
+/// End of one attempt, as observed by the owner of the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum AttemptEnd {
@@ -130,7 +130,7 @@
     },
 }
 
-/// Why an owner returned work without having started it.
+/// Reason why an owner returned work without having started it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum ReturnReason {
--- a/kernel/src/config/rules.rs
+++ b/kernel/src/config/rules.rs
@@ -25,7 +25,7 @@
     pub streamed: bool,
 }
 
-/// Why a rule did not match a request: the first condition that did not hold.
+/// Reason why a rule did not match a request: the first condition that did not hold.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum RuleMismatch {
     /// The workspace is not in the rule's list.
--- a/kernel/src/dispatch/admission.rs
+++ b/kernel/src/dispatch/admission.rs
@@ -164,8 +164,8 @@
         }
     }
 
-    /// When the first ejected upstream is probed; `None` unless every upstream that could be
-    /// assigned work is ejected.
+    /// Time at which the first ejected upstream is probed; `None` unless every upstream that could
+    /// be assigned work is ejected.
     fn next_probe_at(&self) -> Option<Duration> {
         let engines = self.engines.values();
         let mut engines = engines.filter(|engine| engine.owned && !engine.leaving);
--- a/kernel/src/dispatch/floors.rs
+++ b/kernel/src/dispatch/floors.rs
@@ -8,7 +8,7 @@
 /// Floor of a lower tier that has none in the configuration.
 const DEFAULT_FLOOR: f64 = 0.05;
 
-/// Smallest floor of a lower tier, whatever the configuration says.
+/// Smallest floor of a lower tier, regardless of the configuration.
 const MIN_FLOOR: f64 = 0.01;
 
 /// Largest sum of all floors of one pool.
--- a/kernel/src/dispatch/health.rs
+++ b/kernel/src/dispatch/health.rs
@@ -23,7 +23,7 @@
 pub enum HealthState {
     /// Newly owned: it may still run a former owner's work, which its first load report will show.
     Unproven {
-        /// When this node became the owner.
+        /// Time at which this node became the owner.
         since: Duration,
     },
     /// Assigned work up to its slots.
@@ -31,7 +31,7 @@
     Healthy,
     /// Assigned no work: it failed, was too slow or requested a pause.
     Ejected {
-        /// When to probe it.
+        /// Time at which it is probed.
         until: Duration,
     },
     /// Assigned a single run to test whether it has recovered.
@@ -140,7 +140,7 @@
         self.state = HealthState::Ejected { until };
     }
 
-    /// When it is due for a probe, or `None` unless it is ejected.
+    /// Time at which it is due for a probe; `None` unless it is ejected.
     pub fn probe_due(&self) -> Option<Duration> {
         match self.state {
             HealthState::Ejected { until } => Some(until),
--- a/kernel/src/dispatch/pool.rs
+++ b/kernel/src/dispatch/pool.rs
@@ -52,7 +52,7 @@
     Refuse(WorkKey, Refusal),
 }
 
-/// Why work was rejected, and when the caller should retry.
+/// Reason for a rejection, and the time after which the caller should retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Reason sent to the entry node.
--- a/kernel/src/dispatch/runs.rs
+++ b/kernel/src/dispatch/runs.rs
@@ -22,7 +22,7 @@
 /// Speed samples that weigh most.
 const SPEED_WINDOW: u32 = 24;
 
-/// What happens to a piece of work when its run ends.
+/// Next state of a piece of work whose run has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
     /// It goes back into the queue.
--- a/kernel/src/dispatch/work.rs
+++ b/kernel/src/dispatch/work.rs
@@ -12,7 +12,7 @@
 /// All work that a node has accepted as an owner.
 pub type WorkArena = Arena<WorkItem>;
 
-/// How often an owner may requeue one attempt.
+/// Number of times that an owner may requeue one attempt.
 pub const MAX_REQUEUES: u8 = 3;
 
 /// A piece of work at its owner.
@@ -22,7 +22,7 @@
     pub work: WorkSpec,
     /// The entry node that offered it.
     pub entry: NodeId,
-    /// When its class's latency target is missed.
+    /// Time at which its class's latency target is missed.
     pub deadline: Duration,
     /// Latest start that still meets the deadline, as estimated when it was offered.
     pub latest_start: Duration,
@@ -30,7 +30,7 @@
     pub cost: u64,
     /// Tokens forwarded in earlier runs of this attempt.
     pub forwarded: u32,
-    /// How often it was requeued.
+    /// Number of times that it was requeued.
     pub requeues: u8,
     /// Whether an earlier run of this attempt may have reached an upstream.
     pub ran: bool,
@@ -64,21 +64,21 @@
 pub struct WorkRun {
     /// Upstream whose slot the run occupies.
     pub upstream: UpstreamId,
-    /// When it was dispatched.
+    /// Time at which it was dispatched.
     pub started: Duration,
     /// Whether bytes of it may have left the socket.
     pub sent: bool,
     /// Tokens received in this run so far.
     pub tokens: u32,
-    /// When the newest tokens arrived; the start time before the first.
+    /// Time at which the newest tokens arrived; the start time before the first.
     pub last_token: Duration,
-    /// When it counts as stalled unless a token arrives first; `None` if it cannot stall.
+    /// Time at which it counts as stalled unless a token arrives first; `None` if it cannot stall.
     pub stall_due: Option<Duration>,
-    /// Why it was asked to stop; `None` if it was not.
+    /// Reason why it was asked to stop; `None` if it was not.
     pub stop: Option<StopCause>,
 }
 
-/// Why a run was asked to stop.
+/// Reason why a run was asked to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopCause {
     /// The entry node cancelled it.
--- a/kernel/src/event.rs
+++ b/kernel/src/event.rs
@@ -43,7 +43,7 @@
     AttemptEnded {
         /// The attempt that ended.
         attempt: AttemptId,
-        /// How it ended.
+        /// End of the attempt, as observed by this node.
         end: AttemptEnd,
     },
     /// The upstream reported its load.
@@ -111,7 +111,7 @@
     AppendDone {
         /// The ticket that the append was requested with.
         ticket: AppendTicket,
-        /// What is known of the append.
+        /// Result of the append; unknown if no response arrived.
         result: AppendResult,
     },
     /// The platform's current host list.
@@ -189,7 +189,7 @@
     FinishCall {
         /// The call that ended.
         call: CallId,
-        /// How it ended.
+        /// Outcome to report to the caller.
         outcome: CallOutcome,
     },
     /// Forward the tokens of this attempt to the caller, from index `resume_from` on, and drop
--- a/kernel/src/keys.rs
+++ b/kernel/src/keys.rs
@@ -59,7 +59,7 @@
     mac: [u8; MAC_BYTES],
 }
 
-/// Why a key is rejected.
+/// Reason why a key is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum KeyError {
     /// The text does not have the form of a key.
--- a/kernel/src/keys/outcomes.rs
+++ b/kernel/src/keys/outcomes.rs
@@ -23,7 +23,7 @@
 /// Most calls with the same key that are accepted before one of them has run to an end.
 const MAX_CALLS_PER_KEY: usize = 32;
 
-/// Where a call came from, and therefore where its outcome is sent.
+/// Origin of a call, to which its outcome is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOrigin {
     /// A caller of this node.
@@ -46,7 +46,7 @@
     Repeat {
         /// The call that ran.
         original: CallId,
-        /// How it ended.
+        /// Outcome of that call, which the repeat gets too.
         outcome: CallOutcome,
     },
     /// The same message arrived twice.
--- a/kernel/src/leases.rs
+++ b/kernel/src/leases.rs
@@ -1,7 +1,7 @@
 //! The lease on sending orders to engines, and the orders themselves.
 //!
-//! One node at a time sends orders: the holder of the lease on the log. A node that wants an order
-//! sent forwards it to the holder, or to the node that should claim the lease, and repeats this
+//! One node at a time sends orders: the holder of the lease on the log. A node that requests an
+//! order forwards it to the holder, or to the node that should claim the lease, and repeats this
 //! until it receives the outcome. Identical orders are sent once.
 
 use std::collections::BTreeMap;
@@ -27,16 +27,16 @@
 pub mod lease;
 pub mod orders;
 
-/// Interval at which a wanted order without an outcome is forwarded again.
+/// Interval at which a requested order without an outcome is forwarded again.
 const FORWARD_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Most orders wanted by one node at a time; further ones are dropped.
+/// Most orders requested by one node at a time; further ones are dropped.
 const MAX_WANTED: usize = 16_384;
 
 /// Seed by which the nodes are ranked as claimants of the lease.
 pub const CLAIM_OCCASION: u64 = 0x6c65_6173;
 
-/// What an engine is ordered to do.
+/// Action that an engine is ordered to take.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "order")]
 pub enum EngineOrder {
@@ -67,7 +67,7 @@
 pub struct OrderRequest {
     /// Upstream that receives the order.
     pub upstream: UpstreamId,
-    /// What it is ordered to do.
+    /// Action that the upstream has to take.
     pub order: EngineOrder,
 }
 
@@ -77,11 +77,11 @@
 pub enum OrderMessage {
     /// To the holder, or the node that should claim the lease: send this order.
     Give(OrderRequest),
-    /// To the node that wanted it: how the order ended.
+    /// To the node that requested it: the outcome of an order.
     Ended {
         /// The order that ended.
         request: OrderRequest,
-        /// How it ended.
+        /// Outcome of the order, which is final.
         outcome: OrderOutcome,
     },
 }
@@ -195,7 +195,7 @@
         }
         let (node, incarnation) = (context.profile.node, context.profile.incarnation);
         if self.lease.is_held_by_other(node, incarnation, context.now) {
-            // The nodes that want these orders forward them to the holder.
+            // The nodes that requested these orders forward them to the holder.
             self.queue.clear();
         }
         if self.leaving || self.queue.is_empty() {
--- a/kernel/src/leases/orders.rs
+++ b/kernel/src/leases/orders.rs
@@ -31,7 +31,7 @@
 /// Outcomes that are retained for the state dump.
 const MAX_OUTCOMES: usize = 32;
 
-/// How an order ended.
+/// Final outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderOutcome {
@@ -49,12 +49,12 @@
     sent: Option<u64>,
 }
 
-/// An order that has ended, and the nodes that wanted it.
+/// An order that has ended, and the nodes that requested it.
 #[derive(Clone, Debug)]
 pub struct EndedOrder {
-    /// Order as its requesters sent it.
+    /// Upstream and action of the order.
     pub request: OrderRequest,
-    /// How it ended.
+    /// Final outcome of the order.
     pub outcome: OrderOutcome,
     /// Nodes to be sent the outcome.
     pub requesters: BTreeSet<NodeId>,
@@ -73,7 +73,7 @@
 }
 
 impl OrderQueue {
-    /// Adds an order that a node wants; drops it if the queue is full.
+    /// Adds an order that a node requests; drops it if the queue is full.
     pub fn add(&mut self, request: &OrderRequest, requester: NodeId) {
         if self.orders.len() >= MAX_ORDERS && !self.orders.contains_key(request) {
             return;
--- a/kernel/src/limits.rs
+++ b/kernel/src/limits.rs
@@ -114,8 +114,8 @@
         limiter_among(&self.nodes, workspace)
     }
 
-    /// When this node replaced another limiter for the workspace, whose shares may still be in use;
-    /// `None` if the last change of membership did not change the limiter.
+    /// Time at which this node replaced another limiter for the workspace, whose shares may still
+    /// be in use; `None` if the last change of membership did not change the limiter.
     fn became_limiter(&self, workspace: WorkspaceId) -> Option<Duration> {
         let same = limiter_among(&self.former_nodes, workspace) == self.limiter(workspace);
         (!same).then_some(self.nodes_changed)
--- a/kernel/src/limits/allowance.rs
+++ b/kernel/src/limits/allowance.rs
@@ -44,7 +44,7 @@
     pub spec: CallSpec,
     /// Idempotency key; `None` if the caller sent none.
     pub key: Option<RequestKey>,
-    /// When it arrived.
+    /// Time at which it arrived.
     pub since: Duration,
 }
 
@@ -233,7 +233,7 @@
         grown || fallen || now >= self.demand_sent + DEMAND_RENEWAL
     }
 
-    /// When the demand was last sent.
+    /// Time at which the demand was last sent.
     pub fn demand_sent_at(&self) -> Duration {
         self.demand_sent
     }
--- a/kernel/src/limits/ledger.rs
+++ b/kernel/src/limits/ledger.rs
@@ -48,8 +48,8 @@
     pub limits: LimitShare,
     /// Number of live nodes.
     pub nodes: usize,
-    /// When this node replaced another limiter; `None` if it was the limiter already before the
-    /// last change of membership.
+    /// Time at which this node replaced another limiter; `None` if it was the limiter already
+    /// before the last change of membership.
     pub became_limiter: Option<Duration>,
 }
 
@@ -176,7 +176,7 @@
             .collect()
     }
 
-    /// What the shares of the other holders leave of the limits.
+    /// Part of the limits that the shares of the other holders leave.
     fn unclaimed(&self, limits: LimitShare, node: NodeId) -> LimitShare {
         let others = || self.holders.iter().filter(|(other, _)| **other != node);
         let rate: f64 = others().map(|(_, holder)| holder.held.rate).sum();
--- a/kernel/src/membership/gossip.rs
+++ b/kernel/src/membership/gossip.rs
@@ -102,7 +102,7 @@
         self.remove_if_gone(node);
     }
 
-    /// When this node sends an update from another zone to its group.
+    /// Time at which this node sends an update from another zone to its group.
     fn group_send_time(&self, now: Duration) -> Duration {
         match self.group.rank {
             None | Some(0) => now,
--- a/kernel/src/membership/table.rs
+++ b/kernel/src/membership/table.rs
@@ -6,7 +6,7 @@
 use crate::membership::record::{NodeHealth, NodeRecord};
 use crate::membership::{HostEntry, Member, NodeState};
 
-/// Everything known of one node.
+/// State of one node, as far as this node knows it.
 #[derive(Clone, Debug)]
 pub struct NodeRow {
     /// The node's last entry in the host list.
@@ -28,8 +28,8 @@
 pub enum LocalSuspicion {
     /// The link to the node is down.
     LinkDown,
-    /// The suspicion timeout of the node expired while no other node of the group was heard from.
-    /// This node may be the isolated one.
+    /// The suspicion timeout of the node expired while no message of another node of the group
+    /// arrived. This node may be the isolated one.
     DeadWhileIsolated,
 }
 
--- a/kernel/src/membership/upstream.rs
+++ b/kernel/src/membership/upstream.rs
@@ -22,7 +22,7 @@
     flags: u8,
     /// Whether the host list showed the upstream as leaving, or not at all, since it was marked.
     gone_since_mark: bool,
-    /// Kernel time since which its own reports say that it is not leaving.
+    /// Kernel time since which its own reports do not mark it as leaving.
     serving_since: Option<Duration>,
 }
 
--- a/kernel/src/record.rs
+++ b/kernel/src/record.rs
@@ -46,7 +46,7 @@
     pub record: Option<Record>,
 }
 
-/// What is known of an append after it ended.
+/// Result of an append, as far as the log reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendResult {
     /// The log confirmed the append.
--- a/kernel/src/routing.rs
+++ b/kernel/src/routing.rs
@@ -35,7 +35,7 @@
 use crate::routing::retry::RetryBudget;
 use crate::wire::{Message, RelayMessage};
 
-/// What happens to an urgent call that waits long at its owner while another owner has capacity.
+/// Handling of an urgent call that waits long at its owner while another owner has capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WaitPolicy {
     /// It keeps waiting.
--- a/kernel/src/routing/attempt.rs
+++ b/kernel/src/routing/attempt.rs
@@ -10,7 +10,7 @@
 use crate::call::{AttemptEnd, ReturnReason};
 use crate::ids::NodeId;
 
-/// How far an attempt has progressed.
+/// Progress of an attempt, as far as the entry node knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptPhase {
     /// Offered to the owner; may be queued there.
@@ -31,9 +31,9 @@
     pub number: u32,
     /// The node that it was offered to.
     pub owner: NodeId,
-    /// How far it has progressed.
+    /// Newest phase that was reported.
     pub phase: AttemptPhase,
-    /// When it was offered.
+    /// Time at which it was offered.
     pub offered: Duration,
     /// Queries to the owner since its last message.
     pub unanswered: u32,
@@ -59,7 +59,7 @@
     },
 }
 
-/// What an update means for the call.
+/// Consequence of an update for the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStatus {
     /// The attempt continues.
@@ -78,7 +78,7 @@
     },
 }
 
-/// Why no part of an attempt ran.
+/// Reason why no part of an attempt ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotRunCause {
     /// The owner returned it.
--- a/kernel/src/routing/load.rs
+++ b/kernel/src/routing/load.rs
@@ -10,7 +10,7 @@
 /// Time without offers for an owner that reported no healthy slot.
 const NO_SLOTS_TIME: Duration = Duration::from_secs(2);
 
-/// What an entry node has recorded of an owner's load.
+/// Load of an owner, as recorded by an entry node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OwnerLoad {
     /// The newest summary and when it arrived; `None` before the first.
--- a/kernel/src/routing/offers.rs
+++ b/kernel/src/routing/offers.rs
@@ -23,7 +23,7 @@
 /// Shortest and longest time without a message before an owner is first queried about an attempt.
 const QUERY_INTERVALS: [Duration; 2] = [Duration::from_secs(2), Duration::from_secs(30)];
 
-/// When a call is retried, and whether the retry budget pays for it.
+/// Kind of a retry: its delay, and whether the retry budget pays for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RetryKind {
     /// The owner was the wrong one and did no work: free, and without delay the first time.
--- a/kernel/src/routing/open.rs
+++ b/kernel/src/routing/open.rs
@@ -12,11 +12,11 @@
 pub struct OpenCall {
     /// The call as it was admitted.
     pub spec: CallSpec,
-    /// Where it came from.
+    /// Origin of the call, to which its outcome is sent.
     pub origin: CallOrigin,
     /// Sequence number of its idempotency key; `None` without a key.
     pub key: Option<u64>,
-    /// When its latency target is missed.
+    /// Time at which its latency target is missed.
     pub deadline: Duration,
     /// Number of the newest attempt; 0 before the first.
     pub number: u32,
@@ -33,15 +33,15 @@
     pub unconfirmed: Vec<u32>,
     /// Owners that returned or failed it, or at which it waited long; cleared if no other is left.
     pub tried: Vec<NodeId>,
-    /// Why the newest attempt did not run; the reason sent if the call is given up.
+    /// Reason why the newest attempt did not run, which is sent if the call is given up.
     pub refusal: RefusalReason,
     /// Retries so far.
     pub retries: u32,
-    /// Since when there has been no reachable owner; `None` while there is one.
+    /// Time since when there has been no reachable owner; `None` while there is one.
     pub searching: Option<Duration>,
     /// Whether the caller left.
     pub cancelled: bool,
-    /// When the call is next checked.
+    /// Time at which the call is next checked.
     pub next_check: Duration,
 }
 
@@ -119,6 +119,6 @@
     pub unanswered: u32,
     /// Time until the next query to the minter.
     pub query_interval: Duration,
-    /// When the call is next checked.
+    /// Time at which the call is next checked.
     pub next_check: Duration,
 }
--- a/kernel/src/routing/owners.rs
+++ b/kernel/src/routing/owners.rs
@@ -37,7 +37,7 @@
 /// Time without offers for a node whose link broke.
 const LINK_BACKOFF: Duration = Duration::from_secs(1);
 
-/// How an owner is selected.
+/// Policy by which an owner is selected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OwnerPolicy {
     /// The least loaded of a small number, the better of two among a large number.
--- a/kernel/src/wire.rs
+++ b/kernel/src/wire.rs
@@ -44,7 +44,7 @@
     Returned {
         /// The returned attempt.
         attempt: AttemptId,
-        /// Why the owner did not start it.
+        /// Reason why the owner did not start it.
         reason: ReturnReason,
         /// Current summary of the owner's queue.
         load: LoadSummary,
@@ -53,7 +53,7 @@
     Ended {
         /// The attempt that ended.
         attempt: AttemptId,
-        /// How it ended.
+        /// End of the attempt, including the tokens of its earlier runs.
         end: AttemptEnd,
         /// Current summary of the owner's queue.
         load: LoadSummary,
@@ -96,7 +96,7 @@
     Finished {
         /// Identifier of the call at the relaying node.
         call: CallId,
-        /// How it ended.
+        /// Outcome of the call at the node that ran it.
         outcome: CallOutcome,
     },
     /// Asks whether this call is still open. Sent after a long time without a message about it.
