--- a/daemon/src/gateway.rs
+++ b/daemon/src/gateway.rs
@@ -87,7 +87,7 @@
     /// Text of the configuration in force and its recent predecessors, from which patches for other
     /// nodes are made.
     pub texts: RefCell<ConfigurationHistory>,
-    /// All known upstreams.
+    /// Upstreams that this node has learned of, with its state for each.
     pub registry: RefCell<UpstreamRegistry>,
     /// The other nodes, as their heartbeats report them.
     pub fleet: RefCell<FleetView>,
@@ -97,7 +97,7 @@
     pub budgets: RefCell<BTreeMap<Box<str>, RetryBudget>>,
     /// Prompt parts sent to upstreams since the last heartbeat: tokens, part id, hash of the run.
     pub sent_parts: RefCell<BTreeSet<(u32, u64, u64)>>,
-    /// Observed pace of streams.
+    /// Observed pace of streams, by kind.
     pub paces: RefCell<BTreeMap<StreamKind, StreamPace>>,
     /// Calls that wait for capacity at an upstream.
     pub waiting: RefCell<WaitList>,
@@ -115,7 +115,7 @@
     pub open_connections: Cell<usize>,
     /// Writer of decision lines.
     pub decisions: DecisionLog,
-    /// Counters and histograms.
+    /// Counters and histograms that the metrics port serves.
     pub metrics: GatewayMetrics,
     /// Wakes the tasks of callers' connections when the node begins to shut down.
     pub shutdown_notify: tokio::sync::Notify,
--- a/daemon/src/refusal.rs
+++ b/daemon/src/refusal.rs
@@ -13,7 +13,7 @@
 /// An error response to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerError {
-    /// HTTP status code.
+    /// HTTP status code of the response.
     pub status: StatusCode,
     /// Machine-readable error code.
     pub code: &'static str,
--- a/kernel/src/config/spec.rs
+++ b/kernel/src/config/spec.rs
@@ -8,7 +8,7 @@
 
 use crate::call::Tier;
 
-/// A service tier.
+/// A service tier and its guaranteed share of slots.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TierSpec {
@@ -19,7 +19,7 @@
     pub floor: f64,
 }
 
-/// A request class.
+/// A class of requests, with its tier and its latency targets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
--- a/kernel/src/dispatch/arena.rs
+++ b/kernel/src/dispatch/arena.rs
@@ -90,7 +90,7 @@
         self.items.get(key.index as usize)?.as_ref()
     }
 
-    /// Number of items.
+    /// Number of items that have not been removed.
     pub fn len(&self) -> usize {
         self.items.len() - self.free.len()
     }
--- a/kernel/src/dispatch/fair.rs
+++ b/kernel/src/dispatch/fair.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Number of queued calls.
+    /// Number of queued calls of all workspaces.
     pub fn len(&self) -> usize {
         self.len
     }
--- a/kernel/src/dispatch/floors.rs
+++ b/kernel/src/dispatch/floors.rs
@@ -46,7 +46,7 @@
         self.credit = self.credit.clamp(-floor * MAX_DEBT, most);
     }
 
-    /// The floor, in slots.
+    /// The floor in a pool with this number of slots, in slots.
     pub fn slots(&self, slots: u32) -> f64 {
         self.share * f64::from(slots)
     }
--- a/kernel/src/dispatch/health.rs
+++ b/kernel/src/dispatch/health.rs
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Puts it into service.
+    /// Puts it into service and resets its failure score.
     pub fn admit(&mut self, now: Duration) {
         self.state = HealthState::Healthy;
         self.failure_score = 0;
--- a/kernel/src/dispatch/pool.rs
+++ b/kernel/src/dispatch/pool.rs
@@ -46,7 +46,7 @@
 pub enum Decision {
     /// Start it on the upstream that its run specifies.
     Start(WorkKey),
-    /// Stop its run.
+    /// Cancel its run on the upstream.
     Stop(WorkKey),
     /// Reject it: it has left the queue without having run.
     Refuse(WorkKey, Refusal),
@@ -68,7 +68,7 @@
     pub tiers: BTreeMap<Tier, TierState>,
     /// Upstreams that this node owns, and former ones that still run its work.
     pub engines: BTreeMap<UpstreamId, EngineState>,
-    /// Expected output lengths.
+    /// Expected output lengths, by class and workspace.
     pub outputs: OutputEstimate,
     /// Throughput and latency of the pool's runs.
     pub timing: PoolTiming,
@@ -131,7 +131,7 @@
         self.engines.values().map(EngineState::capacity).sum()
     }
 
-    /// Slots in use.
+    /// Slots that this node's runs use, in all tiers.
     pub fn running(&self) -> u32 {
         self.tiers.values().map(|tier| tier.running).sum()
     }
--- a/kernel/src/dispatch/tier.rs
+++ b/kernel/src/dispatch/tier.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Removes queued work.
+    /// Removes queued work without charging its workspace.
     pub fn dequeue(&mut self, key: WorkKey, item: &WorkItem) {
         self.queue.remove(queue_item(key, item));
         self.expiry.remove(&(item.latest_start, key));
--- a/kernel/src/gateway/capacity.rs
+++ b/kernel/src/gateway/capacity.rs
@@ -23,8 +23,8 @@
 const PREFILL_SHARE: f64 = 0.5;
 /// Prompt tokens that an engine prefills in one step.
 const CHUNK_TOKENS: u32 = 2048;
-/// Share of a reserved engine's slots with tight streams from which on it accepts no longer prompt
-/// than one step of prefill, except of tight streams.
+/// Share of a reserved engine's slots with tight streams from which on it accepts no prompt of more
+/// than one prefill step, except for another tight stream.
 const UNDISTURBED_SHARE: f64 = 0.125;
 /// Calls per slot of a plain service, which queues a few and ends each within some ms.
 const PLAIN_CALLS_PER_SLOT: f64 = 3.0;
--- a/kernel/src/gateway/choice.rs
+++ b/kernel/src/gateway/choice.rs
@@ -64,13 +64,13 @@
     /// Number of those nodes whose heartbeats stopped: each is assumed to have as much work at
     /// every upstream as this node.
     pub silent_senders: u32,
-    /// Prompt of the call.
+    /// Sizes of the call's prompt, and the parts that it shares with other calls.
     pub prompt: &'a PromptShape,
     /// Target latency of the first event of the answer.
     pub target: Duration,
     /// Tier of the call; 0 is the most urgent.
     pub tier: u8,
-    /// Number of tiers.
+    /// Number of effective tiers.
     pub tiers: u8,
     /// Whether the call's stream needs the shortest gaps between events in its pool.
     pub tight: bool,
--- a/kernel/src/gateway/content.rs
+++ b/kernel/src/gateway/content.rs
@@ -45,7 +45,7 @@
     pub host: &'a str,
     /// HTTP method, such as `POST`.
     pub method: &'a str,
-    /// Path and query.
+    /// Path and query of the request, as the caller sent them.
     pub target: &'a str,
     /// Name of the calling workspace; `None` if the call has none.
     pub workspace: Option<&'a str>,
--- a/kernel/src/gateway/crashes.rs
+++ b/kernel/src/gateway/crashes.rs
@@ -302,7 +302,7 @@
         records.filter(|record| record.is_quarantined()).count()
     }
 
-    /// Removes expired records.
+    /// Removes records whose quarantine or suspicion has expired.
     pub fn expire(&mut self, now: Duration) {
         let count = self.records.len();
         self.records.retain(|_, record| record.ends_at() > now);
--- a/kernel/src/gateway/fleet.rs
+++ b/kernel/src/gateway/fleet.rs
@@ -35,7 +35,7 @@
 /// Time for which a node is assumed to send calls after its heartbeats stopped.
 const SENDER_AGE: Duration = Duration::from_secs(30);
 
-/// State of another node.
+/// Another node, as its own heartbeats and those of others report it.
 #[derive(Clone, Debug)]
 pub struct FleetPeer {
     /// Its newest heartbeat; contains only its card if none was received yet.
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Card of this node.
+    /// Card of this node, as its heartbeats contain it.
     pub fn own(&self) -> &NodeCard {
         &self.own
     }
--- a/kernel/src/gateway/heartbeat.rs
+++ b/kernel/src/gateway/heartbeat.rs
@@ -49,9 +49,9 @@
     pub incarnation: u64,
     /// Availability zone of the node.
     pub zone: Box<str>,
-    /// Address for callers.
+    /// Address on which it accepts callers' requests.
     pub callers: SocketAddr,
-    /// Address for other nodes.
+    /// Address on which it receives heartbeats and serves state to other nodes.
     pub peers: SocketAddr,
     /// Maximum number of open calls that its host can handle.
     pub capacity: u32,
@@ -73,7 +73,7 @@
 pub struct WorkReport {
     /// Hash of the upstream's run.
     pub run: u64,
-    /// Calls in flight there.
+    /// Work of the node's calls that have not ended there.
     pub count: WorkCount,
     /// Prompt tokens that the node's calls added to the upstream's cache since the node started.
     pub taken_tokens: u64,
--- a/kernel/src/gateway/load.rs
+++ b/kernel/src/gateway/load.rs
@@ -27,9 +27,9 @@
 )]
 #[serde(from = "(u32, u32, u32, u32)", into = "(u32, u32, u32, u32)")]
 pub struct WorkCount {
-    /// Calls in flight.
+    /// Calls that were sent and have not ended.
     pub calls: u32,
-    /// Streams in flight that need the shortest gaps between events in their pool.
+    /// Streams among them that need the shortest gaps between events in their pool.
     pub tight_streams: u32,
     /// Prompt tokens of calls whose first token has not arrived.
     pub prompt_tokens: u32,
@@ -118,7 +118,7 @@
         self.others.insert(node.into(), (now, count));
     }
 
-    /// Work of this node.
+    /// Work of this node's own calls.
     pub fn own(&self) -> WorkCount {
         self.own
     }
--- a/kernel/src/gateway/prompt.rs
+++ b/kernel/src/gateway/prompt.rs
@@ -3,7 +3,7 @@
 /// One part of a prompt, identified by its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identifies the part's content.
+    /// Identifier of the part's content, the same in all prompts that contain it.
     pub id: u64,
     /// Length of the part in tokens.
     pub tokens: u32,
--- a/kernel/src/gateway/reports.rs
+++ b/kernel/src/gateway/reports.rs
@@ -25,7 +25,7 @@
 /// A window whose counts are final.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinalWindow {
-    /// Number of the window.
+    /// Number of the window, counted from 1970.
     pub window: u64,
     /// Calls that began in it, by workspace.
     pub counts: WorkspaceCounts,
--- a/kernel/src/gateway/rules.rs
+++ b/kernel/src/gateway/rules.rs
@@ -214,7 +214,7 @@
             .saturating_add(rule.class.tier)
     }
 
-    /// Number of effective tiers.
+    /// Number of effective tiers: the tiers of workspaces times those of rules.
     pub fn tiers(&self) -> u8 {
         let above = self
             .workspaces
@@ -244,7 +244,7 @@
         self.pools.values()
     }
 
-    /// Number of indexed rules.
+    /// Number of indexed rules, without those that an earlier rule with the same prefix hides.
     pub fn rule_count(&self) -> usize {
         self.rules.values().map(BTreeMap::len).sum()
     }
--- a/kernel/src/gateway/usage.rs
+++ b/kernel/src/gateway/usage.rs
@@ -24,7 +24,7 @@
 /// A node's report of one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct WindowUsage {
-    /// Number of the window.
+    /// Number of the window, counted from 1970.
     pub window: u64,
     /// Number of calls by workspace, of some or all workspaces.
     pub counts: Vec<(Box<str>, u64)>,
--- a/kernel/src/gateway/waiting.rs
+++ b/kernel/src/gateway/waiting.rs
@@ -47,7 +47,7 @@
         rank
     }
 
-    /// Removes a call.
+    /// Removes a call that no longer waits.
     pub fn leave(&mut self, pool: &str, rank: WaitRank) {
         self.waiting.remove(&(pool.into(), rank));
     }
@@ -82,7 +82,7 @@
         self.waiting.len()
     }
 
-    /// Whether no call waits.
+    /// Whether no call of any pool waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/kernel/src/limits/ledger.rs
+++ b/kernel/src/limits/ledger.rs
@@ -140,7 +140,7 @@
         grants
     }
 
-    /// Drops expired shares.
+    /// Drops shares whose lease has expired.
     pub fn expire(&mut self, now: Duration) {
         for ledger in self.workspaces.values_mut() {
             ledger.holders.retain(|_, holder| now < holder.expires);
--- a/kernel/src/routing/open.rs
+++ b/kernel/src/routing/open.rs
@@ -35,11 +35,11 @@
     pub tried: Vec<NodeId>,
     /// Reason why the newest attempt did not run, which is sent if the call is given up.
     pub refusal: RefusalReason,
-    /// Retries so far.
+    /// Number of retries so far, which determines the next backoff.
     pub retries: u32,
     /// Time since when there has been no reachable owner; `None` while there is one.
     pub searching: Option<Duration>,
-    /// Whether the caller left.
+    /// Whether it was cancelled because its caller left; it is not offered again then.
     pub cancelled: bool,
     /// Time at which the call is next checked.
     pub next_check: Duration,
--- a/kernel/src/routing/owners.rs
+++ b/kernel/src/routing/owners.rs
@@ -43,7 +43,7 @@
     /// The least loaded of a small number, the better of two among a large number.
     #[default]
     Mixed,
-    /// Always the least loaded.
+    /// Always the least loaded of all candidates.
     LeastLoaded,
     /// Always the least loaded of this many, drawn at random.
     BestOf(u8),
