--- a/daemon/src/gateway/relay.rs
+++ b/daemon/src/gateway/relay.rs
@@ -40,7 +40,7 @@
 const BUSY_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// Longest `Retry-After`, since upstreams may be added before a long pause ends.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
-/// Added to `Retry-After` for each tier if a whole pool pauses, so that urgent ones return first.
+/// Added to `Retry-After` for each tier if a whole pool pauses, so that urgent callers come first.
 const RANK_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Progress of a call over its attempts.
--- a/kernel/src/gateway/health.rs
+++ b/kernel/src/gateway/health.rs
@@ -14,7 +14,7 @@
 /// Consecutive failures after which an upstream is backed off. A healthy one that fails a seventh
 /// of its calls has as many once in 340.
 const CONSECUTIVE_FAILURES: u32 = 3;
-/// Maximum time for which a trial call excludes other calls: some answers take long.
+/// Maximum time for which an upstream counts as backed off during a trial: some answers take long.
 const TRIAL_TIME: Duration = Duration::from_secs(1);
 /// Time for which another node's failure report is valid: three of its longest intervals between
 /// heartbeats.
@@ -88,8 +88,8 @@
         self.backoff_until = self.backoff_until.max(Some(now + REPORT_TTL));
     }
 
-    /// Records that a call is sent to it. While it is unproven that call is a trial, and no others
-    /// are sent.
+    /// Records that a call is sent to it. While it is unproven that call is a trial, during which
+    /// it counts as backed off.
     pub fn attempt_started(&mut self, now: Duration) {
         if self.unproven() && !self.is_backed_off(now) {
             self.trial_until = Some(now + TRIAL_TIME);
@@ -102,7 +102,7 @@
         self.reports_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it gets no calls now: its back-off has not ended, or a trial call is in flight.
+    /// Whether its back-off or a trial lasts: calls go to it only if no healthy one has capacity.
     pub fn is_backed_off(&self, now: Duration) -> bool {
         !self.backoff_left(now).is_zero()
     }
