--- a/daemon/src/frame.rs
+++ b/daemon/src/frame.rs
@@ -10,7 +10,7 @@
 /// The parts of a caller's request that an upstream needs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestParts {
-    /// HTTP method.
+    /// HTTP method of the request to the upstream, such as `POST`.
     pub method: Box<str>,
     /// Path and query, as sent to the upstream.
     pub path: Box<str>,
@@ -18,7 +18,7 @@
     pub content_type: Option<Box<str>>,
     /// The caller's idempotency key; `None` if it sent none.
     pub key: Option<Box<str>>,
-    /// Request body.
+    /// Whole body of the request; empty if the caller sent none.
     pub body: Bytes,
 }
 
@@ -39,8 +39,7 @@
     Choices {
         /// JSON text of the array.
         json: Box<str>,
-        /// Whether it carries a token. Chunks without one do not count as progress when a stream is
-        /// resumed.
+        /// Whether it carries a token. Chunks without one are no progress when a stream is resumed.
         token: bool,
     },
     /// The `usage` object of a completion, as JSON text.
@@ -79,8 +78,7 @@
     /// Owner to entry: a chunk of an attempt's answer, with its index.
     #[serde(rename = "c")]
     Chunk(AttemptId, u32, Chunk),
-    /// Minter of the idempotency key to relaying node: a chunk of a relayed call's answer, with its
-    /// index.
+    /// Minter of the key to relaying node: a chunk of a relayed call's answer, with its index.
     #[serde(rename = "r")]
     Relayed(CallId, u32, Chunk),
 }
--- a/daemon/src/gateway.rs
+++ b/daemon/src/gateway.rs
@@ -87,7 +87,7 @@
     /// Text of the configuration in force and its recent predecessors, from which patches for other
     /// nodes are made.
     pub texts: RefCell<ConfigurationHistory>,
-    /// All known upstreams.
+    /// Upstreams that this node has learned of, with its state for each.
     pub registry: RefCell<UpstreamRegistry>,
     /// The other nodes, as their heartbeats report them.
     pub fleet: RefCell<FleetView>,
@@ -95,10 +95,9 @@
     pub crashes: RefCell<CrashLedger>,
     /// Retry budgets, by pool.
     pub budgets: RefCell<BTreeMap<Box<str>, RetryBudget>>,
-    /// Prompt parts sent to upstreams since the last heartbeat: tokens, part id, hash of the
-    /// upstream's run.
+    /// Prompt parts sent to upstreams since the last heartbeat: tokens, part id, hash of the run.
     pub sent_parts: RefCell<BTreeSet<(u32, u64, u64)>>,
-    /// Observed pace of streams.
+    /// Observed pace of streams, by kind.
     pub paces: RefCell<BTreeMap<StreamKind, StreamPace>>,
     /// Calls that wait for capacity at an upstream.
     pub waiting: RefCell<WaitList>,
@@ -116,7 +115,7 @@
     pub open_connections: Cell<usize>,
     /// Writer of decision lines.
     pub decisions: DecisionLog,
-    /// Counters and histograms.
+    /// Counters and histograms that the metrics port serves.
     pub metrics: GatewayMetrics,
     /// Wakes the tasks of callers' connections when the node begins to shut down.
     pub shutdown_notify: tokio::sync::Notify,
@@ -232,8 +231,7 @@
 
     /// Records the era of an answer from the store. After a new era begins, the store runs from a
     /// copy that is some seconds old: an entry that this copy lacks is not proof of removal until
-    /// writers have had time to write it again. So the store counts as having just failed and
-    /// recovered.
+    /// writers have had time to write it again. The store counts as just recovered from a failure.
     pub fn observe_store_era(&self, era: u64) {
         let known = self.store_era.get();
         if known.is_some_and(|known| known >= era) {
--- a/daemon/src/gateway/admission.rs
+++ b/daemon/src/gateway/admission.rs
@@ -21,8 +21,7 @@
 use crate::gateway::decisions::{Decision, millis};
 use crate::gateway::reply::{self, Reply};
 
-/// `Retry-After` for callers of a node without a configuration, which is usually loaded within that
-/// time.
+/// `Retry-After` for callers of a node without a configuration, which is usually loaded by then.
 const START_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Time for a call that states no deadline.
 const DEFAULT_TIMEOUT: Duration = Duration::from_mins(1);
@@ -32,13 +31,13 @@
 pub struct Call {
     /// Decoded head of the request.
     pub head: CallHead,
-    /// HTTP method.
+    /// HTTP method, which is forwarded unchanged.
     pub method: Method,
     /// Path and query, unchanged.
     pub target: Uri,
     /// End-to-end headers, which are forwarded to the upstream.
     pub headers: HeaderMap,
-    /// Request body.
+    /// Whole body of the request, which is kept for further attempts.
     pub body: Bytes,
     /// Digest of the call's content, the same for each attempt at the same call.
     pub content: ContentDigest,
@@ -48,13 +47,15 @@
     pub pool: Box<str>,
     /// Properties of the pool's engines; `None` for a pool of plain services.
     pub engine: Option<EngineSpec>,
-    /// Whether no other class of the pool requires shorter pauses between events.
+    /// Whether its class has a target for the gaps between events and no other class of the rule's
+    /// pools has a shorter one.
     pub tight: bool,
     /// Tier of the call; 0 is the most urgent.
     pub tier: u8,
-    /// Number of tiers.
+    /// Number of effective tiers in the configuration.
     pub tiers: u8,
-    /// Workspace of the caller; `None` if the rule needs no key.
+    /// Workspace that the caller's key identifies; `None` if none is configured, or if the rule is
+    /// public and no known key was sent.
     pub workspace: Option<Box<str>>,
     /// Time at which the head was read.
     pub started: Duration,
@@ -90,8 +91,7 @@
     }
 }
 
-/// Reads a request to its end and matches it to a rule. The error is the answer to a rejected
-/// request.
+/// Reads a request to its end and matches it to a rule. The error is the answer if it is rejected.
 pub async fn admit(gateway: &Gateway, request: Request<Incoming>) -> Result<Rc<Call>, Reply> {
     let started = gateway.now();
     let (parts, body) = request.into_parts();
--- a/daemon/src/gateway/decisions.rs
+++ b/daemon/src/gateway/decisions.rs
@@ -48,22 +48,21 @@
         bytes: usize,
         /// Time for decoding the text, in us. No call progresses meanwhile.
         decode_us: u64,
-        /// Time since another node first advertised this version or a newer one, in ms; `None` if
-        /// none did.
+        /// Time since a node first advertised this or a newer version, in ms; `None` if none did.
         lag_ms: Option<u64>,
     },
     /// A configuration was rejected; the previous one stays in force.
     ConfigurationRejected {
         /// `store`, or the name of the node that it was fetched from.
         source: &'a str,
-        /// Reason for the event.
+        /// Error in the text.
         reason: &'a str,
     },
     /// The state of an upstream changed.
     UpstreamChanged {
         /// Id of the upstream.
         upstream: &'a str,
-        /// Pool of the upstream or call.
+        /// Pool of the upstream.
         pool: &'a str,
         /// Reason why it accepts no new calls; `None` if it accepts them.
         left: Option<&'a str>,
@@ -94,7 +93,7 @@
     StoreLost {
         /// Reader whose calls are affected, such as `configuration` or `registry`.
         reader: &'a str,
-        /// Reason for the event.
+        /// Error of the failed call.
         reason: &'a str,
     },
     /// The store answers again.
@@ -124,8 +123,7 @@
         workspaces: usize,
         /// Number of calls of these workspaces.
         calls: u64,
-        /// Age of the oldest input: the last counts of the node that has been silent longest, in
-        /// ms.
+        /// Age of the oldest input, the last counts of the node that is silent longest, in ms.
         oldest_input_ms: u64,
     },
     /// The usage of a window was sent to the platform.
@@ -193,7 +191,7 @@
         received: usize,
         /// Duration of the fetch, in ms.
         took_ms: u64,
-        /// Reason for the event.
+        /// Error of the fetch.
         reason: &'a str,
     },
     /// A call was rejected before an upstream was chosen.
@@ -202,9 +200,9 @@
         call: &'a str,
         /// Status of the answer.
         status: u16,
-        /// Reason for the event.
+        /// Reason for the rejection, as sent to the caller.
         reason: &'a str,
-        /// Version of the configuration that was applied to the call.
+        /// Version of the configuration in force; 0 if there is none.
         version: u64,
     },
     /// A call was matched to a rule.
@@ -215,7 +213,7 @@
         content: &'a str,
         /// Name of the first matching rule.
         rule: &'a str,
-        /// Pool of the upstream or call.
+        /// Pool that the rule selected for the call.
         pool: &'a str,
         /// Tier of the call; 0 is the most urgent.
         tier: u8,
@@ -233,7 +231,8 @@
         /// Whether an upstream with capacity was found.
         found: bool,
     },
-    /// All upstreams of a pool asked for a pause, so a call to it is rejected at once.
+    /// All upstreams of a pool that a call could be sent to pause for longer than it may wait, so
+    /// it is rejected.
     PoolPaused {
         /// Id of the call.
         call: &'a str,
@@ -294,8 +293,7 @@
     LimitChanged {
         /// Id of the upstream.
         upstream: &'a str,
-        /// Requests per second from all nodes together; `None` if the upstream no longer announces
-        /// a limit.
+        /// Requests per second from all nodes together; `None` if the limit has ended.
         per_second: Option<f64>,
         /// `own`, or the name of the node that reported it.
         source: &'a str,
@@ -315,8 +313,7 @@
         content: &'a str,
         /// Id of the upstream.
         upstream: &'a str,
-        /// Number of upstream runs that have crashed under this content so far, as far as this node
-        /// knows.
+        /// Number of upstream runs that have crashed under this content, as far as this node knows.
         crashes: usize,
     },
     /// The quarantine of a content began or ended.
--- a/daemon/src/refusal.rs
+++ b/daemon/src/refusal.rs
@@ -13,11 +13,11 @@
 /// An error response to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerError {
-    /// HTTP status code.
+    /// HTTP status code of the response.
     pub status: StatusCode,
     /// Machine-readable error code.
     pub code: &'static str,
-    /// Human-readable description.
+    /// Explanation of the error for a human reader.
     pub message: Box<str>,
     /// Outcome of the call: `not_run`, or `unknown` if it may have run.
     pub outcome: &'static str,
--- a/kernel/src/call.rs
+++ b/kernel/src/call.rs
@@ -52,7 +52,7 @@
     pub resume_from: u32,
 }
 
-/// Why a call was rejected without having run.
+/// Reason why a call was rejected without having run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
@@ -74,8 +74,7 @@
     /// The node is leaving.
     #[display("leaving")]
     Leaving,
-    /// The idempotency key was not issued by this node, has expired, or belongs to another
-    /// workspace.
+    /// The idempotency key was not issued by this node, expired, or is another workspace's.
     #[display("key")]
     Key,
     /// No configuration is in force yet.
@@ -86,7 +85,7 @@
     Cancelled,
 }
 
-/// How a call ended. Every call has exactly one outcome.
+/// End of a call. Every call has exactly one outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum CallOutcome {
@@ -106,7 +105,7 @@
     Unknown,
 }
 
-/// How one attempt ended, as observed by the owner of the upstream.
+/// End of one attempt, as observed by the owner of the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum AttemptEnd {
@@ -124,15 +123,14 @@
         /// Tokens forwarded before the connection broke.
         tokens: u32,
     },
-    /// The router cancelled the attempt, because the caller left or a more urgent call preempted
-    /// it.
+    /// The router cancelled the attempt: the caller left, or a more urgent call preempted it.
     Cancelled {
         /// Tokens forwarded before the cancellation.
         tokens: u32,
     },
 }
 
-/// Why an owner returned work without having started it.
+/// Reason why an owner returned work without having started it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum ReturnReason {
--- a/kernel/src/config/rules.rs
+++ b/kernel/src/config/rules.rs
@@ -25,7 +25,7 @@
     pub streamed: bool,
 }
 
-/// Why a rule did not match a request: the first condition that did not hold.
+/// Reason why a rule did not match a request: the first condition that did not hold.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum RuleMismatch {
     /// The workspace is not in the rule's list.
@@ -233,8 +233,7 @@
 
 type RuleSet = Box<[u64]>;
 
-/// For each value of one field, the rules that may match: those that list the value, and those that
-/// list none.
+/// For each value of one field, the rules that may match: those that list it or list no value.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct FieldIndex {
     any: RuleSet,
--- a/kernel/src/dispatch/floors.rs
+++ b/kernel/src/dispatch/floors.rs
@@ -8,7 +8,7 @@
 /// Floor of a lower tier that has none in the configuration.
 const DEFAULT_FLOOR: f64 = 0.05;
 
-/// Smallest floor of a lower tier, whatever the configuration says.
+/// Smallest floor of a lower tier, regardless of the configuration.
 const MIN_FLOOR: f64 = 0.01;
 
 /// Largest sum of all floors of one pool.
@@ -36,7 +36,7 @@
 
 impl TierFloor {
     /// Adds the time since the last update to the credit: the floor less the slots in use, in
-    /// slot-seconds.
+    /// slot-seconds. Without queued work the credit does not exceed zero.
     pub fn update_credit(&mut self, now: Duration, slots: u32, running: u32, waiting: bool) {
         let time = now.saturating_sub(self.updated).as_secs_f64();
         self.updated = now;
@@ -46,7 +46,7 @@
         self.credit = self.credit.clamp(-floor * MAX_DEBT, most);
     }
 
-    /// The floor, in slots.
+    /// The floor in a pool with this number of slots, in slots.
     pub fn slots(&self, slots: u32) -> f64 {
         self.share * f64::from(slots)
     }
@@ -58,15 +58,14 @@
         f64::from(running + 1) <= floor || (self.credit > 0.0 && may_catch_up)
     }
 
-    /// How far the tier is below its floor, relative to the floor.
+    /// How far the tier is below its floor, including its credit, relative to the floor.
     pub fn shortfall(&self, slots: u32, running: u32) -> f64 {
         let floor = self.slots(slots);
         (floor - f64::from(running) + self.credit) / floor.max(f64::MIN_POSITIVE)
     }
 }
 
-/// The floor of a tier as a fraction of slots: 0 for the highest tier, always above 0 for the
-/// others.
+/// The floor of a tier as a fraction of slots: 0 for the highest tier, above 0 for the others.
 pub fn floor_share(config: &Config, tier: Tier) -> f64 {
     if tier.0 == 0 {
         return 0.0;
--- a/kernel/src/dispatch/health.rs
+++ b/kernel/src/dispatch/health.rs
@@ -9,7 +9,7 @@
 /// Duration of the first ejection; each further one doubles it.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
 
-/// Longest ejection.
+/// Duration that the doubling of ejections does not exceed.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
 
 /// Failure score at which an upstream is ejected.
@@ -23,15 +23,15 @@
 pub enum HealthState {
     /// Newly owned: it may still run a former owner's work, which its first load report will show.
     Unproven {
-        /// When this node became the owner.
+        /// Time at which this node became the owner.
         since: Duration,
     },
-    /// In service.
+    /// Assigned work up to its slots.
     #[default]
     Healthy,
-    /// Out of service.
+    /// Assigned no work: it failed, was too slow or requested a pause.
     Ejected {
-        /// When to probe it.
+        /// Time at which it is probed.
         until: Duration,
     },
     /// Assigned a single run to test whether it has recovered.
@@ -53,7 +53,7 @@
 /// An upstream's health and the failures that led to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineHealth {
-    /// Current state.
+    /// Whether it may be assigned work; [`HealthState::Healthy`] by default.
     pub state: HealthState,
     failure_score: u32,
     ejections: u32,
@@ -140,7 +140,7 @@
         self.state = HealthState::Ejected { until };
     }
 
-    /// When it is due for a probe, or `None` unless it is ejected.
+    /// Time at which it is due for a probe; `None` unless it is ejected.
     pub fn probe_due(&self) -> Option<Duration> {
         match self.state {
             HealthState::Ejected { until } => Some(until),
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Puts it into service.
+    /// Puts it into service and resets its failure score.
     pub fn admit(&mut self, now: Duration) {
         self.state = HealthState::Healthy;
         self.failure_score = 0;
--- a/kernel/src/dispatch/pool.rs
+++ b/kernel/src/dispatch/pool.rs
@@ -46,13 +46,13 @@
 pub enum Decision {
     /// Start it on the upstream that its run specifies.
     Start(WorkKey),
-    /// Stop its run.
+    /// Cancel its run on the upstream.
     Stop(WorkKey),
     /// Reject it: it has left the queue without having run.
     Refuse(WorkKey, Refusal),
 }
 
-/// Why work was rejected, and when the caller should retry.
+/// Reason for a rejection, and the time after which the caller should retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Reason sent to the entry node.
@@ -68,7 +68,7 @@
     pub tiers: BTreeMap<Tier, TierState>,
     /// Upstreams that this node owns, and former ones that still run its work.
     pub engines: BTreeMap<UpstreamId, EngineState>,
-    /// Expected output lengths.
+    /// Expected output lengths, by class and workspace.
     pub outputs: OutputEstimate,
     /// Throughput and latency of the pool's runs.
     pub timing: PoolTiming,
@@ -131,7 +131,7 @@
         self.engines.values().map(EngineState::capacity).sum()
     }
 
-    /// Slots in use.
+    /// Slots that this node's runs use, in all tiers.
     pub fn running(&self) -> u32 {
         self.tiers.values().map(|tier| tier.running).sum()
     }
@@ -217,8 +217,8 @@
         tiers.next().map(|(tier, _)| *tier)
     }
 
-    /// The tier that gets the next free slot: a lower one that is due its floor, else the highest
-    /// with queued work.
+    /// The tier that gets the next free slot: the lower one furthest below its floor that is due
+    /// it, else the highest with queued work.
     fn next_tier(&self, slots: u32) -> Option<Tier> {
         let mut waiting = self
             .tiers
@@ -291,7 +291,7 @@
         tier.add_victim(key, item);
     }
 
-    /// Asks a run to stop, so that it is requeued once its slot is free, or dropped if it was
+    /// Marks a run as stopping, so that it is requeued once its slot is free, or dropped if it was
     /// cancelled. Returns whether this is the first request to stop it.
     pub fn stop(&mut self, key: WorkKey, cause: StopCause, arena: &mut WorkArena) -> bool {
         let item = &mut arena[key];
--- a/kernel/src/dispatch/runs.rs
+++ b/kernel/src/dispatch/runs.rs
@@ -1,5 +1,4 @@
-//! The life cycle of a run on an upstream, and the statistics taken from it: speed, health and
-//! output lengths.
+//! The life cycle of a run on an upstream, and its statistics: speed, health and output lengths.
 
 use std::time::Duration;
 
@@ -11,8 +10,7 @@
 use crate::dispatch::work::{MAX_REQUEUES, StopCause, WorkArena, WorkItem, WorkKey, WorkRun};
 use crate::ids::UpstreamId;
 
-/// Multiple of the pool's median seconds per token above which an upstream is ejected as a
-/// straggler.
+/// Multiple of the pool's median seconds per token above which a straggler is ejected.
 const STRAGGLER_FACTOR: f64 = 3.0;
 
 /// Multiple of the pool's median seconds per token up to which a straggler counts as recovered.
@@ -24,7 +22,7 @@
 /// Speed samples that weigh most.
 const SPEED_WINDOW: u32 = 24;
 
-/// What happens to a piece of work when its run ends.
+/// Next state of a piece of work whose run has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
     /// It goes back into the queue.
@@ -356,8 +354,7 @@
 }
 
 /// The end that is sent to the entry node. It includes the tokens of earlier runs of the same
-/// attempt, and says that the attempt did not run only if no run of it can have reached an
-/// upstream.
+/// attempt, and reports it as not run only if no run of it can have reached an upstream.
 fn total_end(item: &WorkItem, ran_before: bool, end: AttemptEnd) -> AttemptEnd {
     let forwarded = item.forwarded;
     match end {
--- a/kernel/src/dispatch/tier.rs
+++ b/kernel/src/dispatch/tier.rs
@@ -10,7 +10,7 @@
 /// The state of one tier of one pool.
 #[derive(Debug, Default)]
 pub struct TierState {
-    /// Queued work.
+    /// Work that waits for a slot, shared fairly among workspaces.
     pub queue: FairQueue,
     /// The tier's guaranteed fraction of slots.
     pub floor: TierFloor,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Removes queued work.
+    /// Removes queued work without charging its workspace.
     pub fn dequeue(&mut self, key: WorkKey, item: &WorkItem) {
         self.queue.remove(queue_item(key, item));
         self.expiry.remove(&(item.latest_start, key));
--- a/kernel/src/event.rs
+++ b/kernel/src/event.rs
@@ -43,7 +43,7 @@
     AttemptEnded {
         /// The attempt that ended.
         attempt: AttemptId,
-        /// How it ended.
+        /// End of the attempt, as observed by this node.
         end: AttemptEnd,
     },
     /// The upstream reported its load.
@@ -84,7 +84,7 @@
     },
     /// A message from another node, or one that this node sent to itself.
     PeerMessage {
-        /// The sender.
+        /// Node that sent the message; this node for its own messages.
         from: NodeId,
         /// The decoded message.
         message: Message,
@@ -111,7 +111,7 @@
     AppendDone {
         /// The ticket that the append was requested with.
         ticket: AppendTicket,
-        /// What is known of the append.
+        /// Result of the append; unknown if no response arrived.
         result: AppendResult,
     },
     /// The platform's current host list.
@@ -151,8 +151,7 @@
         attempt: AttemptId,
         /// Tokens of this attempt that were forwarded to the caller.
         tokens: u32,
-        /// Whether any byte of the offer was written to the socket; true when this node is the
-        /// owner.
+        /// Whether any byte of the offer was written to the socket; true if this node is the owner.
         sent: bool,
     },
     /// An upstream that was leaving is back in service and may receive work again.
@@ -174,10 +173,9 @@
 /// An output of the kernel, carried out by the process around it.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send a message to another node. The edge adds the request body to an offer or a relayed
-    /// call.
+    /// Send a message to another node. The edge adds the body to an offer or a relayed call.
     Send {
-        /// The receiver.
+        /// Node that the message is sent to; may be this node.
         to: NodeId,
         /// The message without any request body.
         message: Message,
@@ -191,7 +189,7 @@
     FinishCall {
         /// The call that ended.
         call: CallId,
-        /// How it ended.
+        /// Outcome to report to the caller.
         outcome: CallOutcome,
     },
     /// Forward the tokens of this attempt to the caller, from index `resume_from` on, and drop
--- a/kernel/src/gateway/choice.rs
+++ b/kernel/src/gateway/choice.rs
@@ -1,8 +1,6 @@
-//! Selects the upstream that gets a call, and the upstream from which it fetches cached parts of
-//! the prompt.
+//! Selects the upstream that gets a call, and the one from which it fetches cached prompt parts.
 //!
-//! Costs are in thousandths of the call's own latency target: a cost of 1,000 is a wait as long as
-//! the target.
+//! Costs are in thousandths of the call's latency target: 1,000 is a wait as long as the target.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -66,13 +64,13 @@
     /// Number of those nodes whose heartbeats stopped: each is assumed to have as much work at
     /// every upstream as this node.
     pub silent_senders: u32,
-    /// Prompt of the call.
+    /// Sizes of the call's prompt, and the parts that it shares with other calls.
     pub prompt: &'a PromptShape,
     /// Target latency of the first event of the answer.
     pub target: Duration,
     /// Tier of the call; 0 is the most urgent.
     pub tier: u8,
-    /// Number of tiers.
+    /// Number of effective tiers.
     pub tiers: u8,
     /// Whether the call's stream needs the shortest gaps between events in its pool.
     pub tight: bool,
@@ -82,7 +80,7 @@
     pub cache_tokens: u64,
     /// Upstreams that the call was already sent to.
     pub tried: &'a [UpstreamKey],
-    /// Current time.
+    /// Time of the selection, on the monotonic clock.
     pub now: Duration,
 }
 
@@ -105,7 +103,7 @@
     pub fetch_from: Option<UpstreamKey>,
 }
 
-/// Upstream that has the most of a call's prompt cached.
+/// Upstream that has prefilled the most of a call's prompt and is not backed off.
 #[derive(Clone, Copy, Debug)]
 struct FetchSource {
     key: UpstreamKey,
@@ -191,8 +189,7 @@
     pub rank: usize,
 }
 
-/// Largest number of tokens of the prompt's shared parts that any upstream has cached or is about
-/// to prefill.
+/// Largest number of tokens of shared parts that any upstream has cached or is about to prefill.
 fn known_tokens(all: &[UpstreamCandidate], input: &ChoiceInput) -> u32 {
     let tokens = all.iter().map(|candidate| cached_tokens(candidate, input));
     tokens.max().unwrap_or(0)
--- a/kernel/src/gateway/content.rs
+++ b/kernel/src/gateway/content.rs
@@ -43,9 +43,9 @@
 pub struct ContentParts<'a> {
     /// Host that is called.
     pub host: &'a str,
-    /// HTTP method.
+    /// HTTP method, such as `POST`.
     pub method: &'a str,
-    /// Path and query.
+    /// Path and query of the request, as the caller sent them.
     pub target: &'a str,
     /// Name of the calling workspace; `None` if the call has none.
     pub workspace: Option<&'a str>,
--- a/kernel/src/gateway/crashes.rs
+++ b/kernel/src/gateway/crashes.rs
@@ -98,8 +98,7 @@
         self.runs.len() >= QUARANTINE_CRASHES
     }
 
-    /// Whether all nodes have to agree on the record: the content is quarantined or was cleared
-    /// before.
+    /// Whether all nodes have to agree on the record: the content is quarantined or was cleared.
     fn is_decided(&self) -> bool {
         self.is_quarantined() || self.round > 0
     }
@@ -161,8 +160,7 @@
 }
 
 impl CrashLedger {
-    /// Records that the connection to this run of an upstream broke during a call with this
-    /// content.
+    /// Records that the connection to a run of an upstream broke during a call with this content.
     pub fn record_crash(&mut self, content: ContentDigest, run: u64, now: Duration) -> CrashChange {
         let known = self.records.get(&content);
         let report = CrashReport {
@@ -197,7 +195,7 @@
     }
 
     /// Records that a call with this content was answered successfully. Returns whether that ends
-    /// its quarantine.
+    /// its quarantine. The record of content that was never quarantined is removed.
     pub fn record_answer(&mut self, content: ContentDigest, now: Duration) -> bool {
         let Some(record) = self.records.get(&content) else {
             return false;
@@ -218,8 +216,7 @@
     }
 
     /// Decides whether a call with this content may be sent. `may_try` returns whether this node is
-    /// the one that makes trials. A trial covers one attempt: each further one needs a new
-    /// decision.
+    /// the one that makes trials. A trial is one attempt: each further one needs a new decision.
     pub fn decide(
         &self,
         content: ContentDigest,
@@ -283,8 +280,7 @@
         reports.take(MAX_UPDATES).collect()
     }
 
-    /// Reports on all contents that are quarantined or were cleared, on which all nodes have to
-    /// agree.
+    /// Reports on contents that are quarantined or were cleared, on which all nodes have to agree.
     pub fn decided_reports(&self, now: Duration) -> Vec<CrashReport> {
         let decided = self
             .records
@@ -295,8 +291,7 @@
             .collect()
     }
 
-    /// Digest of the quarantined and cleared contents, to compare with other nodes; 0 if there are
-    /// none.
+    /// Digest of the quarantined and cleared contents, to compare with other nodes; 0 if none.
     pub fn digest(&self) -> u64 {
         self.digest
     }
@@ -307,7 +302,7 @@
         records.filter(|record| record.is_quarantined()).count()
     }
 
-    /// Removes expired records.
+    /// Removes records whose quarantine or suspicion has expired.
     pub fn expire(&mut self, now: Duration) {
         let count = self.records.len();
         self.records.retain(|_, record| record.ends_at() > now);
--- a/kernel/src/gateway/fleet.rs
+++ b/kernel/src/gateway/fleet.rs
@@ -35,14 +35,14 @@
 /// Time for which a node is assumed to send calls after its heartbeats stopped.
 const SENDER_AGE: Duration = Duration::from_secs(30);
 
-/// State of another node.
+/// Another node, as its own heartbeats and those of others report it.
 #[derive(Clone, Debug)]
 pub struct FleetPeer {
     /// Its newest heartbeat; contains only its card if none was received yet.
     pub heartbeat: NodeHeartbeat,
     /// Time at which its newest heartbeat was received; `None` if none was.
     pub last_heartbeat_at: Option<Duration>,
-    /// Time at which any heartbeat, its own or another node's, contained its card.
+    /// Time at which a heartbeat, its own or another node's, last contained its card.
     mentioned_at: Duration,
     /// Time since when this node has sent it heartbeats and expects some in return.
     expected_since: Option<Duration>,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Card of this node.
+    /// Card of this node, as its heartbeats contain it.
     pub fn own(&self) -> &NodeCard {
         &self.own
     }
@@ -202,7 +202,8 @@
         }
     }
 
-    /// Removes nodes that no heartbeat has mentioned for a minute.
+    /// Removes nodes that no heartbeat has mentioned for a minute, and the work of nodes whose own
+    /// heartbeats stopped half a minute ago.
     pub fn expire(&mut self, now: Duration) {
         self.peers
             .retain(|_, peer| peer.mentioned_at + EXPIRED_AFTER > now);
@@ -248,8 +249,7 @@
         1 + live.count() as u32
     }
 
-    /// Number of nodes of the fleet as counted by the hubs, but at least the number that this node
-    /// knows.
+    /// Number of nodes of the fleet as counted by the hubs, but at least that of nodes known here.
     pub fn size(&self, now: Duration) -> u32 {
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         let mut reported = 0;
--- a/kernel/src/gateway/gossip.rs
+++ b/kernel/src/gateway/gossip.rs
@@ -16,10 +16,9 @@
 
 /// Interval between two checks for due heartbeats, on a node without calls.
 const IDLE_TICK: Duration = Duration::from_millis(200);
-/// The same interval on a node with calls: about as often as an engine under load starts and ends
-/// one.
+/// The same interval on a node with calls: about as often as a busy engine starts and ends one.
 const BUSY_TICK: Duration = Duration::from_millis(50);
-/// The same interval on a node that has received no heartbeat: when all nodes start at once, seeds
+/// The same interval on a node that knows no other live one: when all nodes start at once, seeds
 /// may begin to listen after its first request.
 const SEEK_TICK: Duration = Duration::from_millis(100);
 /// Tolerance for late timers: a heartbeat that is due within it is not deferred to the next check.
@@ -27,8 +26,7 @@
 
 /// Interval between heartbeats of a hub without calls to the other hubs of its zone.
 const HUB_INTERVAL: Duration = Duration::from_millis(800);
-/// Interval between heartbeats to hubs from a node without calls that is no hub: its state seldom
-/// changes.
+/// Interval between heartbeats to hubs from other nodes without calls: their state seldom changes.
 const MEMBER_INTERVAL: Duration = Duration::from_millis(800);
 /// Time within which a hub sends a heartbeat to each node of its zone. With three hubs a node
 /// receives one about every 0.3 s.
@@ -68,9 +66,9 @@
     /// No node: there is no urgent change.
     #[default]
     None,
-    /// Nodes that send calls.
+    /// Hubs, and nodes that send calls.
     Calls,
-    /// All nodes.
+    /// Every node of the fleet, to which hubs propagate it.
     All,
 }
 
@@ -81,14 +79,14 @@
     pub busy: bool,
     /// Which nodes have to receive a change at once.
     pub urgency: GossipUrgency,
-    /// Current time.
+    /// Time of the check, on the monotonic clock.
     pub now: Duration,
 }
 
 /// Receivers and contents of the heartbeats that are due.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GossipPlan {
-    /// Nodes of its zone that receive its work at upstreams.
+    /// Nodes of its zone, the hubs among them, that receive its work at upstreams.
     pub near: Vec<SocketAddr>,
     /// Nodes of its zone that receive the state in force, without its work.
     pub zone: Vec<SocketAddr>,
@@ -105,12 +103,12 @@
 /// Selection of the seeds that receive a heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SeedChoice {
-    /// No seed.
+    /// No seed, as no heartbeat to them is due.
     #[default]
     None,
     /// The next one in turn, since all nodes of a starting fleet ask the seeds repeatedly.
     Next,
-    /// All seeds.
+    /// Every seed in the settings.
     All,
 }
 
--- a/kernel/src/gateway/health.rs
+++ b/kernel/src/gateway/health.rs
@@ -14,7 +14,7 @@
 /// Consecutive failures after which an upstream is backed off. A healthy one that fails a seventh
 /// of its calls has as many once in 340.
 const CONSECUTIVE_FAILURES: u32 = 3;
-/// Maximum time for which a trial call excludes other calls: some answers take long.
+/// Maximum time for which an upstream counts as backed off during a trial: some answers take long.
 const TRIAL_TIME: Duration = Duration::from_secs(1);
 /// Time for which another node's failure report is valid: three of its longest intervals between
 /// heartbeats.
@@ -38,8 +38,7 @@
 }
 
 impl UpstreamHealth {
-    /// Records that the first part of a successful answer arrived: the upstream is no longer backed
-    /// off.
+    /// Records that the first part of a successful answer arrived, which ends a back-off.
     pub fn answered(&mut self, now: Duration) {
         self.backoffs = 0;
         self.backoff_until = None;
@@ -56,8 +55,8 @@
     }
 
     /// Records that the upstream failed a call or rejected it. An upstream that fails most calls
-    /// fails them fast, so that it looks idle and would attract ever more: it is backed off.
-    /// Returns whether a back-off begins.
+    /// fails them fast, so that it looks idle and would attract ever more: it is backed off. An
+    /// unproven one is backed off at any failure. Returns whether a back-off begins.
     pub fn failed(&mut self, now: Duration) -> bool {
         self.count_failure();
         let failing =
@@ -89,8 +88,8 @@
         self.backoff_until = self.backoff_until.max(Some(now + REPORT_TTL));
     }
 
-    /// Records that a call is sent to it. While it is unproven that call is a trial, and no others
-    /// are sent.
+    /// Records that a call is sent to it. While it is unproven that call is a trial, during which
+    /// it counts as backed off.
     pub fn attempt_started(&mut self, now: Duration) {
         if self.unproven() && !self.is_backed_off(now) {
             self.trial_until = Some(now + TRIAL_TIME);
@@ -103,12 +102,12 @@
         self.reports_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it is backed off.
+    /// Whether its back-off or a trial lasts: calls go to it only if no healthy one has capacity.
     pub fn is_backed_off(&self, now: Duration) -> bool {
         !self.backoff_left(now).is_zero()
     }
 
-    /// Time until its back-off ends; zero if it is not backed off.
+    /// Time until its back-off or its trial ends; zero if it is not backed off.
     pub fn backoff_left(&self, now: Duration) -> Duration {
         let until = self.backoff_until.max(self.trial_until).unwrap_or(now);
         until.saturating_sub(now)
--- a/kernel/src/gateway/heartbeat.rs
+++ b/kernel/src/gateway/heartbeat.rs
@@ -49,9 +49,9 @@
     pub incarnation: u64,
     /// Availability zone of the node.
     pub zone: Box<str>,
-    /// Address for callers.
+    /// Address on which it accepts callers' requests.
     pub callers: SocketAddr,
-    /// Address for other nodes.
+    /// Address on which it receives heartbeats and serves state to other nodes.
     pub peers: SocketAddr,
     /// Maximum number of open calls that its host can handle.
     pub capacity: u32,
@@ -73,7 +73,7 @@
 pub struct WorkReport {
     /// Hash of the upstream's run.
     pub run: u64,
-    /// Calls in flight there.
+    /// Work of the node's calls that have not ended there.
     pub count: WorkCount,
     /// Prompt tokens that the node's calls added to the upstream's cache since the node started.
     pub taken_tokens: u64,
@@ -106,12 +106,11 @@
     pub version: u64,
     /// Whether the store answers it, as far as it knows.
     pub store_reachable: bool,
-    /// Time since the store answered any node that it knows of, in ms; `None` if it knows of no
-    /// answer.
+    /// Time since the store answered any node, as far as it knows, in ms; `None` if it never did.
     pub store_age_ms: Option<u64>,
     /// Digest of the upstreams that it knows and of those that left.
     pub registry_digest: u64,
-    /// Whether it has received no heartbeat yet and asks for the cards of others.
+    /// Whether it knows no other live node and asks for the cards of others.
     pub seeking: bool,
     /// Whether it is a reply, which needs no reply itself.
     pub is_reply: bool,
@@ -119,7 +118,7 @@
     pub fleet_size: u32,
     /// Number of nodes in its availability zone if it is a hub; otherwise 0.
     pub zone_size: u32,
-    /// Short hashes of the nodes that callers of its zone are directed to, if it is a hub.
+    /// Short hashes of the nodes that callers of its zone are directed to; empty if it is no hub.
     pub entries: Vec<u64>,
     /// Cards of other nodes that it received heartbeats from itself.
     pub cards: Vec<NodeCard>,
@@ -139,7 +138,7 @@
     pub parts: Vec<(u64, u64)>,
     /// Its wall-clock time, in Unix ms; 0 where no duty needs it.
     pub unix_ms: u64,
-    /// Holder of the duties, as far as it knows.
+    /// Holder of the duties, as far as it knows; `None` if it knows of none.
     pub holder: Option<HolderNotice>,
     /// Calls by workspace; empty unless it is sent to the holder.
     pub usage: Vec<WindowUsage>,
@@ -189,8 +188,7 @@
         self.work.as_ref().is_some_and(|work| !work.is_empty())
     }
 
-    /// Time since the store answered any node that the sender knows of; `None` if it knows of no
-    /// answer.
+    /// Time since the store answered any node, as far as the sender knows; `None` if it never did.
     pub fn store_age(&self) -> Option<Duration> {
         self.store_age_ms.map(Duration::from_millis)
     }
--- a/kernel/src/gateway/load.rs
+++ b/kernel/src/gateway/load.rs
@@ -27,9 +27,9 @@
 )]
 #[serde(from = "(u32, u32, u32, u32)", into = "(u32, u32, u32, u32)")]
 pub struct WorkCount {
-    /// Calls in flight.
+    /// Calls that were sent and have not ended.
     pub calls: u32,
-    /// Streams in flight that need the shortest gaps between events in their pool.
+    /// Streams among them that need the shortest gaps between events in their pool.
     pub tight_streams: u32,
     /// Prompt tokens of calls whose first token has not arrived.
     pub prompt_tokens: u32,
@@ -55,8 +55,7 @@
 /// Time within which the other sending nodes of a zone learn of a call: two heartbeat intervals.
 const UNREPORTED_TIME: Duration = Duration::from_millis(100);
 
-/// Prompt tokens that an engine prefills in a ms. It serves only as a scale: engines in use prefill
-/// about 50.
+/// Prompt tokens that an engine prefills per ms, as a scale: engines in use prefill about 50.
 pub const TOKENS_PER_MS: f64 = 50.0;
 /// Time from sending a call to the end of its prefill, in addition to the prefill of prompts queued
 /// before it: its own prompt and some steps.
@@ -106,8 +105,7 @@
         self.own.prompt_tokens = self.own.prompt_tokens.saturating_sub(tokens);
     }
 
-    /// Removes a call from this node's work. Its prompt must have been removed with `record_prefill`
-    /// before.
+    /// Removes a call from this node's work, after its prompt was removed with `record_prefill`.
     pub fn end(&mut self, item: WorkItem) {
         self.own.calls = self.own.calls.saturating_sub(1);
         self.own.held_tokens = self.own.held_tokens.saturating_sub(item.held_tokens);
@@ -120,7 +118,7 @@
         self.others.insert(node.into(), (now, count));
     }
 
-    /// Work of this node.
+    /// Work of this node's own calls.
     pub fn own(&self) -> WorkCount {
         self.own
     }
--- a/kernel/src/gateway/pace.rs
+++ b/kernel/src/gateway/pace.rs
@@ -44,15 +44,14 @@
         self.expected_duration(events * COUNTED_SHARE) <= left
     }
 
-    /// Expected duration of a stream with this number of events; zero before the first stream was
-    /// recorded.
+    /// Expected duration of a stream with this number of events; zero before any was recorded.
     pub fn expected_duration(&self, events: f64) -> Duration {
         let first = self.first.unwrap_or_default();
         let event = self.event.unwrap_or_default();
         Duration::from_secs_f64(first + event * (events - 1.0).max(0.0))
     }
 
-    /// Expected time until the first event of a stream.
+    /// Expected time until the first event of a stream; zero before the first stream was recorded.
     pub fn expected_first_event(&self) -> Duration {
         self.expected_duration(1.0)
     }
--- a/kernel/src/gateway/rules.rs
+++ b/kernel/src/gateway/rules.rs
@@ -1,5 +1,4 @@
-//! The ordered rules that determine a call's class and pool, and the keys that authenticate
-//! callers.
+//! The rules that determine a call's class and pool, in order, and the keys of callers.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -215,7 +214,7 @@
             .saturating_add(rule.class.tier)
     }
 
-    /// Number of effective tiers.
+    /// Number of effective tiers: the tiers of workspaces times those of rules.
     pub fn tiers(&self) -> u8 {
         let above = self
             .workspaces
@@ -240,12 +239,12 @@
         self.pools.get(name)
     }
 
-    /// All pools.
+    /// Pools of the configuration, in order of their names.
     pub fn pools(&self) -> impl Iterator<Item = &PoolSpec> {
         self.pools.values()
     }
 
-    /// Number of indexed rules.
+    /// Number of indexed rules, without those that an earlier rule with the same prefix hides.
     pub fn rule_count(&self) -> usize {
         self.rules.values().map(BTreeMap::len).sum()
     }
--- a/kernel/src/gateway/scaling.rs
+++ b/kernel/src/gateway/scaling.rs
@@ -41,8 +41,7 @@
 const UNANSWERED_DELAY: Duration = Duration::from_secs(1);
 /// Time after their start within which ordered engines appear in the registry.
 const LATE_START: Duration = Duration::from_secs(3);
-/// Time between two orders for fewer spot engines, each of which drains an engine and loses its
-/// cache.
+/// Time between two orders for fewer spot engines, each of which drains one and loses its cache.
 const SHRINK_INTERVAL: Duration = Duration::from_secs(20);
 
 /// The platform's terms for ordering a pool's engines.
@@ -74,9 +73,9 @@
 /// Number of engines of an availability zone that accept calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneEngines {
-    /// Firm engines.
+    /// Number of firm engines, which the platform does not reclaim.
     pub firm: u32,
-    /// Spot engines.
+    /// Number of spot engines, which the platform may reclaim.
     pub spot: u32,
 }
 
@@ -200,7 +199,8 @@
         }
     }
 
-    /// Next order that is due, if any. `zones` are those in which the pool runs.
+    /// Next order that is due; `None` if there is none, or if the pool is larger than
+    /// `LARGEST_POOL`. `zones` are those in which the pool runs.
     pub fn next_order(
         &mut self,
         spec: &ScalingSpec,
@@ -329,7 +329,8 @@
         }
     }
 
-    /// Number of firm engines that the load requires.
+    /// Number of firm engines by which the pool is sized: its baseline, or less once the load has
+    /// been known for `PEAK_RETENTION` and its peak, with a margin, required less.
     pub fn needed(&self, now: Duration) -> u32 {
         let peak = self.peaks.front().map_or(0, |(_, peak)| *peak);
         let is_known = self.first_at.is_some_and(|at| now >= at + PEAK_RETENTION);
@@ -352,8 +353,7 @@
         self.first_at.is_some() && kinds.any(|kind| kind == EngineKind::Firm)
     }
 
-    /// Number of spot engines that each zone has to add to replace those of zones where none are
-    /// available.
+    /// Number of spot engines that each zone has to add for zones where none are available.
     fn spot_shortage(
         &self,
         zones: &BTreeMap<Box<str>, ZoneEngines>,
--- a/kernel/src/gateway/usage.rs
+++ b/kernel/src/gateway/usage.rs
@@ -24,7 +24,7 @@
 /// A node's report of one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct WindowUsage {
-    /// Number of the window.
+    /// Number of the window, counted from 1970.
     pub window: u64,
     /// Number of calls by workspace, of some or all workspaces.
     pub counts: Vec<(Box<str>, u64)>,
@@ -125,8 +125,7 @@
         at >= end + MAX_SETTLE_TIME || awaited.all(|updated| *updated >= end)
     }
 
-    /// Age of the oldest report that counts for a window, at a time since 1970; zero if there is
-    /// none.
+    /// Age of the oldest report that counts for a window, at a time since 1970; zero without any.
     pub fn oldest_input(&self, window: u64, at: Duration) -> Duration {
         let sources = self
             .remote
--- a/kernel/src/gateway/waiting.rs
+++ b/kernel/src/gateway/waiting.rs
@@ -1,8 +1,7 @@
 //! Queue of calls that wait for capacity at an upstream: the most urgent first, and among equals
 //! those that can still meet their target.
 //!
-//! With more calls than capacity, an order by deadline alone would make every call wait until it is
-//! late.
+//! With more calls than capacity, an order by deadline alone would make all calls late.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -48,7 +47,7 @@
         rank
     }
 
-    /// Removes a call.
+    /// Removes a call that no longer waits.
     pub fn leave(&mut self, pool: &str, rank: WaitRank) {
         self.waiting.remove(&(pool.into(), rank));
     }
@@ -83,7 +82,7 @@
         self.waiting.len()
     }
 
-    /// Whether no call waits.
+    /// Whether no call of any pool waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/kernel/src/keys.rs
+++ b/kernel/src/keys.rs
@@ -1,6 +1,4 @@
-//! Idempotency keys: each is minted by one run of one node, and only that run may run its call,
-//! once.
-//!
+//! Idempotency keys: each is minted by one run of a node; only that run may run its call, once.
 //!
 //! The text of a key is `mb1.NODE.INCARNATION.SEQUENCE.SECOND.MAC`: the minter, a number that the
 //! minter never uses twice, the second of the minter's clock at which the key was minted, and a
@@ -61,7 +59,7 @@
     mac: [u8; MAC_BYTES],
 }
 
-/// Why a key is rejected.
+/// Reason why a key is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum KeyError {
     /// The text does not have the form of a key.
--- a/kernel/src/membership/gossip.rs
+++ b/kernel/src/membership/gossip.rs
@@ -16,8 +16,7 @@
 /// zone to its own zone.
 const BACKUP_BRIDGE_DELAY: Duration = Duration::from_millis(300);
 
-/// Number of bridges per zone that propagate its updates at once; the others take part in repairs
-/// only.
+/// Number of bridges per zone that propagate its updates at once; others only repair differences.
 const PROPAGATING_BRIDGES: usize = 2;
 
 impl MembershipTable {
@@ -103,7 +102,7 @@
         self.remove_if_gone(node);
     }
 
-    /// When this node sends an update from another zone to its group.
+    /// Time at which this node sends an update from another zone to its group.
     fn group_send_time(&self, now: Duration) -> Duration {
         match self.group.rank {
             None | Some(0) => now,
--- a/kernel/src/routing.rs
+++ b/kernel/src/routing.rs
@@ -1,7 +1,6 @@
 //! The entry node's plug-in: chooses the owner that each call is offered to, and reports exactly
 //! one outcome per call.
 //!
-//!
 //! The outcome is one of: the whole response; `not_run`, only if no part of the call ran;
 //! `unknown`. A call that is not repeatable is offered to another owner only while no part of it
 //! can have run. Any other call is resumed elsewhere after the tokens that its caller already has.
@@ -36,7 +35,7 @@
 use crate::routing::retry::RetryBudget;
 use crate::wire::{Message, RelayMessage};
 
-/// What happens to an urgent call that waits long at its owner while another owner has capacity.
+/// Handling of an urgent call that waits long at its owner while another owner has capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WaitPolicy {
     /// It keeps waiting.
@@ -124,8 +123,7 @@
         }
     }
 
-    /// Reports the outcome of a call to its caller, the node that relayed it and the other
-    /// plug-ins.
+    /// Reports the outcome of a call to its caller, the relaying node and the other plug-ins.
     fn send_outcome(
         &mut self,
         call: CallId,
--- a/kernel/src/routing/attempt.rs
+++ b/kernel/src/routing/attempt.rs
@@ -1,6 +1,5 @@
 //! One attempt of a call as its entry node tracks it, and what its end means for the call.
 //!
-//!
 //! The criterion is what has left the socket. An attempt that the owner returned before sending any
 //! byte of it to an upstream did not run. An attempt that the owner was about to send, or that the
 //! entry node can no longer track, may have run: the message that reports it may have been lost
@@ -11,7 +10,7 @@
 use crate::call::{AttemptEnd, ReturnReason};
 use crate::ids::NodeId;
 
-/// How far an attempt has progressed.
+/// Progress of an attempt, as far as the entry node knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptPhase {
     /// Offered to the owner; may be queued there.
@@ -32,9 +31,9 @@
     pub number: u32,
     /// The node that it was offered to.
     pub owner: NodeId,
-    /// How far it has progressed.
+    /// Newest phase that was reported.
     pub phase: AttemptPhase,
-    /// When it was offered.
+    /// Time at which it was offered.
     pub offered: Duration,
     /// Queries to the owner since its last message.
     pub unanswered: u32,
@@ -51,8 +50,7 @@
     Returned(ReturnReason),
     /// The owner reported how it ended.
     Ended(AttemptEnd),
-    /// The edge forwards no more of its tokens, because the link broke or the attempt was
-    /// withdrawn.
+    /// The edge forwards no more of its tokens: the link broke or the attempt was withdrawn.
     Lost {
         /// Tokens of this attempt that were forwarded to the caller.
         tokens: u32,
@@ -61,7 +59,7 @@
     },
 }
 
-/// What an update means for the call.
+/// Consequence of an update for the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStatus {
     /// The attempt continues.
@@ -80,7 +78,7 @@
     },
 }
 
-/// Why no part of an attempt ran.
+/// Reason why no part of an attempt ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotRunCause {
     /// The owner returned it.
--- a/kernel/src/routing/owners.rs
+++ b/kernel/src/routing/owners.rs
@@ -1,6 +1,5 @@
 //! Selection of the owner that a call is offered to.
 //!
-//!
 //! Candidates are the nodes that own upstreams of the call's pool. Their load is estimated from the
 //! newest load summary, the offers made since, and this node's offers that are still open. A small
 //! number of candidates is compared in full; of a large number, two are drawn (M. Mitzenmacher,
@@ -27,23 +26,24 @@
 const DRAWS: u8 = 2;
 /// Load per slot below which an owner has capacity.
 const CAPACITY_LOAD: f64 = 0.9;
-/// Load per slot by which an owner in another availability zone must be better.
+/// Load per slot by which an owner in another availability zone must be better than the best near
+/// one, if that has no capacity.
 const ZONE_MARGIN: f64 = 0.25;
 /// Load per slot by which another owner must be better than the one that probably has the prefix
-/// cached.
+/// cached, if that has no capacity.
 const PREFIX_MARGIN: f64 = 0.25;
 /// Load per slot added for a suspected node.
 const SUSPECT_LOAD: f64 = 10.0;
 /// Time without offers for a node whose link broke.
 const LINK_BACKOFF: Duration = Duration::from_secs(1);
 
-/// How an owner is selected.
+/// Policy by which an owner is selected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OwnerPolicy {
     /// The least loaded of a small number, the better of two among a large number.
     #[default]
     Mixed,
-    /// Always the least loaded.
+    /// Always the least loaded of all candidates.
     LeastLoaded,
     /// Always the least loaded of this many, drawn at random.
     BestOf(u8),
@@ -168,8 +168,7 @@
         self.loads.values().map(|load| load.open_offers).sum()
     }
 
-    /// The owner to offer a call to, or `None` if there is none besides `tried` and backed-off
-    /// nodes.
+    /// The owner to offer a call to; `None` if all are in `tried` or backed off.
     pub fn choose(
         &self,
         spec: &CallSpec,
